--- a/src/directory/crash_exchange.c
+++ b/src/directory/crash_exchange.c
@@ -15,28 +15,28 @@
  * hears it tells it on to as many by chance: two rounds reach half of 360, three nearly all, by
  * the arithmetic of chance; digests reach the rest.
  */
-#define TOLD_MOST 16
+#define MAX_RECIPIENTS 16
 /** Evidence in one answer or report: some 200 bytes each, so that a datagram holds it. */
-#define EVIDENCE_MOST 64
-/** Answers to digests in one ANSWERS_INTERVAL_MS: each may have 13 kB, and while news goes round
+#define MAX_REPORT_EVIDENCE 64
+/** Answers to digests in one DIGEST_ANSWER_WINDOW_MS: each may have 13 kB, and while news goes round
  * many digests differ. */
-#define ANSWERS_MOST 4
+#define MAX_DIGEST_ANSWERS 4
 /** In ms: as often as daemons tell their loads, with which the digests come. */
-#define ANSWERS_INTERVAL_MS 240
+#define DIGEST_ANSWER_WINDOW_MS 240
 /** Daemons that are asked for one trial, at most, while some are of an earlier build: each answers
  * within some ms, and the next claim asks others. */
-#define DECIDERS_MOST 8
+#define MAX_DECIDERS_ASKED 8
 /** Between judgements without news, in ms: holds end and are forgotten by time alone. */
-#define REFRESH_MS 1000
+#define REFRESH_INTERVAL_MS 1000
 
 struct hs_crash_exchange {
-    hs_peer_questions *trials; /**< Answers: hs_trial_verdict. */
+    hs_peer_questions *trial_queries; /**< Answers: hs_trial_verdict. */
     hs_crash_watch *watch;
     hs_membership_service *membership;
     GMutex lock; /**< Guards the deciders and the answers. */
     hs_trial_deciders *deciders;
-    uint32_t answers;
-    uint64_t answers_from_ms;
+    uint32_t answer_count;
+    uint64_t answer_window_start_ms;
     uint64_t next_refresh_ms; /**< Of the ticker's thread alone. */
 };
 
@@ -44,35 +44,35 @@
 typedef struct {
     Hs__PeerMessage message;
     Hs__CrashReport report;
-    hs_crash_message evidence[EVIDENCE_MOST];
-    Hs__CrashEvidence *evidence_list[EVIDENCE_MOST];
-} outgoing;
+    hs_crash_message evidence[MAX_REPORT_EVIDENCE];
+    Hs__CrashEvidence *evidence_list[MAX_REPORT_EVIDENCE];
+} outgoing_report;
 
 /** A question for a trial on its way to a daemon that decides. */
 typedef struct {
     hs_crash_exchange *exchange;
-    const hs_trial_question *asked;
+    const hs_trial_query *query;
     hs_daemon_address to;
-} outgoing_question;
+} outgoing_trial_query;
 
-static void send_trial_ask(uint64_t sequence, void *user_data) {
-    const outgoing_question *question = user_data;
+static void send_trial_query(uint64_t sequence, void *user_data) {
+    const outgoing_trial_query *outgoing = user_data;
     Hs__TrialAsk ask = HS__TRIAL_ASK__INIT;
     hs_crash_message evidence;
-    hs_crash_codec_write(question->asked->evidence, hs_clock_monotonic_ms(), &evidence);
+    hs_crash_codec_write(outgoing->query->evidence, hs_clock_monotonic_ms(), &evidence);
     ask.sequence = sequence;
-    ask.content = question->asked->evidence->content;
-    ask.is_accepted = question->asked->is_accepted;
+    ask.content = outgoing->query->evidence->content;
+    ask.is_accepted = outgoing->query->is_accepted;
     ask.evidence = &evidence.message;
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_TRIAL_ASK;
     message.trial_ask = &ask;
-    hs_membership_service_send(question->exchange->membership, question->to.address,
-                               question->to.port, &message);
+    hs_membership_service_send(outgoing->exchange->membership, outgoing->to.address,
+                               outgoing->to.port, &message);
 }
 
 /** A daemon's life, as a hash. */
-static uint64_t life_of(const hs_member *member) {
+static uint64_t hash_incarnation(const hs_member *member) {
     uint64_t pair[2] = {hs_hash_bytes(member->id, strlen(member->id)), member->incarnation};
     return hs_hash_bytes(pair, sizeof pair);
 }
@@ -80,19 +80,19 @@
 /** A daemon that may decide on a trial. */
 typedef struct {
     bool is_self;
-    uint64_t life;
+    uint64_t incarnation_hash;
     hs_daemon_address address;
 } decider;
 
 /** Whether another daemon is to be asked: of accepted work, see trial_deciders.h. */
-static bool is_passed_over(hs_crash_exchange *exchange, const hs_trial_question *asked,
+static bool is_skipped(hs_crash_exchange *exchange, const hs_trial_query *query,
                            const hs_member *member) {
     g_mutex_lock(&exchange->lock);
-    bool is_passed =
-        asked->is_accepted &&
-        hs_trial_deciders_passes_over(exchange->deciders, life_of(member), hs_clock_monotonic_ms());
+    bool is_skipped_now =
+        query->is_accepted &&
+        hs_trial_deciders_is_skipped(exchange->deciders, hash_incarnation(member), hs_clock_monotonic_ms());
     g_mutex_unlock(&exchange->lock);
-    return is_passed;
+    return is_skipped_now;
 }
 
 /**
@@ -100,8 +100,8 @@
  * passed over. What was lost with the same engine has the same decider, so that one daemon sees who
  * else is tried.
  */
-static decider find_decider(hs_crash_exchange *exchange, const hs_trial_question *asked) {
-    const hs_crash_evidence *evidence = asked->evidence;
+static decider find_decider(hs_crash_exchange *exchange, const hs_trial_query *query) {
+    const hs_crash_evidence *evidence = query->evidence;
     uint64_t engine = UINT64_MAX;
     for (uint32_t index = 0; index < evidence->engine_count; index++)
         engine = MIN(engine, evidence->engines[index].engine);
@@ -109,11 +109,11 @@
     const hs_membership *membership = hs_membership_service_lock(exchange->membership);
     const hs_member *self = hs_membership_self(membership);
     const hs_member *member = hs_membership_rank_next(membership, key, NULL);
-    while (member != NULL && member != self && is_passed_over(exchange, asked, member))
+    while (member != NULL && member != self && is_skipped(exchange, query, member))
         member = hs_membership_rank_next(membership, key, member);
     decider found = {.is_self = member == NULL || member == self};
     if (!found.is_self) {
-        found.life = life_of(member);
+        found.incarnation_hash = hash_incarnation(member);
         found.address = (hs_daemon_address){.address = member->address, .port = member->peer_port};
     }
     hs_membership_service_unlock(exchange->membership);
@@ -121,50 +121,50 @@
 }
 
 /** Remember how a daemon answered, for the next question about accepted work. */
-static void note_answer(hs_crash_exchange *exchange, uint64_t life, hs_trial_verdict verdict) {
+static void record_verdict(hs_crash_exchange *exchange, uint64_t incarnation_hash, hs_trial_verdict verdict) {
     g_mutex_lock(&exchange->lock);
     if (verdict == HS_TRIAL_UNANSWERED)
-        hs_trial_deciders_note_unanswered(exchange->deciders, life, hs_clock_monotonic_ms());
+        hs_trial_deciders_note_unanswered(exchange->deciders, incarnation_hash, hs_clock_monotonic_ms());
     else
-        hs_trial_deciders_note_answered(exchange->deciders, life);
-    if (verdict == HS_TRIAL_UNTOLD)
-        hs_trial_deciders_note_untelling(exchange->deciders, life);
+        hs_trial_deciders_note_answered(exchange->deciders, incarnation_hash);
+    if (verdict == HS_TRIAL_NO_REASON)
+        hs_trial_deciders_note_no_reason(exchange->deciders, incarnation_hash);
     g_mutex_unlock(&exchange->lock);
 }
 
 /** Ask the daemon that decides. Without an answer nothing is tried: it may have let another daemon
  * try the content. */
-static hs_trial_verdict ask_trial(const hs_trial_question *asked, void *user_data) {
+static hs_trial_verdict query_decider(const hs_trial_query *query, void *user_data) {
     hs_crash_exchange *exchange = user_data;
-    hs_trial_verdict verdict = HS_TRIAL_UNTOLD;
-    for (int asks = 0; asks < DECIDERS_MOST && verdict == HS_TRIAL_UNTOLD; asks++) {
-        decider chosen = find_decider(exchange, asked);
+    hs_trial_verdict verdict = HS_TRIAL_NO_REASON;
+    for (int attempt = 0; attempt < MAX_DECIDERS_ASKED && verdict == HS_TRIAL_NO_REASON; attempt++) {
+        decider chosen = find_decider(exchange, query);
         if (chosen.is_self)
-            return hs_crash_watch_decide_trial(exchange->watch, asked, "self");
-        outgoing_question question = {.exchange = exchange, .asked = asked, .to = chosen.address};
-        if (!hs_peer_questions_ask(exchange->trials, send_trial_ask, &question, &verdict))
+            return hs_crash_watch_decide_trial(exchange->watch, query, "self");
+        outgoing_trial_query outgoing = {.exchange = exchange, .query = query, .to = chosen.address};
+        if (!hs_peer_questions_ask(exchange->trial_queries, send_trial_query, &outgoing, &verdict))
             verdict = HS_TRIAL_UNANSWERED;
-        note_answer(exchange, chosen.life, verdict);
-        if (!asked->is_accepted)
+        record_verdict(exchange, chosen.incarnation_hash, verdict);
+        if (!query->is_accepted)
             break;
     }
     return verdict;
 }
 
 /** The evidence that came with a question; of an earlier build's none does. */
-static hs_crash_evidence asked_evidence(const Hs__TrialAsk *ask) {
+static hs_crash_evidence read_query_evidence(const Hs__TrialAsk *ask) {
     if (ask->evidence == NULL || ask->evidence->content != ask->content)
         return (hs_crash_evidence){.content = ask->content};
     return hs_crash_codec_read(ask->evidence, hs_clock_monotonic_ms());
 }
 
-static void answer_trial_ask(hs_crash_exchange *exchange, const Hs__PeerMessage *asked,
+static void answer_trial_query(hs_crash_exchange *exchange, const Hs__PeerMessage *query,
                              const struct sockaddr_in *from) {
-    const Hs__TrialAsk *ask = asked->trial_ask;
-    hs_crash_evidence evidence = asked_evidence(ask);
-    hs_trial_question question = {.evidence = &evidence, .is_accepted = ask->is_accepted};
+    const Hs__TrialAsk *ask = query->trial_ask;
+    hs_crash_evidence evidence = read_query_evidence(ask);
+    hs_trial_query outgoing = {.evidence = &evidence, .is_accepted = ask->is_accepted};
     hs_trial_verdict decided =
-        hs_crash_watch_decide_trial(exchange->watch, &question, asked->sender_id);
+        hs_crash_watch_decide_trial(exchange->watch, &outgoing, query->sender_id);
     Hs__TrialVerdict verdict = HS__TRIAL_VERDICT__INIT;
     verdict.sequence = ask->sequence;
     verdict.may_run = decided == HS_TRIAL_GRANTED;
@@ -179,16 +179,16 @@
 static hs_trial_verdict read_verdict(const Hs__TrialVerdict *verdict) {
     if (verdict->may_run)
         return HS_TRIAL_GRANTED;
-    bool is_reason = verdict->reason > HS_TRIAL_GRANTED && verdict->reason <= HS_TRIAL_NOBODY;
-    if (verdict->reason == HS_TRIAL_UNTOLD || is_reason)
+    bool is_reason = verdict->reason > HS_TRIAL_GRANTED && verdict->reason <= HS_TRIAL_NO_DECIDER;
+    if (verdict->reason == HS_TRIAL_NO_REASON || is_reason)
         return verdict->reason;
     return HS_TRIAL_UNKNOWN;
 }
 
 hs_crash_exchange *hs_crash_exchange_new(hs_crash_watch *watch, hs_membership_service *membership) {
     hs_crash_exchange *exchange = g_new0(hs_crash_exchange, 1);
-    exchange->trials = hs_peer_questions_new(sizeof(hs_trial_verdict));
-    hs_crash_watch_set_trial_asker(watch, ask_trial, exchange);
+    exchange->trial_queries = hs_peer_questions_new(sizeof(hs_trial_verdict));
+    hs_crash_watch_set_trial_query(watch, query_decider, exchange);
     exchange->watch = watch;
     exchange->membership = membership;
     g_mutex_init(&exchange->lock);
@@ -199,20 +199,20 @@
 void hs_crash_exchange_free(hs_crash_exchange *exchange) {
     if (exchange == NULL)
         return;
-    hs_crash_watch_set_trial_asker(exchange->watch, NULL, NULL);
-    hs_peer_questions_free(exchange->trials);
+    hs_crash_watch_set_trial_query(exchange->watch, NULL, NULL);
+    hs_peer_questions_free(exchange->trial_queries);
     hs_trial_deciders_free(exchange->deciders);
     g_mutex_clear(&exchange->lock);
     g_free(exchange);
 }
 
-/** A report of up to EVIDENCE_MOST of @p evidence, from @p first on. Free with g_free. */
-static outgoing *write_report(const GArray *evidence, guint first) {
-    outgoing *out = g_new(outgoing, 1);
+/** A report of up to MAX_REPORT_EVIDENCE of @p evidence, from @p first on. Free with g_free. */
+static outgoing_report *write_report(const GArray *evidence, guint first) {
+    outgoing_report *out = g_new(outgoing_report, 1);
     uint64_t now_ms = hs_clock_monotonic_ms();
     hs__peer_message__init(&out->message);
     hs__crash_report__init(&out->report);
-    for (guint index = first; index < MIN(evidence->len, first + EVIDENCE_MOST); index++) {
+    for (guint index = first; index < MIN(evidence->len, first + MAX_REPORT_EVIDENCE); index++) {
         hs_crash_message *one = &out->evidence[index - first];
         hs_crash_codec_write(&g_array_index(evidence, hs_crash_evidence, index), now_ms, one);
         out->evidence_list[out->report.n_evidence++] = &one->message;
@@ -223,32 +223,32 @@
     return out;
 }
 
-static void take_report(hs_crash_exchange *exchange, const Hs__PeerMessage *message) {
+static void handle_report(hs_crash_exchange *exchange, const Hs__PeerMessage *message) {
     const Hs__CrashReport *report = message->crash_report;
     hs_membership *membership = hs_membership_service_lock(exchange->membership);
-    bool is_large = hs_membership_live_count(membership) > TOLD_MOST + 1;
+    bool is_large = hs_membership_live_count(membership) > MAX_RECIPIENTS + 1;
     hs_membership_service_unlock(exchange->membership);
-    hs_crash_teller teller = {.daemon = message->sender_id, .is_passed_on = is_large};
+    hs_crash_evidence_source source = {.daemon = message->sender_id, .must_relay = is_large};
     for (size_t index = 0; index < report->n_evidence; index++) {
         hs_crash_evidence evidence =
             hs_crash_codec_read(report->evidence[index], hs_clock_monotonic_ms());
-        hs_crash_watch_learn(exchange->watch, &evidence, &teller);
+        hs_crash_watch_merge_evidence(exchange->watch, &evidence, &source);
     }
 }
 
 bool hs_crash_exchange_handle(hs_crash_exchange *exchange, const Hs__PeerMessage *message,
                               const struct sockaddr_in *from) {
-    hs_trial_verdict verdict = HS_TRIAL_UNTOLD;
+    hs_trial_verdict verdict = HS_TRIAL_NO_REASON;
     switch (message->kind_case) {
     case HS__PEER_MESSAGE__KIND_CRASH_REPORT:
-        take_report(exchange, message);
+        handle_report(exchange, message);
         return true;
     case HS__PEER_MESSAGE__KIND_TRIAL_ASK:
-        answer_trial_ask(exchange, message, from);
+        answer_trial_query(exchange, message, from);
         return true;
     case HS__PEER_MESSAGE__KIND_TRIAL_VERDICT:
         verdict = read_verdict(message->trial_verdict);
-        hs_peer_questions_answer(exchange->trials, message->trial_verdict->sequence, &verdict);
+        hs_peer_questions_answer(exchange->trial_queries, message->trial_verdict->sequence, &verdict);
         return true;
     default:
         return false;
@@ -256,32 +256,32 @@
 }
 
 /** Whether one more answer may be sent now. */
-static bool may_answer(hs_crash_exchange *exchange) {
+static bool can_answer(hs_crash_exchange *exchange) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&exchange->lock);
-    if (now_ms >= exchange->answers_from_ms + ANSWERS_INTERVAL_MS) {
-        exchange->answers_from_ms = now_ms;
-        exchange->answers = 0;
+    if (now_ms >= exchange->answer_window_start_ms + DIGEST_ANSWER_WINDOW_MS) {
+        exchange->answer_window_start_ms = now_ms;
+        exchange->answer_count = 0;
     }
-    bool may = exchange->answers < ANSWERS_MOST;
-    exchange->answers += may;
+    bool is_allowed = exchange->answer_count < MAX_DIGEST_ANSWERS;
+    exchange->answer_count += is_allowed;
     g_mutex_unlock(&exchange->lock);
-    return may;
+    return is_allowed;
 }
 
 void hs_crash_exchange_compare(hs_crash_exchange *exchange, uint64_t digest,
                                const struct sockaddr_in *from) {
-    if (digest == hs_crash_watch_digest(exchange->watch) || !may_answer(exchange))
+    if (digest == hs_crash_watch_digest(exchange->watch) || !can_answer(exchange))
         return;
-    g_autoptr(GArray) known = hs_crash_watch_list(exchange->watch, EVIDENCE_MOST);
+    g_autoptr(GArray) known = hs_crash_watch_list(exchange->watch, MAX_REPORT_EVIDENCE);
     if (known->len == 0)
         return;
-    g_autofree outgoing *out = write_report(known, 0);
+    g_autofree outgoing_report *out = write_report(known, 0);
     hs_membership_service_reply(exchange->membership, from, &out->message);
 }
 
 /** Send to some live daemons by chance; to all where there are no more than that. */
-static void send_to_some(hs_crash_exchange *exchange, Hs__PeerMessage *message) {
+static void send_to_random_members(hs_crash_exchange *exchange, Hs__PeerMessage *message) {
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     g_autoptr(GArray) addresses = g_array_new(FALSE, FALSE, sizeof(hs_daemon_address));
     hs_membership *membership = hs_membership_service_lock(exchange->membership);
@@ -293,23 +293,23 @@
             g_array_append_val(addresses, address);
     }
     hs_membership_service_unlock(exchange->membership);
-    for (guint told = 0; told < MIN(addresses->len, TOLD_MOST); told++) {
+    for (guint sent = 0; sent < MIN(addresses->len, MAX_RECIPIENTS); sent++) {
         hs_daemon_address *list = (hs_daemon_address *)(void *)addresses->data;
-        guint other = (guint)g_random_int_range((gint32)told, (gint32)addresses->len);
+        guint other = (guint)g_random_int_range((gint32)sent, (gint32)addresses->len);
         hs_daemon_address chosen = list[other];
-        list[other] = list[told];
+        list[other] = list[sent];
         hs_membership_service_send(exchange->membership, chosen.address, chosen.port, message);
     }
 }
 
 void hs_crash_exchange_tick(hs_crash_exchange *exchange, uint64_t now_ms) {
-    g_autoptr(GArray) news = hs_crash_watch_take_news(exchange->watch);
-    for (guint first = 0; first < news->len; first += EVIDENCE_MOST) {
-        g_autofree outgoing *out = write_report(news, first);
-        send_to_some(exchange, &out->message);
+    g_autoptr(GArray) updates = hs_crash_watch_take_updates(exchange->watch);
+    for (guint first = 0; first < updates->len; first += MAX_REPORT_EVIDENCE) {
+        g_autofree outgoing_report *out = write_report(updates, first);
+        send_to_random_members(exchange, &out->message);
     }
     if (now_ms < exchange->next_refresh_ms)
         return;
-    exchange->next_refresh_ms = now_ms + REFRESH_MS;
+    exchange->next_refresh_ms = now_ms + REFRESH_INTERVAL_MS;
     hs_crash_watch_refresh(exchange->watch);
 }
--- a/src/directory/crash_store.c
+++ b/src/directory/crash_store.c
@@ -7,7 +7,7 @@
 #include "store/keyed_topic.h"
 
 /** Longest wait for the store's answer, in ms: as for the daemons' own records. */
-#define CALL_LIMIT_MS 1000
+#define STORE_TIMEOUT_MS 1000
 /** "%016x" of a content and the NUL. */
 #define KEY_BYTES 17
 
@@ -16,7 +16,7 @@
     hs_membership_service *membership;
     hs_store_client *store;
     bool is_read;
-    GHashTable *followed; /**< uint64_t* content -> guint: engines in its record; 0: none. */
+    GHashTable *tracked; /**< uint64_t* content -> guint: engines in its record; 0: none. */
 };
 
 hs_crash_store *hs_crash_store_new(hs_crash_watch *watch, hs_membership_service *membership,
@@ -25,24 +25,24 @@
     records->watch = watch;
     records->membership = membership;
     records->store = store;
-    records->followed = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+    records->tracked = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     return records;
 }
 
 void hs_crash_store_free(hs_crash_store *records) {
     if (records == NULL)
         return;
-    g_hash_table_destroy(records->followed);
+    g_hash_table_destroy(records->tracked);
     g_free(records);
 }
 
-static void follow(hs_crash_store *records, uint64_t content, uint32_t written_engines) {
+static void track(hs_crash_store *records, uint64_t content, uint32_t written_engines) {
     uint64_t *key = g_new(uint64_t, 1);
     *key = content;
-    g_hash_table_insert(records->followed, key, GUINT_TO_POINTER(written_engines));
+    g_hash_table_insert(records->tracked, key, GUINT_TO_POINTER(written_engines));
 }
 
-static void take_record(const hs_newest_entry *entry, void *user_data) {
+static void load_record(const hs_newest_entry *entry, void *user_data) {
     hs_crash_store *records = user_data;
     if (entry->value_length == 0)
         return;
@@ -55,17 +55,17 @@
     }
     hs_crash_evidence evidence = hs_crash_codec_read(message, hs_clock_monotonic_ms());
     hs__crash_evidence__free_unpacked(message, NULL);
-    follow(records, evidence.content, evidence.engine_count);
-    hs_crash_watch_learn(records->watch, &evidence, &(hs_crash_teller){.daemon = "store"});
+    track(records, evidence.content, evidence.engine_count);
+    hs_crash_watch_merge_evidence(records->watch, &evidence, &(hs_crash_evidence_source){.daemon = "store"});
 }
 
 void hs_crash_store_read(hs_crash_store *records) {
     if (records->is_read)
         return;
     records->is_read =
-        hs_keyed_topic_read(records->store, HS_TOPIC_CRASHES, CALL_LIMIT_MS, take_record, records);
+        hs_keyed_topic_read(records->store, HS_TOPIC_CRASHES, STORE_TIMEOUT_MS, load_record, records);
     if (records->is_read)
-        hs_log_info("crash_records_read", "contents=%u", g_hash_table_size(records->followed));
+        hs_log_info("crash_records_read", "contents=%u", g_hash_table_size(records->tracked));
 }
 
 /** Whether this daemon writes the content's record. */
@@ -89,16 +89,16 @@
         length = hs__crash_evidence__pack(&out.message, value);
     }
     hs_store_outcome outcome =
-        hs_keyed_topic_write(records->store, HS_TOPIC_CRASHES, key, value, length, CALL_LIMIT_MS);
+        hs_keyed_topic_write(records->store, HS_TOPIC_CRASHES, key, value, length, STORE_TIMEOUT_MS);
     hs_log_info("crash_record_written", "content=%s dropped=%d outcome=%s", key, evidence == NULL,
                 hs_store_outcome_name(outcome));
     return outcome == HS_STORE_DONE;
 }
 
-static const hs_crash_evidence *find_held(const GArray *held, uint64_t content) {
-    for (guint index = 0; index < held->len; index++)
-        if (g_array_index(held, hs_crash_evidence, index).content == content)
-            return &g_array_index(held, hs_crash_evidence, index);
+static const hs_crash_evidence *find_quarantined(const GArray *quarantined, uint64_t content) {
+    for (guint index = 0; index < quarantined->len; index++)
+        if (g_array_index(quarantined, hs_crash_evidence, index).content == content)
+            return &g_array_index(quarantined, hs_crash_evidence, index);
     return NULL;
 }
 
@@ -107,37 +107,37 @@
  * followed any more. A record is written again as more engines are lost: these count against
  * further trials, also after a kill of all daemons.
  */
-static bool update_record(hs_crash_store *records, uint64_t content, const GArray *held,
+static bool update_record(hs_crash_store *records, uint64_t content, const GArray *quarantined,
                           uint32_t *written_engines) {
     char key[KEY_BYTES];
     g_snprintf(key, sizeof key, "%016" G_GINT64_MODIFIER "x", (guint64)content);
-    const hs_crash_evidence *evidence = find_held(held, content);
-    bool is_held = evidence != NULL;
-    uint32_t engines = is_held ? evidence->engine_count : 0;
-    if (is_held && *written_engines >= engines)
+    const hs_crash_evidence *evidence = find_quarantined(quarantined, content);
+    bool is_quarantined = evidence != NULL;
+    uint32_t engines = is_quarantined ? evidence->engine_count : 0;
+    if (is_quarantined && *written_engines >= engines)
         return false;
     if (!is_writer(records, key))
-        return !is_held;
+        return !is_quarantined;
     if (!write_record(records, key, evidence))
         return false;
     *written_engines = engines;
-    return !is_held;
+    return !is_quarantined;
 }
 
 void hs_crash_store_update(hs_crash_store *records) {
-    g_autoptr(GArray) held = hs_crash_watch_held(records->watch);
-    for (guint index = 0; index < held->len; index++) {
-        uint64_t content = g_array_index(held, hs_crash_evidence, index).content;
-        if (!g_hash_table_contains(records->followed, &content))
-            follow(records, content, 0);
+    g_autoptr(GArray) quarantined = hs_crash_watch_list_quarantined(records->watch);
+    for (guint index = 0; index < quarantined->len; index++) {
+        uint64_t content = g_array_index(quarantined, hs_crash_evidence, index).content;
+        if (!g_hash_table_contains(records->tracked, &content))
+            track(records, content, 0);
     }
     GHashTableIter iterator;
     gpointer key = NULL;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, records->followed);
+    g_hash_table_iter_init(&iterator, records->tracked);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         uint32_t written_engines = GPOINTER_TO_UINT(value);
-        bool is_done = update_record(records, *(const uint64_t *)key, held, &written_engines);
+        bool is_done = update_record(records, *(const uint64_t *)key, quarantined, &written_engines);
         if (is_done)
             g_hash_table_iter_remove(&iterator);
         else
--- a/src/directory/trial_deciders.c
+++ b/src/directory/trial_deciders.c
@@ -4,16 +4,16 @@
 #include <glib.h>
 
 /** Lives that are remembered, at most: all of a fleet's, twice started. */
-#define LIVES_MOST 1024
+#define MAX_RECORDS 1024
 /** One that answers nothing for so long, in ms, is passed over: longer than the others need to know
  * that a daemon is dead, after which it is in no order. */
-#define UNANSWERED_MS 4000
+#define UNRESPONSIVE_AFTER_MS 4000
 /** It is asked again so long after that, in ms: a cut is over within some seconds. */
-#define ASKED_AGAIN_MS 30000
+#define SKIP_MS 30000
 
 /** What is known of one life. */
 typedef struct {
-    bool is_untelling;
+    bool has_refused_without_reason;
     uint64_t unanswered_since_ms; /**< 0: it answered the last question. */
 } decider_record;
 
@@ -33,44 +33,44 @@
 }
 
 /** What is known of a life; of too many all is forgotten, and found out anew. */
-static decider_record *record_of(hs_trial_deciders *deciders, uint64_t life) {
-    decider_record *record = g_hash_table_lookup(deciders->records, &life);
+static decider_record *get_or_create_record(hs_trial_deciders *deciders, uint64_t incarnation_hash) {
+    decider_record *record = g_hash_table_lookup(deciders->records, &incarnation_hash);
     if (record != NULL)
         return record;
-    if (g_hash_table_size(deciders->records) >= LIVES_MOST)
+    if (g_hash_table_size(deciders->records) >= MAX_RECORDS)
         g_hash_table_remove_all(deciders->records);
     record = g_new0(decider_record, 1);
     uint64_t *key = g_new(uint64_t, 1);
-    *key = life;
+    *key = incarnation_hash;
     g_hash_table_insert(deciders->records, key, record);
     return record;
 }
 
-bool hs_trial_deciders_passes_over(const hs_trial_deciders *deciders, uint64_t life,
+bool hs_trial_deciders_is_skipped(const hs_trial_deciders *deciders, uint64_t incarnation_hash,
                                    uint64_t now_ms) {
-    const decider_record *record = g_hash_table_lookup(deciders->records, &life);
+    const decider_record *record = g_hash_table_lookup(deciders->records, &incarnation_hash);
     if (record == NULL)
         return false;
-    bool is_silent = record->unanswered_since_ms != 0 &&
-                     now_ms >= record->unanswered_since_ms + UNANSWERED_MS &&
-                     now_ms < record->unanswered_since_ms + UNANSWERED_MS + ASKED_AGAIN_MS;
-    return record->is_untelling || is_silent;
+    bool is_unresponsive = record->unanswered_since_ms != 0 &&
+                     now_ms >= record->unanswered_since_ms + UNRESPONSIVE_AFTER_MS &&
+                     now_ms < record->unanswered_since_ms + UNRESPONSIVE_AFTER_MS + SKIP_MS;
+    return record->has_refused_without_reason || is_unresponsive;
 }
 
-void hs_trial_deciders_note_untelling(hs_trial_deciders *deciders, uint64_t life) {
-    record_of(deciders, life)->is_untelling = true;
+void hs_trial_deciders_note_no_reason(hs_trial_deciders *deciders, uint64_t incarnation_hash) {
+    get_or_create_record(deciders, incarnation_hash)->has_refused_without_reason = true;
 }
 
-void hs_trial_deciders_note_unanswered(hs_trial_deciders *deciders, uint64_t life,
+void hs_trial_deciders_note_unanswered(hs_trial_deciders *deciders, uint64_t incarnation_hash,
                                        uint64_t now_ms) {
-    decider_record *record = record_of(deciders, life);
+    decider_record *record = get_or_create_record(deciders, incarnation_hash);
     uint64_t since_ms = record->unanswered_since_ms;
-    if (since_ms == 0 || now_ms >= since_ms + UNANSWERED_MS + ASKED_AGAIN_MS)
+    if (since_ms == 0 || now_ms >= since_ms + UNRESPONSIVE_AFTER_MS + SKIP_MS)
         record->unanswered_since_ms = MAX(now_ms, 1);
 }
 
-void hs_trial_deciders_note_answered(hs_trial_deciders *deciders, uint64_t life) {
-    decider_record *record = g_hash_table_lookup(deciders->records, &life);
+void hs_trial_deciders_note_answered(hs_trial_deciders *deciders, uint64_t incarnation_hash) {
+    decider_record *record = g_hash_table_lookup(deciders->records, &incarnation_hash);
     if (record != NULL)
         record->unanswered_since_ms = 0;
 }
--- a/src/directory/trial_deciders.h
+++ b/src/directory/trial_deciders.h
@@ -19,14 +19,14 @@
 void hs_trial_deciders_free(hs_trial_deciders *deciders);
 
 /** Whether the daemon of this life (a hash of its id and incarnation) is passed over. */
-bool hs_trial_deciders_passes_over(const hs_trial_deciders *deciders, uint64_t life,
+bool hs_trial_deciders_is_skipped(const hs_trial_deciders *deciders, uint64_t incarnation_hash,
                                    uint64_t now_ms);
 
 /** It refused and did not tell why: it is of an earlier build. */
-void hs_trial_deciders_note_untelling(hs_trial_deciders *deciders, uint64_t life);
+void hs_trial_deciders_note_no_reason(hs_trial_deciders *deciders, uint64_t incarnation_hash);
 
 /** It did not answer, or it did. */
-void hs_trial_deciders_note_unanswered(hs_trial_deciders *deciders, uint64_t life, uint64_t now_ms);
-void hs_trial_deciders_note_answered(hs_trial_deciders *deciders, uint64_t life);
+void hs_trial_deciders_note_unanswered(hs_trial_deciders *deciders, uint64_t incarnation_hash, uint64_t now_ms);
+void hs_trial_deciders_note_answered(hs_trial_deciders *deciders, uint64_t incarnation_hash);
 
 #endif
--- a/src/fleet/crash_ledger.c
+++ b/src/fleet/crash_ledger.c
@@ -6,51 +6,51 @@
 #include <stdlib.h>
 
 /**
- * A run that was survived speaks for its content for so long, in ms: longer than callers take to
- * ask again for what is asked often, and short where engines change so that it crashes them.
+ * Time in ms after a completed run during which losses of its content are not counted. Longer than
+ * the interval between requests of a frequent content.
  */
-#define ACQUITTED_FOR_MS 30000
-/** A hold's first time in ms, doubled with each engine that is lost after it: a request that comes
- * all the time then costs an engine each two minutes at first, and one an hour in the end. */
-#define HOLD_FIRST_MS 120000
-/** The longest hold in ms: one engine an hour. Chosen, not measured. */
-#define HOLD_MOST_MS 3600000
-/** Losses are remembered for so long after the last one or the end of the hold, in ms: as long as a
- * caller that asks again now and then may pause. */
-#define REMEMBER_MS 600000
-/** A content that was lost with so many engines more explains the losses of another. */
-#define EXPLAINS_MORE 2
+#define ACQUITTAL_MS 30000
+/** Length of a first quarantine in ms. Each further engine that is lost doubles it. */
+#define INITIAL_QUARANTINE_MS 120000
+/** Upper bound of a quarantine in ms: a content that always comes again costs one engine an hour.
+ */
+#define MAX_QUARANTINE_MS 3600000
+/** Time in ms for which a content is remembered after its last loss, acquittal or quarantine. */
+#define RETENTION_MS 600000
+/** A content explains the losses of another one if it was lost with at least this many more
+ * engines.
+ */
+#define EXPLAINING_MARGIN_ENGINES 2
 /**
- * How much one loss speaks against its content: in full; or half where another content, which was
- * found to blame before, was lost with the same engine. Two causes that run together are then both
- * found, the second by a loss or two of its own; what runs beside three causes is not.
+ * Weight of a loss: half if another content that was lost with the same engine had been found to be
+ * the cause before, else full. Of two causes that run together, the second is thus still found, by
+ * one or two losses of its own, but a content that ran with three other causes is not quarantined.
  */
-#define WEIGHT_WHOLE 2U
-#define WEIGHT_BESIDE 1U
-/** HS_CRASHES_TO_HOLD losses, one of them beside another cause. */
-#define WEIGHT_TO_HOLD (HS_CRASHES_TO_HOLD * WEIGHT_WHOLE - WEIGHT_BESIDE)
-/** Contents that came to be suspected within so many ms were lost with one engine: neither was
- * found out before the other. Its runs are cut within some ms of each other. */
-#define ONE_MOMENT_MS 500
-/** Runs survived of late that are remembered, one a place: 64 kB. Of two contents in one place the
- * later counts. */
-#define SURVIVORS 4096
-
-/** One content. */
+#define FULL_WEIGHT 2U
+#define HALF_WEIGHT 1U
+/** The weight of HS_MIN_CRASHES_TO_QUARANTINE losses, one of them with half weight. */
+#define MIN_QUARANTINE_WEIGHT (HS_MIN_CRASHES_TO_QUARANTINE * FULL_WEIGHT - HALF_WEIGHT)
+/** Contents that became suspects within this time in ms are taken to have been lost with the same
+ * engine, so that neither was found before the other. */
+#define SIMULTANEOUS_MS 500
+/** Number of slots for recent acquittals (64 kB). The newer of two contents replaces the other in a
+ * slot that they share. */
+#define ACQUITTAL_SLOTS 4096
+
 typedef struct {
     hs_crash_evidence evidence;
-    hs_crash_hold hold; /**< Of the last judgement. */
-    uint64_t last_ms;   /**< Of the last loss. */
-} entry;
+    hs_crash_hold quarantine; /**< As of the last evaluation. */
+    uint64_t last_loss_ms;
+} content_record;
 
 typedef struct {
     uint64_t content;
-    uint64_t survived_ms; /**< 0: the place is free. */
-} survivor;
+    uint64_t survived_ms; /**< 0: the slot is free. */
+} acquittal;
 
 struct hs_crash_ledger {
-    GHashTable *by_content; /**< content -> entry* */
-    survivor survivors[SURVIVORS];
+    GHashTable *by_content; /**< content -> content_record* */
+    acquittal acquittals[ACQUITTAL_SLOTS];
 };
 
 hs_crash_ledger *hs_crash_ledger_new(void) {
@@ -64,160 +64,163 @@
     g_free(ledger);
 }
 
-static entry *find(const hs_crash_ledger *ledger, uint64_t content) {
+static content_record *find_record(const hs_crash_ledger *ledger, uint64_t content) {
     return g_hash_table_lookup(ledger->by_content, &content);
 }
 
-static survivor *place_of(hs_crash_ledger *ledger, uint64_t content) {
-    return &ledger->survivors[content % SURVIVORS];
+static acquittal *find_acquittal_slot(hs_crash_ledger *ledger, uint64_t content) {
+    return &ledger->acquittals[content % ACQUITTAL_SLOTS];
 }
 
-/** Whether a loss is not counted, since an engine survived the content shortly before or later. */
-static bool is_void(const entry *one, uint64_t lost_ms) {
-    return one->evidence.is_acquitted && lost_ms <= one->evidence.acquitted_ms + ACQUITTED_FOR_MS;
+/** Returns whether a loss is not counted, as a run completed shortly before or later. */
+static bool is_acquitted_loss(const content_record *record, uint64_t lost_ms) {
+    return record->evidence.is_acquitted && lost_ms <= record->evidence.acquitted_ms + ACQUITTAL_MS;
 }
 
-/** Engines that count. */
-static uint32_t lost_with(const entry *one) {
-    return one->evidence.engine_count;
+static uint32_t lost_engine_count(const content_record *record) {
+    return record->evidence.engine_count;
 }
 
-static void drop_void(entry *one) {
-    uint32_t kept = 0;
-    for (uint32_t index = 0; index < one->evidence.engine_count; index++)
-        if (!is_void(one, one->evidence.engines[index].lost_ms))
-            one->evidence.engines[kept++] = one->evidence.engines[index];
-    one->evidence.engine_count = kept;
+static void remove_acquitted_losses(content_record *record) {
+    uint32_t remaining = 0;
+    for (uint32_t index = 0; index < record->evidence.engine_count; index++)
+        if (!is_acquitted_loss(record, record->evidence.engines[index].lost_ms))
+            record->evidence.engines[remaining++] = record->evidence.engines[index];
+    record->evidence.engine_count = remaining;
 }
 
-static uint64_t remembered_until(const entry *one) {
-    uint64_t until_ms = MAX(one->last_ms, one->hold.until_ms);
-    if (one->evidence.is_acquitted)
-        until_ms = MAX(until_ms, one->evidence.acquitted_ms);
-    return until_ms + REMEMBER_MS;
+static uint64_t compute_expiry_ms(const content_record *record) {
+    uint64_t until_ms = MAX(record->last_loss_ms, record->quarantine.until_ms);
+    if (record->evidence.is_acquitted)
+        until_ms = MAX(until_ms, record->evidence.acquitted_ms);
+    return until_ms + RETENTION_MS;
 }
 
-/** Make room for one more: the content that was lost least often goes, of several the oldest. */
-static void make_room(hs_crash_ledger *ledger) {
-    if (g_hash_table_size(ledger->by_content) < HS_CRASH_CONTENTS_MOST)
+/** If the ledger is full, removes the content lost with the fewest engines, and of several the
+ * oldest. */
+static void evict_if_full(hs_crash_ledger *ledger) {
+    if (g_hash_table_size(ledger->by_content) < HS_MAX_CRASH_CONTENTS)
         return;
-    const entry *least = NULL;
+    const content_record *victim = NULL;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, ledger->by_content);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const entry *one = value;
-        if (least == NULL || lost_with(one) < lost_with(least) ||
-            (lost_with(one) == lost_with(least) && one->last_ms < least->last_ms))
-            least = one;
+        const content_record *record = value;
+        if (victim == NULL || lost_engine_count(record) < lost_engine_count(victim) ||
+            (lost_engine_count(record) == lost_engine_count(victim) &&
+             record->last_loss_ms < victim->last_loss_ms))
+            victim = record;
     }
-    g_hash_table_remove(ledger->by_content, &least->evidence.content);
-}
-
-static entry *entry_of(hs_crash_ledger *ledger, uint64_t content) {
-    entry *one = find(ledger, content);
-    if (one != NULL)
-        return one;
-    make_room(ledger);
-    one = g_new0(entry, 1);
-    one->evidence.content = content;
-    one->hold.content = content;
-    const survivor *place = place_of(ledger, content);
-    if (place->survived_ms != 0 && place->content == content) {
-        one->evidence.is_acquitted = true;
-        one->evidence.acquitted_ms = place->survived_ms;
+    g_hash_table_remove(ledger->by_content, &victim->evidence.content);
+}
+
+static content_record *get_or_create_record(hs_crash_ledger *ledger, uint64_t content) {
+    content_record *record = find_record(ledger, content);
+    if (record != NULL)
+        return record;
+    evict_if_full(ledger);
+    record = g_new0(content_record, 1);
+    record->evidence.content = content;
+    record->quarantine.content = content;
+    const acquittal *slot = find_acquittal_slot(ledger, content);
+    if (slot->survived_ms != 0 && slot->content == content) {
+        record->evidence.is_acquitted = true;
+        record->evidence.acquitted_ms = slot->survived_ms;
     }
-    g_hash_table_insert(ledger->by_content, &one->evidence.content, one);
-    return one;
+    g_hash_table_insert(ledger->by_content, &record->evidence.content, record);
+    return record;
 }
 
-static hs_crash_engine *find_engine(const entry *one, uint64_t engine) {
-    hs_crash_evidence *evidence = (hs_crash_evidence *)&one->evidence;
+static hs_crash_engine *find_engine(const content_record *record, uint64_t engine) {
+    hs_crash_evidence *evidence = (hs_crash_evidence *)&record->evidence;
     for (uint32_t index = 0; index < evidence->engine_count; index++)
         if (evidence->engines[index].engine == engine)
             return &evidence->engines[index];
     return NULL;
 }
 
-static bool has_engine(const entry *one, uint64_t engine) {
-    return find_engine(one, engine) != NULL;
+static bool has_engine(const content_record *record, uint64_t engine) {
+    return find_engine(record, engine) != NULL;
 }
 
-/** Add a loss; of too many the oldest goes. */
-static void add_engine(entry *one, const hs_crash_loss *loss) {
-    hs_crash_evidence *evidence = &one->evidence;
-    uint32_t place = evidence->engine_count;
-    if (place == HS_CRASH_ENGINES_MOST) {
-        place = 0;
+/** Adds a loss, in place of the oldest one if there are too many. */
+static void add_engine(content_record *record, const hs_crash_loss *loss) {
+    hs_crash_evidence *evidence = &record->evidence;
+    uint32_t slot = evidence->engine_count;
+    if (slot == HS_CRASH_ENGINES_MOST) {
+        slot = 0;
         for (uint32_t index = 1; index < HS_CRASH_ENGINES_MOST; index++)
-            if (evidence->engines[index].lost_ms < evidence->engines[place].lost_ms)
-                place = index;
+            if (evidence->engines[index].lost_ms < evidence->engines[slot].lost_ms)
+                slot = index;
     } else {
         evidence->engine_count++;
     }
-    evidence->engines[place] =
+    evidence->engines[slot] =
         (hs_crash_engine){.engine = loss->engine, .lost_ms = loss->lost_ms, .ran_ms = loss->ran_ms};
-    one->last_ms = MAX(one->last_ms, loss->lost_ms);
+    record->last_loss_ms = MAX(record->last_loss_ms, loss->lost_ms);
 }
 
-hs_loss_meaning hs_crash_ledger_lose(hs_crash_ledger *ledger, const hs_crash_loss *loss,
-                                     uint64_t now_ms) {
-    if (now_ms > loss->lost_ms + REMEMBER_MS + HOLD_MOST_MS)
-        return HS_LOSS_KNOWN;
-    entry *one = entry_of(ledger, loss->content);
-    if (is_void(one, loss->lost_ms)) {
-        one->last_ms = MAX(one->last_ms, loss->lost_ms);
+hs_loss_result hs_crash_ledger_lose(hs_crash_ledger *ledger, const hs_crash_loss *loss,
+                                    uint64_t now_ms) {
+    if (now_ms > loss->lost_ms + RETENTION_MS + MAX_QUARANTINE_MS)
+        return HS_LOSS_IGNORED;
+    content_record *record = get_or_create_record(ledger, loss->content);
+    if (is_acquitted_loss(record, loss->lost_ms)) {
+        record->last_loss_ms = MAX(record->last_loss_ms, loss->lost_ms);
         return HS_LOSS_ACQUITTED;
     }
-    hs_crash_engine *known = find_engine(one, loss->engine);
-    if (known != NULL) { /* Told by a daemon that does not know how long it ran. */
-        known->ran_ms = MAX(known->ran_ms, loss->ran_ms);
-        return HS_LOSS_KNOWN;
+    hs_crash_engine *existing = find_engine(record, loss->engine);
+    if (existing != NULL) { /* Not every daemon knows the duration. */
+        existing->ran_ms = MAX(existing->ran_ms, loss->ran_ms);
+        return HS_LOSS_IGNORED;
     }
-    add_engine(one, loss);
-    return HS_LOSS_NEWS;
+    add_engine(record, loss);
+    return HS_LOSS_RECORDED;
 }
 
 bool hs_crash_ledger_acquit(hs_crash_ledger *ledger, uint64_t content, uint64_t survived_ms) {
-    survivor *place = place_of(ledger, content);
-    if (place->content != content || place->survived_ms < survived_ms)
-        *place = (survivor){.content = content, .survived_ms = MAX(survived_ms, 1)};
-    entry *one = find(ledger, content);
-    if (one == NULL)
+    acquittal *slot = find_acquittal_slot(ledger, content);
+    if (slot->content != content || slot->survived_ms < survived_ms)
+        *slot = (acquittal){.content = content, .survived_ms = MAX(survived_ms, 1)};
+    content_record *record = find_record(ledger, content);
+    if (record == NULL)
         return false;
-    hs_crash_evidence *evidence = &one->evidence;
+    hs_crash_evidence *evidence = &record->evidence;
     if (evidence->is_acquitted && survived_ms <= evidence->acquitted_ms)
         return false;
     uint32_t before = evidence->engine_count;
     evidence->is_acquitted = true;
     evidence->acquitted_ms = survived_ms;
-    drop_void(one);
+    remove_acquitted_losses(record);
     return evidence->engine_count < before;
 }
 
-/** Engine -> the most engines that one content lost there was lost with. */
-static GHashTable *most_by_engine(const hs_crash_ledger *ledger) {
-    GHashTable *most = g_hash_table_new(g_int64_hash, g_int64_equal);
+/** Returns, for each engine, the largest number of engines that a content lost there was lost with.
+ */
+static GHashTable *compute_max_engines(const hs_crash_ledger *ledger) {
+    GHashTable *max_engines = g_hash_table_new(g_int64_hash, g_int64_equal);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, ledger->by_content);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        entry *one = value;
-        for (uint32_t index = 0; index < one->evidence.engine_count; index++) {
-            uint64_t *engine = &one->evidence.engines[index].engine;
-            guint known = GPOINTER_TO_UINT(g_hash_table_lookup(most, engine));
-            g_hash_table_insert(most, engine, GUINT_TO_POINTER(MAX(known, lost_with(one))));
+        content_record *record = value;
+        for (uint32_t index = 0; index < record->evidence.engine_count; index++) {
+            uint64_t *engine = &record->evidence.engines[index].engine;
+            guint existing = GPOINTER_TO_UINT(g_hash_table_lookup(max_engines, engine));
+            g_hash_table_insert(max_engines, engine,
+                                GUINT_TO_POINTER(MAX(existing, lost_engine_count(record))));
         }
     }
-    return most;
+    return max_engines;
 }
 
-static uint64_t hold_ms(uint32_t weight) {
-    uint32_t doublings = MIN((weight - WEIGHT_TO_HOLD) / WEIGHT_WHOLE, 8U);
-    return MIN((uint64_t)HOLD_FIRST_MS << doublings, HOLD_MOST_MS);
+static uint64_t compute_quarantine_ms(uint32_t weight) {
+    uint32_t doublings = MIN((weight - MIN_QUARANTINE_WEIGHT) / FULL_WEIGHT, 8U);
+    return MIN((uint64_t)INITIAL_QUARANTINE_MS << doublings, MAX_QUARANTINE_MS);
 }
 
-static gint by_time(gconstpointer left, gconstpointer right) {
+static gint compare_times(gconstpointer left, gconstpointer right) {
     const uint64_t first = *(const uint64_t *)left;
     const uint64_t second = *(const uint64_t *)right;
     return (first > second) - (first < second);
@@ -225,160 +228,166 @@
 
 uint64_t hs_crash_evidence_suspect_since_ms(const hs_crash_evidence *evidence) {
     uint64_t times[HS_CRASH_ENGINES_MOST];
-    if (evidence->engine_count < HS_CRASHES_TO_HOLD)
+    if (evidence->engine_count < HS_MIN_CRASHES_TO_QUARANTINE)
         return 0;
     for (uint32_t index = 0; index < evidence->engine_count; index++)
         times[index] = evidence->engines[index].lost_ms;
-    qsort(times, evidence->engine_count, sizeof *times, by_time);
-    return times[HS_CRASHES_TO_HOLD - 1];
+    qsort(times, evidence->engine_count, sizeof *times, compare_times);
+    return times[HS_MIN_CRASHES_TO_QUARANTINE - 1];
 }
 
-bool hs_crash_evidence_ran_on(const hs_crash_evidence *evidence) {
-    bool has_run_on = false;
-    for (uint32_t index = 0; index < evidence->engine_count && !has_run_on; index++)
-        has_run_on = evidence->engines[index].ran_ms >= HS_CRASH_RAN_ON_MS;
-    return has_run_on;
+bool hs_crash_evidence_has_long_run(const hs_crash_evidence *evidence) {
+    bool has_long_run = false;
+    for (uint32_t index = 0; index < evidence->engine_count && !has_long_run; index++)
+        has_long_run = evidence->engines[index].ran_ms >= HS_CRASH_LONG_RUN_MS;
+    return has_long_run;
 }
 
-/** A content that was lost with enough engines to be to blame. */
+/** A content with at least HS_MIN_CRASHES_TO_QUARANTINE losses. */
 typedef struct {
-    entry *one;
+    content_record *record;
     uint64_t since_ms; /**< See hs_crash_evidence_suspect_since_ms. */
-} suspect;
+} suspect_content;
 
-/** In the order in which they came to be suspected; of those at one time any, but always the same.
- */
-static gint by_suspicion(gconstpointer left, gconstpointer right) {
-    const suspect *first = left;
-    const suspect *second = right;
+/** Orders suspects by the time at which they became suspects, then by content, so that all daemons
+ * have the same order. */
+static gint compare_suspects(gconstpointer left, gconstpointer right) {
+    const suspect_content *first = left;
+    const suspect_content *second = right;
     if (first->since_ms != second->since_ms)
-        return by_time(&first->since_ms, &second->since_ms);
-    return by_time(&first->one->evidence.content, &second->one->evidence.content);
+        return compare_times(&first->since_ms, &second->since_ms);
+    return compare_times(&first->record->evidence.content, &second->record->evidence.content);
 }
 
-/** What is known of the engines that crashed. */
+/** Contents that explain the losses of others, by engine. */
 typedef struct {
-    GHashTable *most; /**< Engine -> the most engines that one content lost there was lost with. */
-    GHashTable *blamed; /**< Engine -> the suspect that was found to blame first: suspect*. */
+    GHashTable *max_engines; /**< See compute_max_engines. */
+    GHashTable *blamed; /**< Engine -> first suspect found to be the cause: suspect_content*. */
 } engine_causes;
 
-/** How much a loss speaks against its content. */
-static uint32_t weight_of(const engine_causes *causes, const suspect *of, const uint64_t *engine) {
-    guint most = GPOINTER_TO_UINT(g_hash_table_lookup(causes->most, engine));
-    const suspect *other = g_hash_table_lookup(causes->blamed, engine);
-    if (most >= lost_with(of->one) + EXPLAINS_MORE)
+static uint32_t compute_loss_weight(const engine_causes *causes, const suspect_content *suspect,
+                                    const uint64_t *engine) {
+    guint max_engines = GPOINTER_TO_UINT(g_hash_table_lookup(causes->max_engines, engine));
+    const suspect_content *other = g_hash_table_lookup(causes->blamed, engine);
+    if (max_engines >= lost_engine_count(suspect->record) + EXPLAINING_MARGIN_ENGINES)
         return 0;
-    bool was_known = other != NULL && other->since_ms + ONE_MOMENT_MS < of->since_ms;
-    return was_known ? WEIGHT_BESIDE : WEIGHT_WHOLE;
+    bool was_blamed_before = other != NULL && other->since_ms + SIMULTANEOUS_MS < suspect->since_ms;
+    return was_blamed_before ? HALF_WEIGHT : FULL_WEIGHT;
 }
 
-/** Judge one content; where it is to blame, so are its engines' other losses less from now on. */
-static hs_crash_hold judge(const engine_causes *causes, suspect *of, uint64_t now_ms) {
-    hs_crash_evidence *evidence = &of->one->evidence;
-    hs_crash_hold hold = {.content = evidence->content, .engines = evidence->engine_count};
-    uint32_t sum = 0;
+/** Evaluates one suspect. If it is found to be a cause, marks its engines, which lowers the weight
+ * of other contents' losses there. */
+static hs_crash_hold evaluate(const engine_causes *causes, suspect_content *suspect,
+                              uint64_t now_ms) {
+    hs_crash_evidence *evidence = &suspect->record->evidence;
+    hs_crash_hold quarantine = {.content = evidence->content, .engines = evidence->engine_count};
+    uint32_t total_weight = 0;
     for (uint32_t index = 0; index < evidence->engine_count; index++) {
-        uint32_t weight = weight_of(causes, of, &evidence->engines[index].engine);
-        hold.explained += weight < WEIGHT_WHOLE;
-        sum += weight;
+        uint32_t weight = compute_loss_weight(causes, suspect, &evidence->engines[index].engine);
+        quarantine.explained += weight < FULL_WEIGHT;
+        total_weight += weight;
     }
-    if (sum < WEIGHT_TO_HOLD)
-        return hold;
-    hold.until_ms = of->one->last_ms + hold_ms(sum);
-    hold.is_held = hold.until_ms > now_ms;
+    if (total_weight < MIN_QUARANTINE_WEIGHT)
+        return quarantine;
+    quarantine.until_ms = suspect->record->last_loss_ms + compute_quarantine_ms(total_weight);
+    quarantine.is_quarantined = quarantine.until_ms > now_ms;
     for (uint32_t index = 0; index < evidence->engine_count; index++)
         if (!g_hash_table_contains(causes->blamed, &evidence->engines[index].engine))
-            g_hash_table_insert(causes->blamed, &evidence->engines[index].engine, of);
-    return hold;
+            g_hash_table_insert(causes->blamed, &evidence->engines[index].engine, suspect);
+    return quarantine;
 }
 
-/** All that may be to blame, in their order: of suspect. The holds of the others end. */
-static GArray *find_suspects(hs_crash_ledger *ledger, GArray *changes) {
-    GArray *suspects = g_array_new(FALSE, FALSE, sizeof(suspect));
+/** Returns all suspects in order (of suspect_content) and ends the quarantine of other contents. */
+static GArray *collect_suspects(hs_crash_ledger *ledger, GArray *changes) {
+    GArray *suspects = g_array_new(FALSE, FALSE, sizeof(suspect_content));
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, ledger->by_content);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        entry *one = value;
-        if (lost_with(one) >= HS_CRASHES_TO_HOLD) {
-            suspect found = {.one = one,
-                             .since_ms = hs_crash_evidence_suspect_since_ms(&one->evidence)};
+        content_record *record = value;
+        if (lost_engine_count(record) >= HS_MIN_CRASHES_TO_QUARANTINE) {
+            suspect_content found = {.record = record,
+                                     .since_ms =
+                                         hs_crash_evidence_suspect_since_ms(&record->evidence)};
             g_array_append_val(suspects, found);
             continue;
         }
-        bool was_held = one->hold.is_held;
-        one->hold = (hs_crash_hold){.content = one->evidence.content, .engines = lost_with(one)};
-        if (was_held)
-            g_array_append_val(changes, one->hold);
+        bool was_quarantined = record->quarantine.is_quarantined;
+        record->quarantine = (hs_crash_hold){.content = record->evidence.content,
+                                             .engines = lost_engine_count(record)};
+        if (was_quarantined)
+            g_array_append_val(changes, record->quarantine);
     }
-    g_array_sort(suspects, by_suspicion);
+    g_array_sort(suspects, compare_suspects);
     return suspects;
 }
 
-static void forget_old(hs_crash_ledger *ledger, uint64_t now_ms) {
+static void remove_expired(hs_crash_ledger *ledger, uint64_t now_ms) {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, ledger->by_content);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
-        if (now_ms > remembered_until(value))
+        if (now_ms > compute_expiry_ms(value))
             g_hash_table_iter_remove(&iterator);
 }
 
 uint32_t hs_crash_ledger_judge(hs_crash_ledger *ledger, uint64_t now_ms, GArray *changes) {
-    uint32_t held = 0;
-    g_autoptr(GArray) suspects = find_suspects(ledger, changes);
-    g_autoptr(GHashTable) most = most_by_engine(ledger);
+    uint32_t quarantined_count = 0;
+    g_autoptr(GArray) suspects = collect_suspects(ledger, changes);
+    g_autoptr(GHashTable) max_engines = compute_max_engines(ledger);
     g_autoptr(GHashTable) blamed = g_hash_table_new(g_int64_hash, g_int64_equal);
-    engine_causes causes = {.most = most, .blamed = blamed};
+    engine_causes causes = {.max_engines = max_engines, .blamed = blamed};
     for (guint index = 0; index < suspects->len; index++) {
-        suspect *of = &g_array_index(suspects, suspect, index);
-        bool was_held = of->one->hold.is_held;
-        of->one->hold = judge(&causes, of, now_ms);
-        if (of->one->hold.is_held != was_held)
-            g_array_append_val(changes, of->one->hold);
-        held += of->one->hold.is_held;
+        suspect_content *suspect = &g_array_index(suspects, suspect_content, index);
+        bool was_quarantined = suspect->record->quarantine.is_quarantined;
+        suspect->record->quarantine = evaluate(&causes, suspect, now_ms);
+        if (suspect->record->quarantine.is_quarantined != was_quarantined)
+            g_array_append_val(changes, suspect->record->quarantine);
+        quarantined_count += suspect->record->quarantine.is_quarantined;
     }
-    forget_old(ledger, now_ms);
-    return held;
+    remove_expired(ledger, now_ms);
+    return quarantined_count;
 }
 
-bool hs_crash_ledger_is_held(const hs_crash_ledger *ledger, uint64_t content, uint64_t now_ms,
-                             hs_crash_hold *hold) {
-    const entry *one = find(ledger, content);
-    if (one == NULL || !one->hold.is_held || one->hold.until_ms <= now_ms)
+bool hs_crash_ledger_is_quarantined(const hs_crash_ledger *ledger, uint64_t content,
+                                    uint64_t now_ms, hs_crash_hold *quarantine) {
+    const content_record *record = find_record(ledger, content);
+    if (record == NULL || !record->quarantine.is_quarantined ||
+        record->quarantine.until_ms <= now_ms)
         return false;
-    *hold = one->hold;
+    *quarantine = record->quarantine;
     return true;
 }
 
-static uint32_t count_shared(const entry *one, const entry *other) {
+static uint32_t count_shared_engines(const content_record *record, const content_record *other) {
     uint32_t shared = 0;
-    for (uint32_t index = 0; index < one->evidence.engine_count; index++)
-        shared += has_engine(other, one->evidence.engines[index].engine);
+    for (uint32_t index = 0; index < record->evidence.engine_count; index++)
+        shared += has_engine(other, record->evidence.engines[index].engine);
     return shared;
 }
 
-bool hs_crash_ledger_has_rival(const hs_crash_ledger *ledger, uint64_t content) {
-    const entry *one = find(ledger, content);
+bool hs_crash_ledger_has_alternative_cause(const hs_crash_ledger *ledger, uint64_t content) {
+    const content_record *record = find_record(ledger, content);
     GHashTableIter iterator;
     gpointer value = NULL;
     bool is_found = false;
     g_hash_table_iter_init(&iterator, ledger->by_content);
-    while (one != NULL && !is_found && g_hash_table_iter_next(&iterator, NULL, &value))
-        is_found = value != one && lost_with(value) >= HS_CRASH_RIVAL_ENGINES &&
-                   count_shared(one, value) >= HS_CRASH_RIVAL_ENGINES;
+    while (record != NULL && !is_found && g_hash_table_iter_next(&iterator, NULL, &value))
+        is_found = value != record && lost_engine_count(value) >= HS_MIN_SHARED_CRASHES &&
+                   count_shared_engines(record, value) >= HS_MIN_SHARED_CRASHES;
     return is_found;
 }
 
-void hs_crash_ledger_holds(const hs_crash_ledger *ledger, uint64_t now_ms, GArray *holds) {
+void hs_crash_ledger_list_quarantined(const hs_crash_ledger *ledger, uint64_t now_ms,
+                                      GArray *quarantines) {
     GHashTableIter iterator;
     gpointer value = NULL;
-    hs_crash_hold hold;
+    hs_crash_hold quarantine;
     g_hash_table_iter_init(&iterator, ledger->by_content);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const entry *one = value;
-        if (hs_crash_ledger_is_held(ledger, one->evidence.content, now_ms, &hold))
-            g_array_append_val(holds, hold);
+        const content_record *record = value;
+        if (hs_crash_ledger_is_quarantined(ledger, record->evidence.content, now_ms, &quarantine))
+            g_array_append_val(quarantines, quarantine);
     }
 }
 
@@ -388,33 +397,33 @@
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, ledger->by_content);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const hs_crash_evidence *evidence = &((const entry *)value)->evidence;
+        const hs_crash_evidence *evidence = &((const content_record *)value)->evidence;
         for (uint32_t index = 0; evidence->engine_count > 1 && index < evidence->engine_count;
              index++) {
             uint64_t pair[2] = {evidence->content, evidence->engines[index].engine};
-            digest += hs_hash_bytes(pair, sizeof pair); /* A sum: their order does not matter. */
+            digest += hs_hash_bytes(pair, sizeof pair); /* The sum does not depend on the order. */
         }
     }
     return digest;
 }
 
-void hs_crash_ledger_list(const hs_crash_ledger *ledger, uint32_t least, GArray *evidence) {
+void hs_crash_ledger_list(const hs_crash_ledger *ledger, uint32_t min_engines, GArray *evidence) {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, ledger->by_content);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        const entry *one = value;
-        if (lost_with(one) >= least)
-            g_array_append_val(evidence, one->evidence);
+        const content_record *record = value;
+        if (lost_engine_count(record) >= min_engines)
+            g_array_append_val(evidence, record->evidence);
     }
 }
 
 bool hs_crash_ledger_find(const hs_crash_ledger *ledger, uint64_t content,
                           hs_crash_evidence *evidence) {
-    const entry *one = find(ledger, content);
-    if (one != NULL)
-        *evidence = one->evidence;
-    return one != NULL;
+    const content_record *record = find_record(ledger, content);
+    if (record != NULL)
+        *evidence = record->evidence;
+    return record != NULL;
 }
 
 uint32_t hs_crash_ledger_size(const hs_crash_ledger *ledger) {
--- a/src/fleet/crash_ledger.h
+++ b/src/fleet/crash_ledger.h
@@ -1,22 +1,26 @@
 /**
  * @file crash_ledger.h
- * Which requests were running when engines crashed, and which of them are to blame. Pure.
+ * Records which request contents were running on engines that crashed, and decides which contents
+ * to quarantine, that is, to send to no engine for some time.
  *
- * The engines' side tells nothing: a crash ends all that ran there, one of it may be the cause, or
- * none. So each loss is kept as a pair (content of the request, engine), and contents are judged
- * by them:
+ * An engine that crashes does not report which request caused it, so each loss is recorded as a
+ * pair (content, engine):
  *
- * - A content that was lost with HS_CRASHES_TO_HOLD engines in a row is held back: it is sent to
- *   no engine for a while, longer with each engine that is lost to it after that.
- * - A run that an engine survived acquits its content: no pair counts from before, nor from shortly
- *   after, since what is asked all the time runs at most engines that crash.
- * - A pair is explained, and not counted, where another content was lost with the same engine and
- *   with clearly more engines in all: what merely ran beside the cause is lost with fewer.
- * - A pair counts half where another content lost there had been found to blame before.
+ * - A content that is lost with HS_MIN_CRASHES_TO_QUARANTINE engines without a completed run in
+ *   between is quarantined. Each further loss doubles the quarantine.
+ * - A run that completes acquits its content: losses before that run, and for some time after it,
+ *   are not counted. This protects frequent contents, which run on most engines that crash.
+ * - A loss is explained by another content, and not counted, if that content was lost with the same
+ *   engine and with clearly more engines in total.
+ * - A loss counts half if another content that was lost with the same engine had been found to be
+ *   the cause before.
  *
- * Pairs and acquittals only add up, in any order and however often they are told, so that daemons
- * which know the same pairs judge alike. All is bounded, and forgotten some time after the last
- * loss. An engine is one incarnation: it crashes once.
+ * Losses and acquittals can be merged in any order and repeatedly, so daemons that know the same
+ * losses reach the same decisions. Memory is bounded, and records expire some time after the last
+ * loss. An engine stands for one incarnation of it, so each engine crashes at most once.
+ *
+ * The module does no I/O and reads no clock: times are passed in, in ms of the monotonic clock. A
+ * ledger is not thread-safe.
  */
 #ifndef HS_FLEET_CRASH_LEDGER_H
 #define HS_FLEET_CRASH_LEDGER_H
@@ -26,116 +30,130 @@
 #include <stdint.h>
 
 /**
- * Engines that a content is lost with before it is held back. Where a tenth of all runs are lost,
- * three in a row are chance for one in a thousand, two for one in a hundred.
+ * Number of engines with which a content is lost before it is quarantined. If a tenth of all runs
+ * are lost, one content in a thousand reaches three losses in a row by chance.
  */
-#define HS_CRASHES_TO_HOLD 3
-/** Contents that are remembered: some 300 kB. Beyond, those lost least often and longest ago go. */
-#define HS_CRASH_CONTENTS_MOST 1024
-/** Engines that are remembered of one content: its time is the longest with fewer. */
+#define HS_MIN_CRASHES_TO_QUARANTINE 3
+/** Maximum number of contents in the ledger (about 300 kB). A new content then replaces the one
+ * that was lost with the fewest engines. */
+#define HS_MAX_CRASH_CONTENTS 1024
+/** Maximum number of engines recorded for a content. The longest quarantine takes fewer. */
 #define HS_CRASH_ENGINES_MOST 10
 
-/** Content lost with an engine. Both as hashes. */
+/** The loss of a content's run with an engine that crashed. */
 typedef struct {
-    uint64_t content;
-    uint64_t engine;
-    uint64_t lost_ms; /**< When; monotonic. */
-    uint32_t ran_ms;  /**< See hs_crash_engine. */
+    uint64_t content; /**< Hash of the request content. */
+    uint64_t engine;  /**< Hash of the engine's incarnation. */
+    uint64_t lost_ms;
+    uint32_t ran_ms; /**< See hs_crash_engine. */
 } hs_crash_loss;
 
-/** One engine that a content was lost with. */
+/** An engine that crashed while it ran a content. */
 typedef struct {
     uint64_t engine;
     uint64_t lost_ms;
-    uint32_t ran_ms; /**< From the run's first event to its cut; 0: no event, or not known. */
+    uint32_t ran_ms; /**< From the run's first event to its cut; 0 if there was none or unknown. */
 } hs_crash_engine;
 
-/** All that is known of one content. */
+/** All that a ledger records on one content. */
 typedef struct {
     uint64_t content;
     bool is_acquitted;
-    uint64_t acquitted_ms; /**< When a run of it was last known to have been survived. */
+    uint64_t acquitted_ms; /**< When the last run that is known to have completed did so. */
     uint32_t engine_count;
     hs_crash_engine engines[HS_CRASH_ENGINES_MOST];
 } hs_crash_evidence;
 
-/** When a content was lost with so many engines that it may be to blame: with its
- * HS_CRASHES_TO_HOLDth; 0: it was not. */
+/**
+ * Returns when the content became a suspect, that is, the time of its
+ * HS_MIN_CRASHES_TO_QUARANTINE-th loss, or 0 if it has fewer losses.
+ */
 uint64_t hs_crash_evidence_suspect_since_ms(const hs_crash_evidence *evidence);
 
 /**
- * Whether one of its runs had gone on for HS_CRASH_RAN_ON_MS when it was cut: what cannot be run
- * ends its engine as it begins.
+ * Returns whether a lost run had gone on for HS_CRASH_LONG_RUN_MS or more, which suggests another
+ * cause: a content that crashes engines does so soon after its run starts.
  */
-bool hs_crash_evidence_ran_on(const hs_crash_evidence *evidence);
+bool hs_crash_evidence_has_long_run(const hs_crash_evidence *evidence);
 
-/** In ms: ten times what requests needed that did end their engines (60 to 110 ms, 47 engines). */
-#define HS_CRASH_RAN_ON_MS 1000
+/** Time in ms by which a content that crashes engines has done so, with a wide margin. */
+#define HS_CRASH_LONG_RUN_MS 1000
 
-/** How long a content is held back, and why. */
+/** Quarantine state of one content. */
 typedef struct {
     uint64_t content;
-    bool is_held;
-    uint64_t until_ms;
-    uint32_t engines;   /**< It was lost with. */
-    uint32_t explained; /**< Of them, by another content, in whole or half. */
+    bool is_quarantined;
+    uint64_t until_ms;  /**< 0 if the losses do not suffice for a quarantine. */
+    uint32_t engines;   /**< Number of engines with which the content was lost. */
+    uint32_t explained; /**< Number of these losses that count half or not at all. */
 } hs_crash_hold;
 
-/** What a loss that was told means. */
+/** Result of adding a loss to a ledger. */
 typedef enum {
-    HS_LOSS_KNOWN, /**< Nothing new, or too old. */
-    HS_LOSS_NEWS,
-    HS_LOSS_ACQUITTED, /**< Not counted: an engine survived the content of late. */
-} hs_loss_meaning;
+    HS_LOSS_IGNORED, /**< The loss is known already or too old. */
+    HS_LOSS_RECORDED,
+    HS_LOSS_ACQUITTED, /**< Not counted: a run of the content completed shortly before or later. */
+} hs_loss_result;
 
 typedef struct hs_crash_ledger hs_crash_ledger;
 
 hs_crash_ledger *hs_crash_ledger_new(void);
 void hs_crash_ledger_free(hs_crash_ledger *ledger);
 
-/** A content was lost with an engine that crashed. */
-hs_loss_meaning hs_crash_ledger_lose(hs_crash_ledger *ledger, const hs_crash_loss *loss,
-                                     uint64_t now_ms);
+/** Adds a loss. If the loss is known, keeps the longer of both values of ran_ms. */
+hs_loss_result hs_crash_ledger_lose(hs_crash_ledger *ledger, const hs_crash_loss *loss,
+                                    uint64_t now_ms);
 
-/** A run of the content was survived. True where that is news to a ledger with losses of it. */
+/**
+ * Notes that a run of the content completed at @p survived_ms. Returns whether this removed
+ * recorded losses of the content.
+ */
 bool hs_crash_ledger_acquit(hs_crash_ledger *ledger, uint64_t content, uint64_t survived_ms);
 
 /**
- * Judge all contents anew and forget what is old. Holds that began or ended since the last call
- * are appended to @p changes: of hs_crash_hold. Returns how many contents are held back.
+ * Decides anew which contents are quarantined and removes expired records. Appends the state of
+ * each content whose quarantine began or ended since the last call to @p changes (of
+ * hs_crash_hold). Returns the number of quarantined contents.
  */
 uint32_t hs_crash_ledger_judge(hs_crash_ledger *ledger, uint64_t now_ms, GArray *changes);
 
-/** Whether a content was held back at the last judgement, and is still. */
-bool hs_crash_ledger_is_held(const hs_crash_ledger *ledger, uint64_t content, uint64_t now_ms,
-                             hs_crash_hold *hold);
+/**
+ * Returns whether the content was quarantined at the last call of hs_crash_ledger_judge and the
+ * quarantine has not ended since. Fills @p quarantine in that case only.
+ */
+bool hs_crash_ledger_is_quarantined(const hs_crash_ledger *ledger, uint64_t content,
+                                    uint64_t now_ms, hs_crash_hold *quarantine);
 
 /**
- * Whether another content was lost with HS_CRASH_RIVAL_ENGINES of the engines that this one was
- * lost with: by the losses alone either may be to blame.
+ * Returns whether another content was lost with at least HS_MIN_SHARED_CRASHES of the engines with
+ * which this content was lost. By the losses alone, either may be the cause.
  */
-bool hs_crash_ledger_has_rival(const hs_crash_ledger *ledger, uint64_t content);
+bool hs_crash_ledger_has_alternative_cause(const hs_crash_ledger *ledger, uint64_t content);
 
-/** Engines that two contents were lost with together, so that one may have run beside the other. */
-#define HS_CRASH_RIVAL_ENGINES 2
+/** Number of engines that two contents must have been lost with together to be each other's
+ * alternative cause. */
+#define HS_MIN_SHARED_CRASHES 2
 
-/** All contents that are held back: of hs_crash_hold. */
-void hs_crash_ledger_holds(const hs_crash_ledger *ledger, uint64_t now_ms, GArray *holds);
+/** Appends the state of all quarantined contents to @p quarantines (of hs_crash_hold). */
+void hs_crash_ledger_list_quarantined(const hs_crash_ledger *ledger, uint64_t now_ms,
+                                      GArray *quarantines);
 
 /**
- * What daemons compare: equal where the same losses are known of each content that was lost more
- * than once. Single losses are left out: most are of what ran beside.
+ * Returns a digest of all losses of contents with two or more losses. Daemons compare digests to
+ * detect that one of them lacks losses. Contents with one loss are left out: most of them did not
+ * cause the crash.
  */
 uint64_t hs_crash_ledger_digest(const hs_crash_ledger *ledger);
 
-/** Evidence on contents that were lost with @p least engines or more: of hs_crash_evidence. */
-void hs_crash_ledger_list(const hs_crash_ledger *ledger, uint32_t least, GArray *evidence);
+/** Appends the evidence (hs_crash_evidence) on each content that was lost with @p min_engines
+ * engines or more. */
+void hs_crash_ledger_list(const hs_crash_ledger *ledger, uint32_t min_engines, GArray *evidence);
 
-/** Evidence on one content; false: there is none. */
+/** Copies the evidence on a content; returns false if the ledger has none. */
 bool hs_crash_ledger_find(const hs_crash_ledger *ledger, uint64_t content,
                           hs_crash_evidence *evidence);
 
-/** Contents that are remembered. */
+/** Returns the number of contents in the ledger. */
 uint32_t hs_crash_ledger_size(const hs_crash_ledger *ledger);
 
 #endif
--- a/src/fleet/crash_probe.c
+++ b/src/fleet/crash_probe.c
@@ -7,147 +7,147 @@
 #include "base/thread.h"
 #include "http/client_connection.h"
 
-/** Cut runs that wait to be looked into: all that a few engines ran; beyond, they say nothing. */
-#define WAITING_MOST 1024
-/** The looking thread's wait for the next one, in ms; a stop takes no longer. */
-#define TAKE_MS 100
-/** The same while an engine is watched: a crash is known to all so much later at most. */
-#define WATCHING_TAKE_MS 10
-/** Longest wait for an engine to take or refuse a connection, in ms: a hundred times the way. */
-#define PROBE_LIMIT_MS 300
+/** Capacity of the queue of cut runs: all runs of a few engines. */
+#define MAX_QUEUED_RUNS 1024
+/** The thread's wait for the next run, in ms. A stop takes no longer. */
+#define IDLE_POLL_MS 100
+/** The same while engines are being checked. It delays the detection of a crash by no more. */
+#define ACTIVE_POLL_MS 10
+/** Maximum wait for an engine to accept or refuse a connection, in ms. */
+#define PROBE_TIMEOUT_MS 300
 /**
- * An engine that keeps a new connection for so long, in ms, is there. A crash ends its connections
- * one after the other and its listener at some moment between: stand-ins that crashed still took a
- * connection right after the first cut, 228 times of 228, and ended it within 11 ms, 34 of 34.
+ * Time in ms for which an engine must keep a new connection open to be found running. A crashing
+ * process closes its connections one by one and its listener among them, so it may still accept a
+ * connection right after the first cut, but closes it within milliseconds.
  */
-#define SURVIVES_AFTER_MS 300
-/** Connections after the first one, where engines end them: of what refuses none it is said that it
- * survives. */
-#define CONNECTIONS_MOST 3
-/** Engines that are watched at one time; what is cut at more of them says nothing. */
-#define LOOKS_MOST 64
-/** An engine at which runs were cut, and that is being looked into. */
+#define MIN_OPEN_MS 300
+/** Maximum number of new connections after the engine closed one. An engine that accepts all of
+ * them is found running. */
+#define MAX_RECONNECTS 3
+/** Maximum number of engines checked at a time. Any further engine is taken to be running. */
+#define MAX_CHECKED_ENGINES 64
+
+/** A check of one engine under way. */
 typedef struct {
     hs_cut_run first;
-    GArray *runs;                     /**< of hs_cut_run: all of that engine, the first included. */
-    hs_client_connection *connection; /**< Open as long as it is not known whether it is there. */
-    uint32_t connections;             /**< Opened after the first one ended. */
-    uint64_t opened_ms;               /**< The first one. */
-} engine_look;
+    GArray *runs; /**< of hs_cut_run: all runs cut there, including the first. */
+    hs_client_connection *connection; /**< Open until the result is known. */
+    uint32_t reconnect_count;         /**< Connections after the first one. */
+    uint64_t opened_ms;               /**< When the first connection was opened. */
+} engine_check;
 
 struct hs_crash_probe {
-    hs_crash_teller_function tell;
+    hs_crash_probe_callback callback;
     void *user_data;
-    hs_ring *waiting; /**< of hs_cut_run* */
+    hs_ring *queue; /**< of hs_cut_run* */
     gint stopping;
-    gint crashes;       /**< Engines that were found crashed. */
-    GThread *thread;    /**< NULL: none was to be had. */
-    uint64_t last_gone; /**< Engine that was found crashed last; of the thread alone. */
+    gint crash_count;
+    GThread *thread;       /**< NULL if it could not be started. */
+    uint64_t last_crashed; /**< Last engine found crashed; used by the thread only. */
 };
 
-/** Connect to the engine; NULL: it refuses (@p is_gone) or does not answer. */
-static hs_client_connection *connect_to(const hs_cut_run *run, bool *is_gone) {
-    hs_wait wait = {.deadline = hs_clock_monotonic_ms() + PROBE_LIMIT_MS,
+/** Connects to the engine. Returns NULL if it refuses (sets @p is_crashed) or does not respond. */
+static hs_client_connection *connect_to(const hs_cut_run *run, bool *is_crashed) {
+    hs_wait wait = {.deadline = hs_clock_monotonic_ms() + PROBE_TIMEOUT_MS,
                     .watched = HS_WATCH_NOTHING};
     hs_step step = HS_STEP_PROGRESS;
     hs_client_connection *connection =
         hs_client_connection_open(run->address, run->port, &wait, &step);
-    *is_gone = connection == NULL && step == HS_STEP_CUT;
+    *is_crashed = connection == NULL && step == HS_STEP_CUT;
     return connection;
 }
 
-static engine_look *find_look(const GPtrArray *looks, uint64_t engine) {
-    for (guint index = 0; index < looks->len; index++)
-        if (((const engine_look *)looks->pdata[index])->first.engine == engine)
-            return looks->pdata[index];
+static engine_check *find_check(const GPtrArray *checks, uint64_t engine) {
+    for (guint index = 0; index < checks->len; index++)
+        if (((const engine_check *)checks->pdata[index])->first.engine == engine)
+            return checks->pdata[index];
     return NULL;
 }
 
-static void free_look(gpointer data) {
-    engine_look *look = data;
-    hs_client_connection_close(look->connection);
-    g_array_free(look->runs, TRUE);
-    g_free(look);
+static void free_check(gpointer data) {
+    engine_check *check = data;
+    hs_client_connection_close(check->connection);
+    g_array_free(check->runs, TRUE);
+    g_free(check);
 }
 
-/** What became of the engine is known. */
-static void conclude(hs_crash_probe *probe, const engine_look *look, bool is_gone) {
-    hs_log_info(is_gone ? "engine_crashed" : "engine_survives",
-                "engine=%s runs_cut=%u cut_ago_ms=%" G_GUINT64_FORMAT, look->first.engine_id,
-                look->runs->len, (guint64)(hs_clock_monotonic_ms() - look->first.cut_ms));
-    if (is_gone) {
-        probe->last_gone = look->first.engine;
-        g_atomic_int_inc(&probe->crashes);
+static void finish_check(hs_crash_probe *probe, const engine_check *check, bool is_crashed) {
+    hs_log_info(is_crashed ? "engine_crashed" : "engine_survives",
+                "engine=%s runs_cut=%u cut_ago_ms=%" G_GUINT64_FORMAT, check->first.engine_id,
+                check->runs->len, (guint64)(hs_clock_monotonic_ms() - check->first.cut_ms));
+    if (is_crashed) {
+        probe->last_crashed = check->first.engine;
+        g_atomic_int_inc(&probe->crash_count);
     }
-    probe->tell(look->runs, is_gone, probe->user_data);
+    probe->callback(check->runs, is_crashed, probe->user_data);
 }
 
-/** Go on looking; true when what became of the engine is known. */
-static bool go_on(hs_crash_probe *probe, engine_look *look) {
-    bool is_gone = false;
-    bool is_open = hs_client_connection_is_quiet(look->connection);
-    if (is_open && hs_clock_monotonic_ms() < look->opened_ms + SURVIVES_AFTER_MS)
+/** Advances a check by one step. Returns true when the result is known. */
+static bool advance_check(hs_crash_probe *probe, engine_check *check) {
+    bool is_crashed = false;
+    bool is_open = hs_client_connection_is_quiet(check->connection);
+    if (is_open && hs_clock_monotonic_ms() < check->opened_ms + MIN_OPEN_MS)
         return false;
-    if (!is_open && look->connections < CONNECTIONS_MOST) {
-        hs_client_connection_close(look->connection);
-        look->connection = connect_to(&look->first, &is_gone);
-        look->connections++;
-        if (look->connection != NULL)
+    if (!is_open && check->reconnect_count < MAX_RECONNECTS) {
+        hs_client_connection_close(check->connection);
+        check->connection = connect_to(&check->first, &is_crashed);
+        check->reconnect_count++;
+        if (check->connection != NULL)
             return false;
     }
-    conclude(probe, look, is_gone);
+    finish_check(probe, check, is_crashed);
     return true;
 }
 
-/** Look into a cut run: with those of the same engine, or by a new connection. */
-static void look_into(hs_crash_probe *probe, GPtrArray *looks, const hs_cut_run *run) {
-    engine_look *look = find_look(looks, run->engine);
-    if (look != NULL) {
-        g_array_append_val(look->runs, *run);
+/** Adds the run to the check of its engine, or starts one. */
+static void check_run(hs_crash_probe *probe, GPtrArray *checks, const hs_cut_run *run) {
+    engine_check *check = find_check(checks, run->engine);
+    if (check != NULL) {
+        g_array_append_val(check->runs, *run);
         return;
     }
-    look = g_new0(engine_look, 1);
-    look->first = *run;
-    look->runs = g_array_new(FALSE, FALSE, sizeof(hs_cut_run));
-    g_array_append_val(look->runs, *run);
-    look->opened_ms = hs_clock_monotonic_ms();
-    bool is_gone = false;
-    if (probe->last_gone == run->engine) {
-        probe->tell(look->runs, true, probe->user_data);
-        free_look(look);
+    check = g_new0(engine_check, 1);
+    check->first = *run;
+    check->runs = g_array_new(FALSE, FALSE, sizeof(hs_cut_run));
+    g_array_append_val(check->runs, *run);
+    check->opened_ms = hs_clock_monotonic_ms();
+    bool is_crashed = false;
+    if (probe->last_crashed == run->engine) {
+        probe->callback(check->runs, true, probe->user_data);
+        free_check(check);
         return;
     }
-    if (looks->len < LOOKS_MOST)
-        look->connection = connect_to(run, &is_gone);
-    if (look->connection != NULL) {
-        g_ptr_array_add(looks, look);
+    if (checks->len < MAX_CHECKED_ENGINES)
+        check->connection = connect_to(run, &is_crashed);
+    if (check->connection != NULL) {
+        g_ptr_array_add(checks, check);
         return;
     }
-    conclude(probe, look, is_gone);
-    free_look(look);
+    finish_check(probe, check, is_crashed);
+    free_check(check);
 }
 
-static gpointer look_into_cuts(gpointer data) {
+static gpointer check_engines(gpointer data) {
     hs_crash_probe *probe = data;
-    g_autoptr(GPtrArray) looks = g_ptr_array_new_with_free_func(free_look);
+    g_autoptr(GPtrArray) checks = g_ptr_array_new_with_free_func(free_check);
     while (g_atomic_int_get(&probe->stopping) == 0) {
         g_autofree hs_cut_run *run =
-            hs_ring_take(probe->waiting, looks->len > 0 ? WATCHING_TAKE_MS : TAKE_MS);
+            hs_ring_take(probe->queue, checks->len > 0 ? ACTIVE_POLL_MS : IDLE_POLL_MS);
         if (run != NULL)
-            look_into(probe, looks, run);
-        for (guint index = looks->len; index > 0; index--)
-            if (go_on(probe, looks->pdata[index - 1]))
-                g_ptr_array_remove_index_fast(looks, index - 1);
+            check_run(probe, checks, run);
+        for (guint index = checks->len; index > 0; index--)
+            if (advance_check(probe, checks->pdata[index - 1]))
+                g_ptr_array_remove_index_fast(checks, index - 1);
     }
     return NULL;
 }
 
-hs_crash_probe *hs_crash_probe_start(hs_crash_teller_function tell, void *user_data) {
+hs_crash_probe *hs_crash_probe_start(hs_crash_probe_callback callback, void *user_data) {
     hs_crash_probe *probe = g_new0(hs_crash_probe, 1);
-    probe->tell = tell;
+    probe->callback = callback;
     probe->user_data = user_data;
-    probe->waiting = hs_ring_new(WAITING_MOST);
-    probe->thread = hs_thread_try("crash-probe", look_into_cuts, probe);
+    probe->queue = hs_ring_new(MAX_QUEUED_RUNS);
+    probe->thread = hs_thread_try("crash-probe", check_engines, probe);
     return probe;
 }
 
@@ -155,22 +155,22 @@
     g_atomic_int_set(&probe->stopping, 1);
     if (probe->thread != NULL)
         g_thread_join(probe->thread);
-    for (void *run = hs_ring_take(probe->waiting, 0); run != NULL;
-         run = hs_ring_take(probe->waiting, 0))
+    for (void *run = hs_ring_take(probe->queue, 0); run != NULL;
+         run = hs_ring_take(probe->queue, 0))
         g_free(run);
-    hs_ring_free(probe->waiting);
+    hs_ring_free(probe->queue);
     g_free(probe);
 }
 
-uint32_t hs_crash_probe_crashes(hs_crash_probe *probe) {
-    return (uint32_t)g_atomic_int_get(&probe->crashes);
+uint32_t hs_crash_probe_crash_count(hs_crash_probe *probe) {
+    return (uint32_t)g_atomic_int_get(&probe->crash_count);
 }
 
-bool hs_crash_probe_put(hs_crash_probe *probe, const hs_cut_run *run) {
-    hs_cut_run *kept = g_new(hs_cut_run, 1);
-    *kept = *run;
-    bool is_put = hs_ring_put(probe->waiting, kept);
-    if (!is_put)
-        g_free(kept);
-    return is_put;
+bool hs_crash_probe_submit(hs_crash_probe *probe, const hs_cut_run *run) {
+    hs_cut_run *copy = g_new(hs_cut_run, 1);
+    *copy = *run;
+    bool is_queued = hs_ring_put(probe->queue, copy);
+    if (!is_queued)
+        g_free(copy);
+    return is_queued;
 }
--- a/src/fleet/crash_probe.h
+++ b/src/fleet/crash_probe.h
@@ -1,10 +1,10 @@
 /**
  * @file crash_probe.h
- * Tells a crashed engine from a cut answer.
+ * Finds out whether an engine crashed after a response from it was cut.
  *
- * A thread of its own asks each engine at which a run was cut whether it is still there: a
- * connection that is refused tells a crash within a millisecond, some two seconds before the
- * store's entry runs out.
+ * A thread connects to each engine that cut a run. A refused connection shows a crash within
+ * milliseconds, about two seconds before the engine's entry in the store expires. The functions are
+ * thread-safe.
  */
 #ifndef HS_FLEET_CRASH_PROBE_H
 #define HS_FLEET_CRASH_PROBE_H
@@ -15,32 +15,33 @@
 
 typedef struct hs_crash_probe hs_crash_probe;
 
-/** A run that was cut at an engine which, as far as is known, was not leaving. */
+/** A run whose response was cut by an engine that had not announced that it was leaving. */
 typedef struct {
     uint64_t content;
     uint64_t engine; /**< Hash of its id. */
     char engine_id[64];
-    uint32_t address; /**< IPv4 number in host order. */
+    uint32_t address; /**< IPv4 address in host byte order. */
     uint16_t port;
     uint64_t cut_ms;
     uint32_t ran_ms; /**< See hs_crash_engine. */
 } hs_cut_run;
 
 /**
- * Told, by the probe's thread, what became of an engine: @p runs, of hs_cut_run, were cut there.
- * Where it is gone, runs that were cut there later may be told in a further call.
+ * Receives the result for one engine, on the probe's thread. @p runs (of hs_cut_run) are the runs
+ * that were cut there. If the engine crashed, further calls may report runs that were cut later.
  */
-typedef void (*hs_crash_teller_function)(const GArray *runs, bool is_gone, void *user_data);
+typedef void (*hs_crash_probe_callback)(const GArray *runs, bool is_crashed, void *user_data);
 
-hs_crash_probe *hs_crash_probe_start(hs_crash_teller_function tell, void *user_data);
+/** Starts the probe's thread. Without a thread (none could be started) no engine is checked. */
+hs_crash_probe *hs_crash_probe_start(hs_crash_probe_callback callback, void *user_data);
 
-/** Stop the thread and free; what waits is not looked into. */
+/** Stops the thread and frees the probe. Runs still in the queue are dropped. */
 void hs_crash_probe_stop(hs_crash_probe *probe);
 
-/** Engines that were found crashed so far. */
-uint32_t hs_crash_probe_crashes(hs_crash_probe *probe);
+/** Returns the number of engines found crashed so far. */
+uint32_t hs_crash_probe_crash_count(hs_crash_probe *probe);
 
-/** Have a run looked into; never waits. False: there is no room. */
-bool hs_crash_probe_put(hs_crash_probe *probe, const hs_cut_run *run);
+/** Queues a copy of a run to be checked, without blocking. Returns false if the queue is full. */
+bool hs_crash_probe_submit(hs_crash_probe *probe, const hs_cut_run *run);
 
 #endif
--- a/src/fleet/crash_trials.h
+++ b/src/fleet/crash_trials.h
@@ -1,63 +1,72 @@
 /**
  * @file crash_trials.h
- * Which contents that are held back may run once more, to find out whether they are to blame. Pure.
+ * Decides which quarantined contents may have a trial run, which finds out whether they crash
+ * engines.
  *
- * A content that is held back is cleared by a run that an engine survives, and gets no run. So it
- * may be tried, after growing pauses, as long as few engines were lost to it:
+ * A completed run ends a quarantine, but a quarantined content gets no runs. So it may have trial
+ * runs, with delays between them and as long as few engines are lost to it, in these cases:
  *
- * - where another content was lost with the same engines: by the losses alone what merely ran
- *   beside the cause is as much to blame. One of them at a time runs without the others;
- * - where a run of it had gone on for long: what cannot be run ends its engine as it begins;
- * - where it is work that was accepted and has to end: nobody but this fleet brings it again, so
- *   that no other run can clear it. Where nothing speaks for it, after a longer pause.
+ * - Another content was lost with the same engines, so that either may be the cause. Such contents
+ *   run one at a time.
+ * - A run of it had gone on for long. A content that crashes engines does so soon after its run
+ *   starts.
+ * - It is accepted work, which this fleet must complete: no caller sends it again, so nothing else
+ *   can end its quarantine. Without one of the other reasons, the delays are longer.
  *
- * A request that comes again from its callers, and that nothing speaks for, is not tried.
+ * A content that only callers send and that has none of these reasons gets no trial run.
+ *
+ * The module does no I/O and reads no clock: times are passed in, in ms of the monotonic clock.
+ * Objects are not thread-safe.
  */
 #ifndef HS_FLEET_CRASH_TRIALS_H
 #define HS_FLEET_CRASH_TRIALS_H
 
 #include "fleet/crash_ledger.h"
 
-/** Trials of a content that comes from callers: each may cost an engine, and after the third that
- * is lost no more than three sends are allowed, also where two daemons grant at one time. */
-#define HS_TRIALS_MOST 2
+/** Maximum number of trial runs of a content that callers send. Each may cost an engine, and at
+ * most three runs are allowed after the quarantine began, even if two daemons grant one each at the
+ * same time. */
+#define HS_MAX_CALLER_TRIALS 2
 
-/** A content's claim to a trial. */
+/** A quarantined content for which a trial run is requested. */
 typedef struct {
     const hs_crash_evidence *evidence; /**< Borrowed. */
-    bool has_rival;                    /**< See hs_crash_ledger_has_rival. */
-    bool is_accepted;                  /**< It is work that was accepted and has to end. */
+    bool has_alternative_cause;        /**< See hs_crash_ledger_has_alternative_cause. */
+    bool is_accepted;                  /**< It is accepted work, which the fleet must complete. */
 } hs_trial_claim;
 
-/** What became of a claim to a trial. Daemons tell each other these numbers: new ones go last. */
+/** Result of a request for a trial run. Daemons send these values to each other: add new ones at
+ * the end. */
 typedef enum {
-    HS_TRIAL_UNTOLD,     /**< Refused by a daemon that does not tell why. */
-    HS_TRIAL_GRANTED,    /**< It may run once. */
-    HS_TRIAL_NO_GROUNDS, /**< Nothing speaks for it. */
-    HS_TRIAL_SPENT,      /**< It had its trials, or what they may cost was lost. */
-    HS_TRIAL_TOO_SOON,   /**< After its last loss or trial. */
-    HS_TRIAL_NOT_ALONE,  /**< Others that may be to blame are tried now. */
-    HS_TRIAL_NO_ROOM,    /**< Too many contents are remembered. */
-    HS_TRIAL_UNANSWERED, /**< The daemon that decides did not answer in time. */
-    HS_TRIAL_NOBODY,     /**< There is nobody to ask. */
-    HS_TRIAL_UNKNOWN,    /**< Refused, for a reason that this build does not know. */
+    HS_TRIAL_NO_REASON,      /**< Refused by a daemon whose version sends no reason. */
+    HS_TRIAL_GRANTED,        /**< The content may run once. */
+    HS_TRIAL_NO_GROUNDS,     /**< The content has no reason for a trial run. */
+    HS_TRIAL_EXHAUSTED,      /**< No trial runs are left, or too many engines were lost. */
+    HS_TRIAL_TOO_SOON,       /**< Too soon after the last loss or trial run. */
+    HS_TRIAL_OTHERS_RUNNING, /**< Other contents that may be the cause have their trial runs now. */
+    HS_TRIAL_TABLE_FULL,     /**< The decider remembers too many contents. */
+    HS_TRIAL_UNANSWERED,     /**< The decider did not answer in time. */
+    HS_TRIAL_NO_DECIDER,     /**< There is no daemon to send the request to. */
+    HS_TRIAL_UNKNOWN,        /**< Refused for a reason that this version does not know. */
 } hs_trial_verdict;
 
-/** Name of a verdict, for logs. */
+/** Returns the name of a verdict in logs. */
 const char *hs_trial_verdict_name(hs_trial_verdict verdict);
 
+/** Trial runs granted by this daemon. */
 typedef struct hs_crash_trials hs_crash_trials;
 
 hs_crash_trials *hs_crash_trials_new(void);
+
+/** Frees the object. NULL is allowed. */
 void hs_crash_trials_free(hs_crash_trials *trials);
 
-/** What can be said of a claim without knowing of other trials: GRANTED where nothing is against
- * it.
- */
-hs_trial_verdict hs_crash_trials_check(const hs_trial_claim *claim);
+/** Returns HS_TRIAL_GRANTED if nothing but other trial runs can stand against a trial run of the
+ * candidate, else the reason for refusing it. */
+hs_trial_verdict hs_crash_trials_check(const hs_trial_claim *candidate);
 
-/** Whether a content that is held back may run once now; it is noted that it does. */
-hs_trial_verdict hs_crash_trials_decide(hs_crash_trials *trials, const hs_trial_claim *claim,
+/** Decides whether the candidate may run once now, and records the trial run if so. */
+hs_trial_verdict hs_crash_trials_decide(hs_crash_trials *trials, const hs_trial_claim *candidate,
                                         uint64_t now_ms);
 
 #endif
--- a/src/fleet/crash_watch.h
+++ b/src/fleet/crash_watch.h
@@ -35,19 +35,19 @@
 void hs_crash_watch_note_survived(hs_crash_watch *watch, uint64_t content);
 
 /** Whether requests of this content are to be sent to no engine now. */
-bool hs_crash_watch_is_held(hs_crash_watch *watch, uint64_t content, hs_crash_hold *hold);
+bool hs_crash_watch_is_held(hs_crash_watch *watch, uint64_t content, hs_crash_hold *quarantine);
 
 /** A question for a trial, to whoever decides on it. */
 typedef struct {
     const hs_crash_evidence *evidence; /**< What the asking daemon knows. Borrowed. */
     bool is_accepted;                  /**< See hs_trial_claim. */
-} hs_trial_question;
+} hs_trial_query;
 
 /** Asks; may wait for another daemon's answer. */
-typedef hs_trial_verdict (*hs_trial_asker)(const hs_trial_question *question, void *user_data);
+typedef hs_trial_verdict (*hs_trial_query_function)(const hs_trial_query *query, void *user_data);
 
 /** Whom trials are asked of; NULL: nobody, and nothing is tried. Before the first request. */
-void hs_crash_watch_set_trial_asker(hs_crash_watch *watch, hs_trial_asker ask, void *user_data);
+void hs_crash_watch_set_trial_query(hs_crash_watch *watch, hs_trial_query_function query_trial, void *user_data);
 
 /**
  * Whether a content that is held back may run once now; see crash_trials.h. May wait for another
@@ -58,27 +58,27 @@
 
 /** Decide on a trial for all daemons; see crash_trials.h. What the asker knows is learned. */
 hs_trial_verdict hs_crash_watch_decide_trial(hs_crash_watch *watch,
-                                             const hs_trial_question *question, const char *asker);
+                                             const hs_trial_query *query, const char *requester);
 
 /** Who told of evidence. */
 typedef struct {
     const char *daemon;
-    bool is_passed_on; /**< Others may not have heard it: it is news to be told on. */
-} hs_crash_teller;
+    bool must_relay; /**< Others may not have heard it: it is news to be told on. */
+} hs_crash_evidence_source;
 
 /** Evidence that another daemon told. */
-void hs_crash_watch_learn(hs_crash_watch *watch, const hs_crash_evidence *evidence,
-                          const hs_crash_teller *teller);
+void hs_crash_watch_merge_evidence(hs_crash_watch *watch, const hs_crash_evidence *evidence,
+                          const hs_crash_evidence_source *source);
 
 /** Evidence that is news since the last call: of hs_crash_evidence. Free with g_array_free. */
-GArray *hs_crash_watch_take_news(hs_crash_watch *watch);
+GArray *hs_crash_watch_take_updates(hs_crash_watch *watch);
 
 /** Evidence on contents that were lost more than once: the @p most that were lost most. Likewise.
  */
-GArray *hs_crash_watch_list(hs_crash_watch *watch, guint most);
+GArray *hs_crash_watch_list(hs_crash_watch *watch, guint max_count);
 
 /** Evidence on contents that are held back now. Likewise. */
-GArray *hs_crash_watch_held(hs_crash_watch *watch);
+GArray *hs_crash_watch_list_quarantined(hs_crash_watch *watch);
 
 /** What daemons compare; see hs_crash_ledger_digest. */
 uint64_t hs_crash_watch_digest(hs_crash_watch *watch);
--- a/tests/unit/test_crashes.c
+++ b/tests/unit/test_crashes.c
@@ -36,7 +36,7 @@
     return (history){.ledger = hs_crash_ledger_new(), .now_ms = 1000 * SECOND_MS};
 }
 
-static hs_loss_meaning lose(history *past, uint64_t content, uint64_t engine) {
+static hs_loss_result lose(history *past, uint64_t content, uint64_t engine) {
     hs_crash_loss loss = {.content = content, .engine = engine, .lost_ms = past->now_ms};
     return hs_crash_ledger_lose(past->ledger, &loss, past->now_ms);
 }
@@ -46,10 +46,10 @@
     return hs_crash_ledger_judge(past->ledger, past->now_ms, changes);
 }
 
-static bool is_held(history *past, uint64_t content) {
+static bool is_quarantined(history *past, uint64_t content) {
     hs_crash_hold hold;
     judge(past);
-    return hs_crash_ledger_is_held(past->ledger, content, past->now_ms, &hold);
+    return hs_crash_ledger_is_quarantined(past->ledger, content, past->now_ms, &hold);
 }
 
 static void end(history *past) {
@@ -59,12 +59,12 @@
 static void the_third_engine_holds_a_content_back(void) {
     history past = begin();
     for (uint64_t engine = 1; engine <= 3; engine++) {
-        CU_ASSERT_FALSE(is_held(&past, CULPRIT));
-        CU_ASSERT_EQUAL(lose(&past, CULPRIT, engine), HS_LOSS_NEWS);
-        CU_ASSERT_EQUAL(lose(&past, CULPRIT, engine), HS_LOSS_KNOWN);
+        CU_ASSERT_FALSE(is_quarantined(&past, CULPRIT));
+        CU_ASSERT_EQUAL(lose(&past, CULPRIT, engine), HS_LOSS_RECORDED);
+        CU_ASSERT_EQUAL(lose(&past, CULPRIT, engine), HS_LOSS_IGNORED);
     }
-    CU_ASSERT_TRUE(is_held(&past, CULPRIT));
-    CU_ASSERT_FALSE(is_held(&past, POPULAR));
+    CU_ASSERT_TRUE(is_quarantined(&past, CULPRIT));
+    CU_ASSERT_FALSE(is_quarantined(&past, POPULAR));
     end(&past);
 }
 
@@ -74,13 +74,13 @@
     for (uint64_t engine = 1; engine <= 3; engine++)
         lose(&past, CULPRIT, engine);
     past.now_ms += HOLD_OVER_MS;
-    CU_ASSERT_FALSE(is_held(&past, CULPRIT));
+    CU_ASSERT_FALSE(is_quarantined(&past, CULPRIT));
     lose(&past, CULPRIT, 4);
-    CU_ASSERT_TRUE(is_held(&past, CULPRIT));
+    CU_ASSERT_TRUE(is_quarantined(&past, CULPRIT));
     past.now_ms += HOLD_OVER_MS;
-    CU_ASSERT_TRUE(is_held(&past, CULPRIT));
+    CU_ASSERT_TRUE(is_quarantined(&past, CULPRIT));
     past.now_ms += HOLD_OVER_MS;
-    CU_ASSERT_FALSE(is_held(&past, CULPRIT));
+    CU_ASSERT_FALSE(is_quarantined(&past, CULPRIT));
     end(&past);
 }
 
@@ -105,11 +105,11 @@
         past.now_ms += SECOND_MS;
         CU_ASSERT_EQUAL(lose(&past, POPULAR, engine), HS_LOSS_ACQUITTED);
     }
-    CU_ASSERT_FALSE(is_held(&past, POPULAR));
+    CU_ASSERT_FALSE(is_quarantined(&past, POPULAR));
     past.now_ms += ACQUITTAL_OVER_MS;
     for (uint64_t engine = 31; engine <= 33; engine++)
-        CU_ASSERT_EQUAL(lose(&past, POPULAR, engine), HS_LOSS_NEWS);
-    CU_ASSERT_TRUE(is_held(&past, POPULAR));
+        CU_ASSERT_EQUAL(lose(&past, POPULAR, engine), HS_LOSS_RECORDED);
+    CU_ASSERT_TRUE(is_quarantined(&past, POPULAR));
     end(&past);
 }
 
@@ -118,10 +118,10 @@
     history past = begin();
     for (uint64_t engine = 1; engine <= 3; engine++)
         lose(&past, POPULAR, engine);
-    CU_ASSERT_TRUE(is_held(&past, POPULAR));
+    CU_ASSERT_TRUE(is_quarantined(&past, POPULAR));
     past.now_ms += SECOND_MS;
     CU_ASSERT_TRUE(hs_crash_ledger_acquit(past.ledger, POPULAR, past.now_ms));
-    CU_ASSERT_FALSE(is_held(&past, POPULAR));
+    CU_ASSERT_FALSE(is_quarantined(&past, POPULAR));
     CU_ASSERT_FALSE(hs_crash_ledger_acquit(past.ledger, POPULAR, past.now_ms));
     end(&past);
 }
@@ -134,10 +134,10 @@
         lose(&past, POPULAR, engine);
     }
     lose(&past, CULPRIT, 4);
-    CU_ASSERT_TRUE(is_held(&past, POPULAR));
+    CU_ASSERT_TRUE(is_quarantined(&past, POPULAR));
     lose(&past, CULPRIT, 5);
-    CU_ASSERT_FALSE(is_held(&past, POPULAR));
-    CU_ASSERT_TRUE(is_held(&past, CULPRIT));
+    CU_ASSERT_FALSE(is_quarantined(&past, POPULAR));
+    CU_ASSERT_TRUE(is_quarantined(&past, CULPRIT));
     end(&past);
 }
 
@@ -154,8 +154,8 @@
             lose(&past, cause, engine++);
         }
         lose(&past, POPULAR, engine - 1);
-        CU_ASSERT_TRUE(is_held(&past, cause));
-        CU_ASSERT_FALSE(is_held(&past, POPULAR));
+        CU_ASSERT_TRUE(is_quarantined(&past, cause));
+        CU_ASSERT_FALSE(is_quarantined(&past, POPULAR));
     }
     end(&past);
 }
@@ -167,10 +167,10 @@
         lose(&past, CULPRIT, engine);
     for (uint64_t engine = 3; engine <= 5; engine++)
         lose(&past, POPULAR, engine);
-    CU_ASSERT_FALSE(is_held(&past, POPULAR));
+    CU_ASSERT_FALSE(is_quarantined(&past, POPULAR));
     lose(&past, POPULAR, 6);
-    CU_ASSERT_TRUE(is_held(&past, POPULAR));
-    CU_ASSERT_TRUE(is_held(&past, CULPRIT));
+    CU_ASSERT_TRUE(is_quarantined(&past, POPULAR));
+    CU_ASSERT_TRUE(is_quarantined(&past, CULPRIT));
     end(&past);
 }
 
@@ -179,12 +179,12 @@
     history past = begin();
     for (uint64_t engine = 1; engine <= 40; engine++)
         lose(&past, CULPRIT, engine);
-    for (uint64_t content = 100; content < 100 + 10 * HS_CRASH_CONTENTS_MOST; content++) {
+    for (uint64_t content = 100; content < 100 + 10 * HS_MAX_CRASH_CONTENTS; content++) {
         past.now_ms++;
         lose(&past, content, content % 50);
     }
-    CU_ASSERT(hs_crash_ledger_size(past.ledger) <= HS_CRASH_CONTENTS_MOST);
-    CU_ASSERT_TRUE(is_held(&past, CULPRIT));
+    CU_ASSERT(hs_crash_ledger_size(past.ledger) <= HS_MAX_CRASH_CONTENTS);
+    CU_ASSERT_TRUE(is_quarantined(&past, CULPRIT));
     hs_crash_evidence evidence;
     CU_ASSERT_TRUE(hs_crash_ledger_find(past.ledger, CULPRIT, &evidence));
     CU_ASSERT_EQUAL(evidence.engine_count, HS_CRASH_ENGINES_MOST);
@@ -228,7 +228,7 @@
         CU_ASSERT_EQUAL(hs_crash_ledger_digest(first.ledger),
                         hs_crash_ledger_digest(second.ledger));
         for (uint64_t content = 1; content < 6; content++)
-            CU_ASSERT_EQUAL(is_held(&first, content), is_held(&second, content));
+            CU_ASSERT_EQUAL(is_quarantined(&first, content), is_quarantined(&second, content));
         end(&first);
         end(&second);
     }
@@ -279,11 +279,11 @@
 static hs_trial_verdict decide(hs_crash_trials *trials, const hs_crash_evidence *evidence,
                                uint64_t now_ms) {
     return hs_crash_trials_decide(
-        trials, &(hs_trial_claim){.evidence = evidence, .has_rival = true}, now_ms);
+        trials, &(hs_trial_claim){.evidence = evidence, .has_alternative_cause = true}, now_ms);
 }
 
 static bool may_follow(const hs_crash_evidence *evidence) {
-    return hs_crash_trials_check(&(hs_trial_claim){.evidence = evidence, .has_rival = true}) ==
+    return hs_crash_trials_check(&(hs_trial_claim){.evidence = evidence, .has_alternative_cause = true}) ==
            HS_TRIAL_GRANTED;
 }
 
@@ -332,7 +332,7 @@
     lost.engines[lost.engine_count++] = (hs_crash_engine){.engine = 8, .lost_ms = 18100};
     CU_ASSERT_EQUAL(decide_item(trials, &lost, now_ms + 8000), HS_TRIAL_GRANTED);
     lost.engines[lost.engine_count++] = (hs_crash_engine){.engine = 9, .lost_ms = 26100};
-    CU_ASSERT_EQUAL(decide_item(trials, &lost, now_ms + 60000), HS_TRIAL_SPENT);
+    CU_ASSERT_EQUAL(decide_item(trials, &lost, now_ms + 60000), HS_TRIAL_EXHAUSTED);
     hs_crash_trials_free(trials);
 }
 
@@ -340,16 +340,16 @@
 static void what_had_run_on_is_tried_soon(void) {
     hs_crash_trials *trials = hs_crash_trials_new();
     hs_crash_evidence lost = evidence_of(1, 3, 10000);
-    lost.engines[1].ran_ms = HS_CRASH_RAN_ON_MS - 1;
+    lost.engines[1].ran_ms = HS_CRASH_LONG_RUN_MS - 1;
     CU_ASSERT_EQUAL(decide_item(trials, &lost, 10400), HS_TRIAL_TOO_SOON);
-    lost.engines[1].ran_ms = HS_CRASH_RAN_ON_MS;
+    lost.engines[1].ran_ms = HS_CRASH_LONG_RUN_MS;
     CU_ASSERT_EQUAL(decide_item(trials, &lost, 10400), HS_TRIAL_GRANTED);
     CU_ASSERT_EQUAL(decide_item(trials, &lost, 12300), HS_TRIAL_TOO_SOON);
     CU_ASSERT_EQUAL(decide_item(trials, &lost, 12400), HS_TRIAL_GRANTED);
     CU_ASSERT_EQUAL(decide_item(trials, &lost, 16300), HS_TRIAL_TOO_SOON);
     CU_ASSERT_EQUAL(decide_item(trials, &lost, 16400), HS_TRIAL_GRANTED);
     hs_crash_evidence other = evidence_of(2, 3, 10000);
-    other.engines[0].ran_ms = HS_CRASH_RAN_ON_MS;
+    other.engines[0].ran_ms = HS_CRASH_LONG_RUN_MS;
     hs_trial_claim of_callers = {.evidence = &other};
     CU_ASSERT_EQUAL(hs_crash_trials_decide(trials, &of_callers, 10400), HS_TRIAL_GRANTED);
     hs_crash_trials_free(trials);
@@ -365,7 +365,7 @@
         uint32_t at_once = 0;
         for (uint64_t item = 0; item < IN_DOUBT; item++) {
             hs_crash_evidence lost = evidence_of(item + 1, 3, 10000);
-            hs_trial_claim claim = {.evidence = &lost, .has_rival = true, .is_accepted = true};
+            hs_trial_claim claim = {.evidence = &lost, .has_alternative_cause = true, .is_accepted = true};
             if (is_tried[item] ||
                 hs_crash_trials_decide(trials, &claim, now_ms) != HS_TRIAL_GRANTED)
                 continue;
@@ -384,14 +384,14 @@
     hs_crash_ledger *ledger = hs_crash_ledger_new();
     hs_crash_evidence known;
     hs_crash_loss loss = {.content = 1, .engine = 1, .lost_ms = 10000};
-    CU_ASSERT_EQUAL(hs_crash_ledger_lose(ledger, &loss, 10000), HS_LOSS_NEWS);
+    CU_ASSERT_EQUAL(hs_crash_ledger_lose(ledger, &loss, 10000), HS_LOSS_RECORDED);
     uint64_t digest = hs_crash_ledger_digest(ledger);
-    loss.ran_ms = HS_CRASH_RAN_ON_MS;
-    CU_ASSERT_EQUAL(hs_crash_ledger_lose(ledger, &loss, 10000), HS_LOSS_KNOWN);
+    loss.ran_ms = HS_CRASH_LONG_RUN_MS;
+    CU_ASSERT_EQUAL(hs_crash_ledger_lose(ledger, &loss, 10000), HS_LOSS_IGNORED);
     loss.ran_ms = 0;
-    CU_ASSERT_EQUAL(hs_crash_ledger_lose(ledger, &loss, 10000), HS_LOSS_KNOWN);
+    CU_ASSERT_EQUAL(hs_crash_ledger_lose(ledger, &loss, 10000), HS_LOSS_IGNORED);
     CU_ASSERT_TRUE(hs_crash_ledger_find(ledger, 1, &known));
-    CU_ASSERT_EQUAL(known.engines[0].ran_ms, HS_CRASH_RAN_ON_MS);
+    CU_ASSERT_EQUAL(known.engines[0].ran_ms, HS_CRASH_LONG_RUN_MS);
     CU_ASSERT_EQUAL(hs_crash_ledger_digest(ledger), digest);
     hs_crash_ledger_free(ledger);
 }
@@ -399,22 +399,22 @@
 /** Who decides is passed over where it cannot, and asked again where it may be able to. */
 static void accepted_work_waits_for_no_one_decider(void) {
     hs_trial_deciders *deciders = hs_trial_deciders_new();
-    CU_ASSERT_FALSE(hs_trial_deciders_passes_over(deciders, 1, 1000));
-    hs_trial_deciders_note_untelling(deciders, 1);
-    CU_ASSERT_TRUE(hs_trial_deciders_passes_over(deciders, 1, 1000));
-    CU_ASSERT_FALSE(hs_trial_deciders_passes_over(deciders, 2, 1000));
+    CU_ASSERT_FALSE(hs_trial_deciders_is_skipped(deciders, 1, 1000));
+    hs_trial_deciders_note_no_reason(deciders, 1);
+    CU_ASSERT_TRUE(hs_trial_deciders_is_skipped(deciders, 1, 1000));
+    CU_ASSERT_FALSE(hs_trial_deciders_is_skipped(deciders, 2, 1000));
     hs_trial_deciders_note_unanswered(deciders, 2, 1000);
     hs_trial_deciders_note_unanswered(deciders, 2, 3000);
-    CU_ASSERT_FALSE(hs_trial_deciders_passes_over(deciders, 2, 4900));
-    CU_ASSERT_TRUE(hs_trial_deciders_passes_over(deciders, 2, 5000));
+    CU_ASSERT_FALSE(hs_trial_deciders_is_skipped(deciders, 2, 4900));
+    CU_ASSERT_TRUE(hs_trial_deciders_is_skipped(deciders, 2, 5000));
     hs_trial_deciders_note_answered(deciders, 2);
-    CU_ASSERT_FALSE(hs_trial_deciders_passes_over(deciders, 2, 5000));
+    CU_ASSERT_FALSE(hs_trial_deciders_is_skipped(deciders, 2, 5000));
     hs_trial_deciders_note_unanswered(deciders, 3, 1000);
-    CU_ASSERT_TRUE(hs_trial_deciders_passes_over(deciders, 3, 34900));
-    CU_ASSERT_FALSE(hs_trial_deciders_passes_over(deciders, 3, 35000));
+    CU_ASSERT_TRUE(hs_trial_deciders_is_skipped(deciders, 3, 34900));
+    CU_ASSERT_FALSE(hs_trial_deciders_is_skipped(deciders, 3, 35000));
     hs_trial_deciders_note_unanswered(deciders, 3, 35000);
-    CU_ASSERT_FALSE(hs_trial_deciders_passes_over(deciders, 3, 38900));
-    CU_ASSERT_TRUE(hs_trial_deciders_passes_over(deciders, 3, 39000));
+    CU_ASSERT_FALSE(hs_trial_deciders_is_skipped(deciders, 3, 38900));
+    CU_ASSERT_TRUE(hs_trial_deciders_is_skipped(deciders, 3, 39000));
     hs_trial_deciders_free(deciders);
 }
 
@@ -429,12 +429,12 @@
         if (engine > 1)
             hs_crash_ledger_lose(ledger, &beside, 4000);
         hs_crash_ledger_lose(ledger, &fresh, 4000);
-        CU_ASSERT_EQUAL(hs_crash_ledger_has_rival(ledger, 1), engine == 3);
+        CU_ASSERT_EQUAL(hs_crash_ledger_has_alternative_cause(ledger, 1), engine == 3);
     }
-    CU_ASSERT_TRUE(hs_crash_ledger_has_rival(ledger, 2));
-    CU_ASSERT_FALSE(hs_crash_ledger_has_rival(ledger, 11));
+    CU_ASSERT_TRUE(hs_crash_ledger_has_alternative_cause(ledger, 2));
+    CU_ASSERT_FALSE(hs_crash_ledger_has_alternative_cause(ledger, 11));
     hs_crash_ledger_acquit(ledger, 2, 5000);
-    CU_ASSERT_FALSE(hs_crash_ledger_has_rival(ledger, 1));
+    CU_ASSERT_FALSE(hs_crash_ledger_has_alternative_cause(ledger, 1));
     hs_crash_ledger_free(ledger);
 }
 
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -110,9 +110,9 @@
     if (message == NULL)
         return;
     hs_crash_evidence evidence = hs_crash_codec_read(message, G_GUINT64_CONSTANT(1000000));
-    CU_ASSERT(evidence.engine_count >= HS_CRASHES_TO_HOLD);
+    CU_ASSERT(evidence.engine_count >= HS_MIN_CRASHES_TO_QUARANTINE);
     CU_ASSERT(hs_crash_evidence_suspect_since_ms(&evidence) > 0);
-    CU_ASSERT_FALSE(hs_crash_evidence_ran_on(&evidence)); /* It did not tell. */
+    CU_ASSERT_FALSE(hs_crash_evidence_has_long_run(&evidence)); /* It did not tell. */
     hs__crash_evidence__free_unpacked(message, NULL);
 }
 
