--- a/src/fleet/crash_watch.c
+++ b/src/fleet/crash_watch.c
@@ -4,41 +4,41 @@
 #include "base/clock.h"
 #include "base/log.h"
 
-/** Contents that are named in the metrics, at most. */
+/** Maximum number of quarantined contents listed in the metrics. */
 #define MAX_LISTED_CONTENTS 16
 
 struct hs_crash_watch {
-    GMutex lock; /**< Of all below but the probe. */
+    GMutex lock; /**< Guards all members below except the probe. */
     hs_crash_ledger *ledger;
-    GArray *updated_contents; /**< of uint64_t, each once. */
-    uint32_t quarantined_count;         /**< Contents held back at the last judgement. */
-    uint64_t cut_count;          /**< Runs that were cut. */
-    uint64_t lost_count;         /**< Those of them whose engine crashed. */
-    uint64_t unprobed_count;     /**< Those that there was no room for. */
-    GArray *answered_runs;      /**< of hs_cut_run: engines answered after these were cut, of late. */
-    GArray *crashed_engines;       /**< of crashed_engine: known by their entries, of late. */
+    GArray *updated_contents;   /**< of uint64_t, without duplicates. */
+    uint32_t quarantined_count; /**< As of the last evaluation. */
+    uint64_t cut_count;
+    uint64_t lost_count;     /**< Cut runs whose engine crashed. */
+    uint64_t unprobed_count; /**< Cut runs for which the probe's queue was full. */
+    GArray *answered_runs;   /**< of hs_cut_run: recent cut runs whose engine was found running. */
+    GArray *crashed_engines; /**< of crashed_engine: recent crashes that entries showed. */
     hs_crash_trials *trials;
-    hs_trial_query_function query_trial; /**< NULL: nothing is tried. */
+    hs_trial_query_function query_trial; /**< NULL: no trial runs are granted. */
     void *query_data;
     hs_crash_probe *probe;
 };
 
 /**
- * An engine's entry tells its new start within a beat (1.2 s) and a round of reading the store
- * (1 s), and runs out 0.7 to 2.9 s after its end (47 engines): for so long, in ms, an engine that
- * answered may turn out to have crashed.
+ * Time in ms in which an engine that the probe found running may still turn out to have crashed.
+ * Its entry shows a restart within a heartbeat (1.2 s) and a read of the store (1 s), and expires
+ * within three seconds of the engine's end.
  */
 #define CRASH_DETECTION_MS 4500
-/** Runs and engines that are remembered for it, at most: all that some engines ran. */
-#define MAX_REMEMBERED 512
+/** Maximum number of runs, and of engines, remembered for that time. */
+#define MAX_RECENT 512
 
-/** An engine whose entry tells that it had crashed. */
+/** An engine that crashed by its entry in the store. */
 typedef struct {
     uint64_t engine;
     uint64_t detected_ms;
 } crashed_engine;
 
-/** The caller holds the lock, as for all below that take no lock themselves. */
+/** The caller holds the lock, as for all functions below that do not take it themselves. */
 static void add_update(hs_crash_watch *watch, uint64_t content) {
     for (guint index = 0; index < watch->updated_contents->len; index++)
         if (g_array_index(watch->updated_contents, uint64_t, index) == content)
@@ -69,9 +69,8 @@
 }
 
 /**
- * Judge where the content may be held back by now; all others' holds are looked at again each
- * second. To judge a full ledger of 1,024 contents takes 0.25 ms, and most losses are of what ran
- * beside.
+ * Evaluates the ledger only if the given content's quarantine may change. Most losses are of
+ * contents that are no suspects, and hs_crash_watch_refresh evaluates all others.
  */
 static void evaluate_content(hs_crash_watch *watch, uint64_t content) {
     hs_crash_evidence evidence;
@@ -80,7 +79,6 @@
         evaluate(watch);
 }
 
-/** A run was lost with its engine. */
 static void record_lost_run(hs_crash_watch *watch, const hs_cut_run *run) {
     hs_crash_loss loss = {.content = run->content,
                           .engine = run->engine,
@@ -102,7 +100,7 @@
                 result == HS_LOSS_ACQUITTED);
 }
 
-/** Whether the engine's entry told that it had crashed. The caller holds the lock. */
+/** Returns whether the engine's entry showed that it crashed. */
 static bool has_crashed(const hs_crash_watch *watch, uint64_t engine) {
     for (guint index = 0; index < watch->crashed_engines->len; index++)
         if (g_array_index(watch->crashed_engines, crashed_engine, index).engine == engine)
@@ -110,22 +108,22 @@
     return false;
 }
 
-/** Keep a run whose engine answered: it may be a later start that did. Oldest ones go. */
+/** Remembers a run whose engine was found running: the engine may have restarted in between. */
 static void remember_answered_run(hs_crash_watch *watch, const hs_cut_run *run) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     GArray *answered_runs = watch->answered_runs;
     guint expired_count = 0;
     while (expired_count < answered_runs->len &&
-           g_array_index(answered_runs, hs_cut_run, expired_count).cut_ms + CRASH_DETECTION_MS < now_ms)
+           g_array_index(answered_runs, hs_cut_run, expired_count).cut_ms + CRASH_DETECTION_MS <
+               now_ms)
         expired_count++;
-    if (expired_count == 0 && answered_runs->len == MAX_REMEMBERED)
+    if (expired_count == 0 && answered_runs->len == MAX_RECENT)
         expired_count = 1;
     if (expired_count > 0)
         g_array_remove_range(answered_runs, 0, expired_count);
     g_array_append_val(answered_runs, *run);
 }
 
-/** What became of an engine at which runs were cut. */
 static void handle_probe_result(const GArray *runs, bool is_crashed, void *user_data) {
     hs_crash_watch *watch = user_data;
     for (guint index = 0; index < runs->len; index++) {
@@ -140,7 +138,7 @@
     }
 }
 
-/** Take the runs that were cut at an engine out of those that are remembered: of hs_cut_run. */
+/** Removes and returns the remembered runs of an engine (of hs_cut_run). */
 static GArray *take_answered_runs(hs_crash_watch *watch, uint64_t engine) {
     GArray *taken = g_array_new(FALSE, FALSE, sizeof(hs_cut_run));
     for (guint index = watch->answered_runs->len; index > 0; index--) {
@@ -158,8 +156,9 @@
     g_mutex_lock(&watch->lock);
     GArray *crashed_engines = watch->crashed_engines;
     while (crashed_engines->len > 0 &&
-           (crashed_engines->len == MAX_REMEMBERED ||
-            g_array_index(crashed_engines, crashed_engine, 0).detected_ms + CRASH_DETECTION_MS < known.detected_ms))
+           (crashed_engines->len == MAX_RECENT ||
+            g_array_index(crashed_engines, crashed_engine, 0).detected_ms + CRASH_DETECTION_MS <
+                known.detected_ms))
         g_array_remove_index(crashed_engines, 0);
     g_array_append_val(crashed_engines, known);
     g_autoptr(GArray) runs = take_answered_runs(watch, engine);
@@ -212,20 +211,22 @@
 
 bool hs_crash_watch_is_held(hs_crash_watch *watch, uint64_t content, hs_crash_hold *quarantine) {
     g_mutex_lock(&watch->lock);
-    bool is_quarantined = watch->quarantined_count > 0 &&
-                   hs_crash_ledger_is_quarantined(watch->ledger, content, hs_clock_monotonic_ms(), quarantine);
+    bool is_quarantined =
+        watch->quarantined_count > 0 &&
+        hs_crash_ledger_is_quarantined(watch->ledger, content, hs_clock_monotonic_ms(), quarantine);
     g_mutex_unlock(&watch->lock);
     return is_quarantined;
 }
 
-void hs_crash_watch_set_trial_query(hs_crash_watch *watch, hs_trial_query_function query_trial, void *user_data) {
+void hs_crash_watch_set_trial_query(hs_crash_watch *watch, hs_trial_query_function query_trial,
+                                    void *user_data) {
     g_mutex_lock(&watch->lock);
     watch->query_trial = query_trial;
     watch->query_data = user_data;
     g_mutex_unlock(&watch->lock);
 }
 
-/** Whether what was told lacks an acquittal that is known here. */
+/** Returns whether the received evidence lacks an acquittal that this daemon knows of. */
 static bool is_missing_acquittal(hs_crash_watch *watch, const hs_crash_evidence *received) {
     hs_crash_evidence own;
     return hs_crash_ledger_find(watch->ledger, received->content, &own) && own.is_acquitted &&
@@ -233,7 +234,7 @@
 }
 
 void hs_crash_watch_merge_evidence(hs_crash_watch *watch, const hs_crash_evidence *evidence,
-                          const hs_crash_evidence_source *source) {
+                                   const hs_crash_evidence_source *source) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     bool is_new = false;
     g_mutex_lock(&watch->lock);
@@ -258,12 +259,11 @@
     g_mutex_unlock(&watch->lock);
 }
 
-/** What the ledger says for a trial of the content. The caller holds the lock. */
 static hs_trial_claim make_candidate(const hs_crash_watch *watch, const hs_trial_query *query) {
-    return (hs_trial_claim){
-        .evidence = query->evidence,
-        .has_alternative_cause = hs_crash_ledger_has_alternative_cause(watch->ledger, query->evidence->content),
-        .is_accepted = query->is_accepted};
+    return (hs_trial_claim){.evidence = query->evidence,
+                            .has_alternative_cause = hs_crash_ledger_has_alternative_cause(
+                                watch->ledger, query->evidence->content),
+                            .is_accepted = query->is_accepted};
 }
 
 hs_trial_verdict hs_crash_watch_claim_trial(hs_crash_watch *watch, uint64_t content,
@@ -283,11 +283,12 @@
     return query_trial != NULL ? query_trial(&query, watch->query_data) : HS_TRIAL_NO_DECIDER;
 }
 
-hs_trial_verdict hs_crash_watch_decide_trial(hs_crash_watch *watch,
-                                             const hs_trial_query *query, const char *requester) {
+hs_trial_verdict hs_crash_watch_decide_trial(hs_crash_watch *watch, const hs_trial_query *query,
+                                             const char *requester) {
     hs_crash_evidence evidence;
     hs_trial_verdict verdict = HS_TRIAL_NO_GROUNDS;
-    hs_crash_watch_merge_evidence(watch, query->evidence, &(hs_crash_evidence_source){.daemon = requester});
+    hs_crash_watch_merge_evidence(watch, query->evidence,
+                                  &(hs_crash_evidence_source){.daemon = requester});
     g_mutex_lock(&watch->lock);
     if (hs_crash_ledger_find(watch->ledger, query->evidence->content, &evidence)) {
         hs_trial_query known = {.evidence = &evidence, .is_accepted = query->is_accepted};
@@ -309,8 +310,8 @@
     hs_crash_evidence evidence;
     g_mutex_lock(&watch->lock);
     for (guint index = 0; index < watch->updated_contents->len; index++)
-        if (hs_crash_ledger_find(watch->ledger,
-                                 g_array_index(watch->updated_contents, uint64_t, index), &evidence))
+        if (hs_crash_ledger_find(
+                watch->ledger, g_array_index(watch->updated_contents, uint64_t, index), &evidence))
             g_array_append_val(updates, evidence);
     g_array_set_size(watch->updated_contents, 0);
     g_mutex_unlock(&watch->lock);
@@ -341,8 +342,8 @@
     g_mutex_lock(&watch->lock);
     hs_crash_ledger_list_quarantined(watch->ledger, hs_clock_monotonic_ms(), quarantines);
     for (guint index = 0; index < quarantines->len; index++)
-        if (hs_crash_ledger_find(watch->ledger, g_array_index(quarantines, hs_crash_hold, index).content,
-                                 &found))
+        if (hs_crash_ledger_find(watch->ledger,
+                                 g_array_index(quarantines, hs_crash_hold, index).content, &found))
             g_array_append_val(evidence, found);
     g_mutex_unlock(&watch->lock);
     return evidence;
@@ -379,13 +380,13 @@
     g_mutex_unlock(&watch->lock);
     for (guint index = 0; index < MIN(quarantines->len, MAX_LISTED_CONTENTS); index++) {
         const hs_crash_hold *quarantine = &g_array_index(quarantines, hs_crash_hold, index);
-        g_string_append_printf(text,
-                               "heathsail_content_held_back_ms{content=\"%016" G_GINT64_MODIFIER
-                               "x\"} %" G_GUINT64_FORMAT
-                               "\nheathsail_content_engines_lost{content=\"%016" G_GINT64_MODIFIER
-                               "x\"} %u\n",
-                               (guint64)quarantine->content, (guint64)(quarantine->until_ms - now_ms),
-                               (guint64)quarantine->content, quarantine->engines);
+        g_string_append_printf(
+            text,
+            "heathsail_content_held_back_ms{content=\"%016" G_GINT64_MODIFIER
+            "x\"} %" G_GUINT64_FORMAT
+            "\nheathsail_content_engines_lost{content=\"%016" G_GINT64_MODIFIER "x\"} %u\n",
+            (guint64)quarantine->content, (guint64)(quarantine->until_ms - now_ms),
+            (guint64)quarantine->content, quarantine->engines);
     }
     return g_string_free(text, FALSE);
 }
--- a/src/fleet/crash_watch.h
+++ b/src/fleet/crash_watch.h
@@ -1,10 +1,10 @@
 /**
  * @file crash_watch.h
- * Finds out which requests crash engines, and holds them back; see crash_ledger.h for the
- * judgement.
+ * Detects which request contents crash engines, and quarantines them. crash_ledger.h has the rules.
  *
- * Attempts tell it how runs ended; where one was cut, crash_probe.h finds out whether the engine
- * crashed. What is news is handed to the exchange between daemons (directory/crash_exchange.h).
+ * Attempts report how their runs ended. After a cut run, crash_probe.h finds out whether the engine
+ * crashed. directory/crash_exchange.h sends new evidence to other daemons. The functions are
+ * thread-safe.
  */
 #ifndef HS_FLEET_CRASH_WATCH_H
 #define HS_FLEET_CRASH_WATCH_H
@@ -15,78 +15,90 @@
 
 typedef struct hs_crash_watch hs_crash_watch;
 
-/** Start its probe. */
+/** Creates a watch and starts its probe. */
 hs_crash_watch *hs_crash_watch_new(void);
 
-/** Stop its probe and free. NULL is allowed. */
+/** Stops the probe and frees the watch. NULL is allowed. */
 void hs_crash_watch_free(hs_crash_watch *watch);
 
-/** A run was cut; never waits. */
+/** Reports a run that was cut. Does not wait for the probe. */
 void hs_crash_watch_note_cut(hs_crash_watch *watch, const hs_cut_run *run);
 
 /**
- * An engine that had not said that it leaves started again under its id, or its entry ran out: it
- * had crashed. Runs that were cut there of late are lost with it, also where it was back before it
- * could be asked, or ended its listener late.
+ * Reports that an engine crashed: the engine had not announced that it was leaving, and it
+ * restarted under its id or its entry expired. Runs that were cut there shortly before are lost
+ * with it, even if the probe found the engine running, because it had restarted already or closed
+ * its listener late.
  */
 void hs_crash_watch_note_crashed(hs_crash_watch *watch, uint64_t engine);
 
-/** A run of the content ended with a whole answer: its engine survived it. */
+/** Reports a run of the content that ended with a complete response. */
 void hs_crash_watch_note_survived(hs_crash_watch *watch, uint64_t content);
 
-/** Whether requests of this content are to be sent to no engine now. */
+/**
+ * Returns whether the content is quarantined now, that is, its requests are to be sent to no
+ * engine. Fills @p quarantine in that case only.
+ */
 bool hs_crash_watch_is_held(hs_crash_watch *watch, uint64_t content, hs_crash_hold *quarantine);
 
-/** A question for a trial, to whoever decides on it. */
+/** A query to the decider for a trial run. */
 typedef struct {
-    const hs_crash_evidence *evidence; /**< What the asking daemon knows. Borrowed. */
+    const hs_crash_evidence *evidence; /**< What the requesting daemon knows. Borrowed. */
     bool is_accepted;                  /**< See hs_trial_claim. */
 } hs_trial_query;
 
-/** Asks; may wait for another daemon's answer. */
+/** Sends a query to the decider and waits for its verdict. */
 typedef hs_trial_verdict (*hs_trial_query_function)(const hs_trial_query *query, void *user_data);
 
-/** Whom trials are asked of; NULL: nobody, and nothing is tried. Before the first request. */
-void hs_crash_watch_set_trial_query(hs_crash_watch *watch, hs_trial_query_function query_trial, void *user_data);
+/** Sets the function that queries the decider, before the first request. With NULL, no trial runs
+ * are granted. */
+void hs_crash_watch_set_trial_query(hs_crash_watch *watch, hs_trial_query_function query_trial,
+                                    void *user_data);
 
 /**
- * Whether a content that is held back may run once now; see crash_trials.h. May wait for another
- * daemon's answer. @p is_accepted: see hs_trial_claim.
+ * Requests a trial run of a quarantined content; see crash_trials.h. May wait for another daemon's
+ * verdict. @p is_accepted: see hs_trial_claim.
  */
 hs_trial_verdict hs_crash_watch_claim_trial(hs_crash_watch *watch, uint64_t content,
                                             bool is_accepted);
 
-/** Decide on a trial for all daemons; see crash_trials.h. What the asker knows is learned. */
-hs_trial_verdict hs_crash_watch_decide_trial(hs_crash_watch *watch,
-                                             const hs_trial_query *query, const char *requester);
+/**
+ * Decides on a trial run as the decider for all daemons; see crash_trials.h. Merges the evidence of
+ * the query first. @p requester is the requesting daemon's id, for logs.
+ */
+hs_trial_verdict hs_crash_watch_decide_trial(hs_crash_watch *watch, const hs_trial_query *query,
+                                             const char *requester);
 
-/** Who told of evidence. */
+/** Where evidence came from. */
 typedef struct {
-    const char *daemon;
-    bool must_relay; /**< Others may not have heard it: it is news to be told on. */
+    const char *daemon; /**< Daemon id, or "store". For logs. */
+    bool must_relay;    /**< Other daemons may not have received it: new evidence is sent on. */
 } hs_crash_evidence_source;
 
-/** Evidence that another daemon told. */
+/** Merges evidence that was received from another daemon or read from the store. */
 void hs_crash_watch_merge_evidence(hs_crash_watch *watch, const hs_crash_evidence *evidence,
-                          const hs_crash_evidence_source *source);
+                                   const hs_crash_evidence_source *source);
 
-/** Evidence that is news since the last call: of hs_crash_evidence. Free with g_array_free. */
+/** Returns the evidence to be sent to other daemons since the last call (of hs_crash_evidence).
+ * Free with g_array_free. */
 GArray *hs_crash_watch_take_updates(hs_crash_watch *watch);
 
-/** Evidence on contents that were lost more than once: the @p most that were lost most. Likewise.
+/**
+ * Returns evidence (hs_crash_evidence) on contents with two or more losses: at most @p max_count,
+ * those with the most losses first. Free with g_array_free.
  */
 GArray *hs_crash_watch_list(hs_crash_watch *watch, guint max_count);
 
-/** Evidence on contents that are held back now. Likewise. */
+/** Returns evidence (hs_crash_evidence) on all quarantined contents. Free with g_array_free. */
 GArray *hs_crash_watch_list_quarantined(hs_crash_watch *watch);
 
-/** What daemons compare; see hs_crash_ledger_digest. */
+/** Returns the ledger's digest; see hs_crash_ledger_digest. */
 uint64_t hs_crash_watch_digest(hs_crash_watch *watch);
 
-/** Judge anew, since time goes by; at intervals. */
+/** Ends quarantines and removes records that have expired. To be called at intervals. */
 void hs_crash_watch_refresh(hs_crash_watch *watch);
 
-/** Metrics as text. Free with g_free. */
+/** Returns metrics in text format. Free with g_free. */
 char *hs_crash_watch_describe(hs_crash_watch *watch);
 
 #endif
