--- a/src/directory/crash_codec.h
+++ b/src/directory/crash_codec.h
@@ -1,4 +1,7 @@
-/** @file crash_codec.h  Evidence on crashes as a message: times become ages, since clocks differ.
+/**
+ * @file crash_codec.h
+ * Converts crash evidence to and from its protobuf message. The message holds ages instead of
+ * times, since the daemons' clocks differ.
  */
 #ifndef HS_DIRECTORY_CRASH_CODEC_H
 #define HS_DIRECTORY_CRASH_CODEC_H
@@ -6,18 +9,18 @@
 #include "fleet/crash_ledger.h"
 #include "gen/peer.pb-c.h"
 
-/** A message with what it points to: not to be moved once written. */
+/** A message with the memory that it points to. It must not be copied or moved once written. */
 typedef struct {
     Hs__CrashEvidence message;
     Hs__CrashedEngine engines[HS_CRASH_ENGINES_MOST];
     Hs__CrashedEngine *engine_list[HS_CRASH_ENGINES_MOST];
 } hs_crash_message;
 
-/** @p now_ms: monotonic, as the times of @p evidence. */
+/** Writes evidence to @p out. @p now_ms: monotonic, like the times in @p evidence. */
 void hs_crash_codec_write(const hs_crash_evidence *evidence, uint64_t now_ms,
                           hs_crash_message *out);
 
-/** Of more engines than are remembered the first ones are taken. */
+/** Reads evidence from a message. Engines beyond HS_CRASH_ENGINES_MOST are ignored. */
 hs_crash_evidence hs_crash_codec_read(const Hs__CrashEvidence *message, uint64_t now_ms);
 
 #endif
--- a/src/directory/crash_exchange.c
+++ b/src/directory/crash_exchange.c
@@ -11,36 +11,37 @@
 #include <string.h>
 
 /**
- * Daemons that news is sent to. In a fleet of no more all hear it at once; in a larger one who
- * hears it tells it on to as many by chance: two rounds reach half of 360, three nearly all, by
- * the arithmetic of chance; digests reach the rest.
+ * Maximum number of daemons that new evidence is sent to. In a larger fleet, each recipient relays
+ * it to as many others chosen at random, so that a few rounds reach nearly all daemons. Digests
+ * reach the rest.
  */
 #define MAX_RECIPIENTS 16
-/** Evidence in one answer or report: some 200 bytes each, so that a datagram holds it. */
+/** Maximum number of contents in one report, at about 200 bytes each, so that it fits a datagram.
+ */
 #define MAX_REPORT_EVIDENCE 64
-/** Answers to digests in one DIGEST_ANSWER_WINDOW_MS: each may have 13 kB, and while news goes round
- * many digests differ. */
+/** Maximum number of answers to digests in one window. An answer may have 13 kB, and many digests
+ * differ while new evidence spreads. */
 #define MAX_DIGEST_ANSWERS 4
-/** In ms: as often as daemons tell their loads, with which the digests come. */
+/** Length of that window in ms: the interval of the load reports, with which digests are sent. */
 #define DIGEST_ANSWER_WINDOW_MS 240
-/** Daemons that are asked for one trial, at most, while some are of an earlier build: each answers
- * within some ms, and the next claim asks others. */
-#define MAX_DECIDERS_ASKED 8
-/** Between judgements without news, in ms: holds end and are forgotten by time alone. */
+/** Maximum number of daemons queried for one trial run, while some refuse without a reason. The
+ * next request skips those and queries others. */
+#define MAX_DECIDERS_QUERIED 8
+/** Interval in ms at which the ledger is evaluated, as quarantines and records expire. */
 #define REFRESH_INTERVAL_MS 1000
 
 struct hs_crash_exchange {
     hs_peer_questions *trial_queries; /**< Answers: hs_trial_verdict. */
     hs_crash_watch *watch;
     hs_membership_service *membership;
-    GMutex lock; /**< Guards the deciders and the answers. */
+    GMutex lock; /**< Guards deciders, answer_count and answer_window_start_ms. */
     hs_trial_deciders *deciders;
     uint32_t answer_count;
     uint64_t answer_window_start_ms;
-    uint64_t next_refresh_ms; /**< Of the ticker's thread alone. */
+    uint64_t next_refresh_ms; /**< Used by the ticker's thread only. */
 };
 
-/** A report on its way out, of one block, so that it is freed at once. */
+/** A report to be sent, in one block of memory. */
 typedef struct {
     Hs__PeerMessage message;
     Hs__CrashReport report;
@@ -48,7 +49,7 @@
     Hs__CrashEvidence *evidence_list[MAX_REPORT_EVIDENCE];
 } outgoing_report;
 
-/** A question for a trial on its way to a daemon that decides. */
+/** A query to be sent to a decider. */
 typedef struct {
     hs_crash_exchange *exchange;
     const hs_trial_query *query;
@@ -71,34 +72,34 @@
                                outgoing->to.port, &message);
 }
 
-/** A daemon's life, as a hash. */
+/** Returns a hash of the daemon's id and incarnation. */
 static uint64_t hash_incarnation(const hs_member *member) {
     uint64_t pair[2] = {hs_hash_bytes(member->id, strlen(member->id)), member->incarnation};
     return hs_hash_bytes(pair, sizeof pair);
 }
 
-/** A daemon that may decide on a trial. */
 typedef struct {
     bool is_self;
     uint64_t incarnation_hash;
     hs_daemon_address address;
 } decider;
 
-/** Whether another daemon is to be asked: of accepted work, see trial_deciders.h. */
+/** Returns whether another daemon is to be queried; see trial_deciders.h. */
 static bool is_skipped(hs_crash_exchange *exchange, const hs_trial_query *query,
-                           const hs_member *member) {
+                       const hs_member *member) {
     g_mutex_lock(&exchange->lock);
-    bool is_skipped_now =
+    bool is_skipped_decider =
         query->is_accepted &&
-        hs_trial_deciders_is_skipped(exchange->deciders, hash_incarnation(member), hs_clock_monotonic_ms());
+        hs_trial_deciders_is_skipped(exchange->deciders, hash_incarnation(member),
+                                     hs_clock_monotonic_ms());
     g_mutex_unlock(&exchange->lock);
-    return is_skipped_now;
+    return is_skipped_decider;
 }
 
 /**
- * The first daemon, in the order of the weights for what decides on this content, that is not
- * passed over. What was lost with the same engine has the same decider, so that one daemon sees who
- * else is tried.
+ * Returns the first daemon, in order of rank for this content, that is not skipped. The rank
+ * depends on one of the lost engines, so that contents lost with the same engine usually have the
+ * same decider, which knows all their trial runs.
  */
 static decider find_decider(hs_crash_exchange *exchange, const hs_trial_query *query) {
     const hs_crash_evidence *evidence = query->evidence;
@@ -120,11 +121,13 @@
     return found;
 }
 
-/** Remember how a daemon answered, for the next question about accepted work. */
-static void record_verdict(hs_crash_exchange *exchange, uint64_t incarnation_hash, hs_trial_verdict verdict) {
+/** Records how a daemon responded, for the next query for accepted work. */
+static void record_verdict(hs_crash_exchange *exchange, uint64_t incarnation_hash,
+                           hs_trial_verdict verdict) {
     g_mutex_lock(&exchange->lock);
     if (verdict == HS_TRIAL_UNANSWERED)
-        hs_trial_deciders_note_unanswered(exchange->deciders, incarnation_hash, hs_clock_monotonic_ms());
+        hs_trial_deciders_note_unanswered(exchange->deciders, incarnation_hash,
+                                          hs_clock_monotonic_ms());
     else
         hs_trial_deciders_note_answered(exchange->deciders, incarnation_hash);
     if (verdict == HS_TRIAL_NO_REASON)
@@ -132,16 +135,18 @@
     g_mutex_unlock(&exchange->lock);
 }
 
-/** Ask the daemon that decides. Without an answer nothing is tried: it may have let another daemon
- * try the content. */
+/** Queries the decider. Without its response no trial run is granted, since it may have granted one
+ * to another daemon. */
 static hs_trial_verdict query_decider(const hs_trial_query *query, void *user_data) {
     hs_crash_exchange *exchange = user_data;
     hs_trial_verdict verdict = HS_TRIAL_NO_REASON;
-    for (int attempt = 0; attempt < MAX_DECIDERS_ASKED && verdict == HS_TRIAL_NO_REASON; attempt++) {
+    for (int attempt = 0; attempt < MAX_DECIDERS_QUERIED && verdict == HS_TRIAL_NO_REASON;
+         attempt++) {
         decider chosen = find_decider(exchange, query);
         if (chosen.is_self)
             return hs_crash_watch_decide_trial(exchange->watch, query, "self");
-        outgoing_trial_query outgoing = {.exchange = exchange, .query = query, .to = chosen.address};
+        outgoing_trial_query outgoing = {
+            .exchange = exchange, .query = query, .to = chosen.address};
         if (!hs_peer_questions_ask(exchange->trial_queries, send_trial_query, &outgoing, &verdict))
             verdict = HS_TRIAL_UNANSWERED;
         record_verdict(exchange, chosen.incarnation_hash, verdict);
@@ -151,20 +156,20 @@
     return verdict;
 }
 
-/** The evidence that came with a question; of an earlier build's none does. */
+/** Returns the evidence sent with a query. Earlier versions send none. */
 static hs_crash_evidence read_query_evidence(const Hs__TrialAsk *ask) {
     if (ask->evidence == NULL || ask->evidence->content != ask->content)
         return (hs_crash_evidence){.content = ask->content};
     return hs_crash_codec_read(ask->evidence, hs_clock_monotonic_ms());
 }
 
-static void answer_trial_query(hs_crash_exchange *exchange, const Hs__PeerMessage *query,
-                             const struct sockaddr_in *from) {
-    const Hs__TrialAsk *ask = query->trial_ask;
+static void answer_trial_query(hs_crash_exchange *exchange, const Hs__PeerMessage *request,
+                               const struct sockaddr_in *from) {
+    const Hs__TrialAsk *ask = request->trial_ask;
     hs_crash_evidence evidence = read_query_evidence(ask);
-    hs_trial_query outgoing = {.evidence = &evidence, .is_accepted = ask->is_accepted};
+    hs_trial_query query = {.evidence = &evidence, .is_accepted = ask->is_accepted};
     hs_trial_verdict decided =
-        hs_crash_watch_decide_trial(exchange->watch, &outgoing, query->sender_id);
+        hs_crash_watch_decide_trial(exchange->watch, &query, request->sender_id);
     Hs__TrialVerdict verdict = HS__TRIAL_VERDICT__INIT;
     verdict.sequence = ask->sequence;
     verdict.may_run = decided == HS_TRIAL_GRANTED;
@@ -175,7 +180,7 @@
     hs_membership_service_reply(exchange->membership, from, &message);
 }
 
-/** What a verdict says; a reason that a later build tells is one that is not told. */
+/** Reads a verdict. A reason of a later version is read as HS_TRIAL_UNKNOWN. */
 static hs_trial_verdict read_verdict(const Hs__TrialVerdict *verdict) {
     if (verdict->may_run)
         return HS_TRIAL_GRANTED;
@@ -206,16 +211,16 @@
     g_free(exchange);
 }
 
-/** A report of up to MAX_REPORT_EVIDENCE of @p evidence, from @p first on. Free with g_free. */
+/** Creates a report of up to MAX_REPORT_EVIDENCE entries from index @p first. Free with g_free. */
 static outgoing_report *write_report(const GArray *evidence, guint first) {
     outgoing_report *out = g_new(outgoing_report, 1);
     uint64_t now_ms = hs_clock_monotonic_ms();
     hs__peer_message__init(&out->message);
     hs__crash_report__init(&out->report);
     for (guint index = first; index < MIN(evidence->len, first + MAX_REPORT_EVIDENCE); index++) {
-        hs_crash_message *one = &out->evidence[index - first];
-        hs_crash_codec_write(&g_array_index(evidence, hs_crash_evidence, index), now_ms, one);
-        out->evidence_list[out->report.n_evidence++] = &one->message;
+        hs_crash_message *entry = &out->evidence[index - first];
+        hs_crash_codec_write(&g_array_index(evidence, hs_crash_evidence, index), now_ms, entry);
+        out->evidence_list[out->report.n_evidence++] = &entry->message;
     }
     out->report.evidence = out->evidence_list;
     out->message.kind_case = HS__PEER_MESSAGE__KIND_CRASH_REPORT;
@@ -248,14 +253,15 @@
         return true;
     case HS__PEER_MESSAGE__KIND_TRIAL_VERDICT:
         verdict = read_verdict(message->trial_verdict);
-        hs_peer_questions_answer(exchange->trial_queries, message->trial_verdict->sequence, &verdict);
+        hs_peer_questions_answer(exchange->trial_queries, message->trial_verdict->sequence,
+                                 &verdict);
         return true;
     default:
         return false;
     }
 }
 
-/** Whether one more answer may be sent now. */
+/** Counts one more answer to a digest. Returns false if the window's maximum was reached. */
 static bool can_answer(hs_crash_exchange *exchange) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&exchange->lock);
@@ -280,7 +286,7 @@
     hs_membership_service_reply(exchange->membership, from, &out->message);
 }
 
-/** Send to some live daemons by chance; to all where there are no more than that. */
+/** Sends to MAX_RECIPIENTS live daemons chosen at random, or to all if there are no more. */
 static void send_to_random_members(hs_crash_exchange *exchange, Hs__PeerMessage *message) {
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     g_autoptr(GArray) addresses = g_array_new(FALSE, FALSE, sizeof(hs_daemon_address));
--- a/src/directory/crash_exchange.h
+++ b/src/directory/crash_exchange.h
@@ -1,10 +1,12 @@
 /**
  * @file crash_exchange.h
- * What daemons tell each other about requests that crash engines.
+ * Exchanges crash evidence and requests for trial runs with other daemons.
  *
- * News goes out within a round of the directory's ticker: to all daemons of a small fleet, and in a
- * large one to some by chance, who tell it on. What was missed is found by a digest that rides on
- * the loads which daemons tell each other anyway: one that differs is answered with the evidence.
+ * New evidence is sent in the next round of the directory's ticker: to all daemons of a small
+ * fleet, and in a large one to some chosen at random, which relay it. Daemons also send a digest of
+ * their ledger with their load reports. A daemon that receives a different digest sends its
+ * evidence back, which recovers what was lost on the way. The functions are thread-safe, but for
+ * hs_crash_exchange_tick.
  */
 #ifndef HS_DIRECTORY_CRASH_EXCHANGE_H
 #define HS_DIRECTORY_CRASH_EXCHANGE_H
@@ -14,19 +16,22 @@
 
 typedef struct hs_crash_exchange hs_crash_exchange;
 
-/** All are borrowed. */
+/** Creates an exchange. The arguments are borrowed. */
 hs_crash_exchange *hs_crash_exchange_new(hs_crash_watch *watch, hs_membership_service *membership);
+
+/** Frees the exchange. NULL is allowed. */
 void hs_crash_exchange_free(hs_crash_exchange *exchange);
 
-/** True when the message was about crashes or trials, and was handled. */
+/** Handles a message on crash evidence or trial runs. Returns false for any other message. */
 bool hs_crash_exchange_handle(hs_crash_exchange *exchange, const Hs__PeerMessage *message,
                               const struct sockaddr_in *from);
 
-/** Another daemon told its digest: answer it with what it may lack, where the two differ. */
+/** Compares another daemon's digest with this daemon's, and sends it evidence if they differ. */
 void hs_crash_exchange_compare(hs_crash_exchange *exchange, uint64_t digest,
                                const struct sockaddr_in *from);
 
-/** One round of the ticker: send what is news, judge anew. */
+/** Sends new evidence and, at intervals, evaluates the ledger. Called by the ticker's thread only.
+ */
 void hs_crash_exchange_tick(hs_crash_exchange *exchange, uint64_t now_ms);
 
 #endif
--- a/src/directory/crash_store.c
+++ b/src/directory/crash_store.c
@@ -6,9 +6,9 @@
 #include "directory/crash_codec.h"
 #include "store/keyed_topic.h"
 
-/** Longest wait for the store's answer, in ms: as for the daemons' own records. */
+/** Maximum wait for the store's response, in ms. */
 #define STORE_TIMEOUT_MS 1000
-/** "%016x" of a content and the NUL. */
+/** Bytes of a key: 16 hexadecimal digits and NUL. */
 #define KEY_BYTES 17
 
 struct hs_crash_store {
@@ -16,7 +16,8 @@
     hs_membership_service *membership;
     hs_store_client *store;
     bool is_read;
-    GHashTable *tracked; /**< uint64_t* content -> guint: engines in its record; 0: none. */
+    GHashTable
+        *tracked; /**< uint64_t* content -> guint: engines in its record, 0 if it has none. */
 };
 
 hs_crash_store *hs_crash_store_new(hs_crash_watch *watch, hs_membership_service *membership,
@@ -56,19 +57,20 @@
     hs_crash_evidence evidence = hs_crash_codec_read(message, hs_clock_monotonic_ms());
     hs__crash_evidence__free_unpacked(message, NULL);
     track(records, evidence.content, evidence.engine_count);
-    hs_crash_watch_merge_evidence(records->watch, &evidence, &(hs_crash_evidence_source){.daemon = "store"});
+    hs_crash_watch_merge_evidence(records->watch, &evidence,
+                                  &(hs_crash_evidence_source){.daemon = "store"});
 }
 
 void hs_crash_store_read(hs_crash_store *records) {
     if (records->is_read)
         return;
-    records->is_read =
-        hs_keyed_topic_read(records->store, HS_TOPIC_CRASHES, STORE_TIMEOUT_MS, load_record, records);
+    records->is_read = hs_keyed_topic_read(records->store, HS_TOPIC_CRASHES, STORE_TIMEOUT_MS,
+                                           load_record, records);
     if (records->is_read)
         hs_log_info("crash_records_read", "contents=%u", g_hash_table_size(records->tracked));
 }
 
-/** Whether this daemon writes the content's record. */
+/** Returns whether this daemon writes the content's record. */
 static bool is_writer(hs_crash_store *records, const char *key) {
     const hs_membership *membership = hs_membership_service_lock(records->membership);
     bool is_self =
@@ -77,7 +79,7 @@
     return is_self;
 }
 
-/** Write a content's record, or drop it where @p evidence is NULL. */
+/** Writes a content's record, or deletes it if @p evidence is NULL. Returns false on failure. */
 static bool write_record(hs_crash_store *records, const char *key,
                          const hs_crash_evidence *evidence) {
     g_autofree uint8_t *value = NULL;
@@ -88,8 +90,8 @@
         value = g_malloc(hs__crash_evidence__get_packed_size(&out.message));
         length = hs__crash_evidence__pack(&out.message, value);
     }
-    hs_store_outcome outcome =
-        hs_keyed_topic_write(records->store, HS_TOPIC_CRASHES, key, value, length, STORE_TIMEOUT_MS);
+    hs_store_outcome outcome = hs_keyed_topic_write(records->store, HS_TOPIC_CRASHES, key, value,
+                                                    length, STORE_TIMEOUT_MS);
     hs_log_info("crash_record_written", "content=%s dropped=%d outcome=%s", key, evidence == NULL,
                 hs_store_outcome_name(outcome));
     return outcome == HS_STORE_DONE;
@@ -103,9 +105,9 @@
 }
 
 /**
- * Bring one record up to date; what failed is tried in the next round. True: it need not be
- * followed any more. A record is written again as more engines are lost: these count against
- * further trials, also after a kill of all daemons.
+ * Updates one record; the next round retries after a failure. Returns true if the content need not
+ * be tracked any longer. A record is written again when more engines are lost, since these limit
+ * further trial runs, also after a restart of all daemons.
  */
 static bool update_record(hs_crash_store *records, uint64_t content, const GArray *quarantined,
                           uint32_t *written_engines) {
@@ -137,7 +139,8 @@
     g_hash_table_iter_init(&iterator, records->tracked);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         uint32_t written_engines = GPOINTER_TO_UINT(value);
-        bool is_done = update_record(records, *(const uint64_t *)key, quarantined, &written_engines);
+        bool is_done =
+            update_record(records, *(const uint64_t *)key, quarantined, &written_engines);
         if (is_done)
             g_hash_table_iter_remove(&iterator);
         else
--- a/src/directory/crash_store.h
+++ b/src/directory/crash_store.h
@@ -1,11 +1,13 @@
 /**
  * @file crash_store.h
- * What is held back is kept in the platform's store, so that it is known after all daemons were
- * killed at once; otherwise each such request would cost three engines more.
+ * Keeps evidence on quarantined contents in the platform's store, so that quarantines survive the
+ * end of all daemons at once. Otherwise, each such content would cost three more engines.
  *
- * One record a content, written by the live daemon that ranks first for it and dropped by that
- * daemon as the hold ends. A daemon reads the records once, as it starts. How old one is cannot be
- * told without a common clock: its hold begins anew then.
+ * The store has one record per content. The live daemon that ranks first for the content writes it,
+ * and deletes it when the quarantine ends. A daemon reads all records once, after its start.
+ * Without a common clock the age of a record is unknown, so its quarantine then starts anew.
+ *
+ * Not thread-safe: one thread calls the functions.
  */
 #ifndef HS_DIRECTORY_CRASH_STORE_H
 #define HS_DIRECTORY_CRASH_STORE_H
@@ -16,15 +18,18 @@
 
 typedef struct hs_crash_store hs_crash_store;
 
-/** All are borrowed. */
+/** Creates the object. The arguments are borrowed. */
 hs_crash_store *hs_crash_store_new(hs_crash_watch *watch, hs_membership_service *membership,
                                    hs_store_client *store);
+
+/** Frees the object. NULL is allowed. */
 void hs_crash_store_free(hs_crash_store *records);
 
-/** Read the records, until that was done once; by one thread, as below. */
+/** Reads the records into the watch. Does nothing after a call that succeeded. */
 void hs_crash_store_read(hs_crash_store *records);
 
-/** Write what is held back now, drop what is no longer. No call where nothing changed. */
+/** Writes the records of quarantined contents and deletes those of others. Makes no call to the
+ * store if nothing changed. */
 void hs_crash_store_update(hs_crash_store *records);
 
 #endif
--- a/src/directory/trial_deciders.c
+++ b/src/directory/trial_deciders.c
@@ -3,22 +3,21 @@
 
 #include <glib.h>
 
-/** Lives that are remembered, at most: all of a fleet's, twice started. */
+/** Maximum number of incarnations remembered: two of each daemon of the largest fleet. */
 #define MAX_RECORDS 1024
-/** One that answers nothing for so long, in ms, is passed over: longer than the others need to know
- * that a daemon is dead, after which it is in no order. */
+/** Time in ms without a response after which a daemon is skipped. Longer than the detection of a
+ * dead daemon, which removes it from the order. */
 #define UNRESPONSIVE_AFTER_MS 4000
-/** It is asked again so long after that, in ms: a cut is over within some seconds. */
+/** Time in ms for which it is then skipped. A network partition may have ended by then. */
 #define SKIP_MS 30000
 
-/** What is known of one life. */
 typedef struct {
     bool has_refused_without_reason;
-    uint64_t unanswered_since_ms; /**< 0: it answered the last question. */
+    uint64_t unanswered_since_ms; /**< 0: it responded to the last query. */
 } decider_record;
 
 struct hs_trial_deciders {
-    GHashTable *records; /**< uint64_t* life -> decider_record* */
+    GHashTable *records; /**< uint64_t* incarnation hash -> decider_record* */
 };
 
 hs_trial_deciders *hs_trial_deciders_new(void) {
@@ -32,8 +31,10 @@
     g_free(deciders);
 }
 
-/** What is known of a life; of too many all is forgotten, and found out anew. */
-static decider_record *get_or_create_record(hs_trial_deciders *deciders, uint64_t incarnation_hash) {
+/** Returns the record of an incarnation. Clears a full table: records are found again by queries.
+ */
+static decider_record *get_or_create_record(hs_trial_deciders *deciders,
+                                            uint64_t incarnation_hash) {
     decider_record *record = g_hash_table_lookup(deciders->records, &incarnation_hash);
     if (record != NULL)
         return record;
@@ -47,13 +48,13 @@
 }
 
 bool hs_trial_deciders_is_skipped(const hs_trial_deciders *deciders, uint64_t incarnation_hash,
-                                   uint64_t now_ms) {
+                                  uint64_t now_ms) {
     const decider_record *record = g_hash_table_lookup(deciders->records, &incarnation_hash);
     if (record == NULL)
         return false;
     bool is_unresponsive = record->unanswered_since_ms != 0 &&
-                     now_ms >= record->unanswered_since_ms + UNRESPONSIVE_AFTER_MS &&
-                     now_ms < record->unanswered_since_ms + UNRESPONSIVE_AFTER_MS + SKIP_MS;
+                           now_ms >= record->unanswered_since_ms + UNRESPONSIVE_AFTER_MS &&
+                           now_ms < record->unanswered_since_ms + UNRESPONSIVE_AFTER_MS + SKIP_MS;
     return record->has_refused_without_reason || is_unresponsive;
 }
 
--- a/src/directory/trial_deciders.h
+++ b/src/directory/trial_deciders.h
@@ -1,11 +1,13 @@
 /**
  * @file trial_deciders.h
- * Daemons that are not asked to decide on trials of accepted work. Pure; not safe for threads.
+ * Keeps track of daemons to skip as deciders on trial runs of accepted work.
  *
- * One daemon, the first in an order that all know, decides on a content's trials. Accepted work has
- * to end, so it must not wait for good for the word of one daemon: one of an earlier build tells no
- * reasons and grants nothing where it knows of no other cause; one that others hear, and this
- * daemon does not, never answers. Both are passed over, and the next in order is asked.
+ * The decider of a content is the first daemon in an order that all daemons know. Accepted work
+ * must complete, so it must not depend on one daemon. A daemon is skipped, and the next one
+ * queried, if it refuses without a reason, as earlier versions do, or if it does not respond, as
+ * when only this daemon cannot reach it.
+ *
+ * The module does no I/O and reads no clock. Objects are not thread-safe.
  */
 #ifndef HS_DIRECTORY_TRIAL_DECIDERS_H
 #define HS_DIRECTORY_TRIAL_DECIDERS_H
@@ -18,15 +20,18 @@
 hs_trial_deciders *hs_trial_deciders_new(void);
 void hs_trial_deciders_free(hs_trial_deciders *deciders);
 
-/** Whether the daemon of this life (a hash of its id and incarnation) is passed over. */
+/** Returns whether to skip a daemon. @p incarnation_hash: hash of its id and incarnation. */
 bool hs_trial_deciders_is_skipped(const hs_trial_deciders *deciders, uint64_t incarnation_hash,
-                                   uint64_t now_ms);
+                                  uint64_t now_ms);
 
-/** It refused and did not tell why: it is of an earlier build. */
+/** Notes that the daemon refused without a reason. It is skipped from then on. */
 void hs_trial_deciders_note_no_reason(hs_trial_deciders *deciders, uint64_t incarnation_hash);
 
-/** It did not answer, or it did. */
-void hs_trial_deciders_note_unanswered(hs_trial_deciders *deciders, uint64_t incarnation_hash, uint64_t now_ms);
+/** Notes that the daemon did not respond to a query. */
+void hs_trial_deciders_note_unanswered(hs_trial_deciders *deciders, uint64_t incarnation_hash,
+                                       uint64_t now_ms);
+
+/** Notes that the daemon responded to a query. */
 void hs_trial_deciders_note_answered(hs_trial_deciders *deciders, uint64_t incarnation_hash);
 
 #endif
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -1,11 +1,11 @@
 /**
  * @file test_records.c
- * Records that landed builds wrote, and such as a later build may write, as this build reads them.
+ * Tests that this build reads stored records of earlier builds, and records with fields or kinds
+ * that a later build may add.
  *
- * tests/upgrade/records/COMMIT/ holds what daemons of that build wrote in a run of the suite
- * fleet_upgrade, each record behind its length in four bytes, as the store frames them: a job's
- * manifest, progress and results, two items' contents, and a keyed record of a content that is held
- * back.
+ * tests/upgrade/records/COMMIT/ holds records that daemons of that build wrote in the suite
+ * fleet_upgrade, each after its length in four bytes (big-endian): a job's manifest, progress and
+ * results, the contents of two items, and a keyed record of a quarantined content.
  */
 #include "directory/crash_codec.h"
 #include "gen/job.pb-c.h"
@@ -15,14 +15,14 @@
 #include <string.h>
 
 #define RECORDS_FOLDER "tests/upgrade/records"
-/** Of the job that each folder holds. */
+/** Number of items of the job in each folder. */
 #define JOB_ITEMS 4
-/** A field that no build knows: number 15, a varint. */
+/** A field that no build defines: number 15, a varint. */
 static const uint8_t unknown_field[] = {0x78, 0x01};
-/** A kind of record that no build knows: number 15, a message. */
+/** A kind of record that no build defines: number 15, a message. */
 static const uint8_t unknown_kind[] = {0x7a, 0x02, 0x08, 0x01};
 
-/** Read a file of records: of GBytes*. */
+/** Reads a file of records (GBytes*). */
 static GPtrArray *read_records(const char *commit, const char *file) {
     g_autofree char *path = g_build_filename(RECORDS_FOLDER, commit, file, NULL);
     GPtrArray *records = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
@@ -40,17 +40,19 @@
     return records;
 }
 
-/** Apply a record with bytes after it, at the state's next place. */
-static bool apply_with(hs_job_state *state, GBytes *record, const uint8_t *more, size_t count) {
+/** Applies a record with bytes appended, at the state's next offset. */
+static bool apply_with_suffix(hs_job_state *state, GBytes *record, const uint8_t *suffix,
+                              size_t suffix_length) {
     gsize length = 0;
     const uint8_t *bytes = g_bytes_get_data(record, &length);
-    g_autoptr(GByteArray) whole = g_byte_array_new();
-    g_byte_array_append(whole, bytes, (guint)length);
-    g_byte_array_append(whole, more, (guint)count);
-    return hs_job_state_apply(state, hs_job_state_next(state), whole->data, whole->len);
+    g_autoptr(GByteArray) extended_record = g_byte_array_new();
+    g_byte_array_append(extended_record, bytes, (guint)length);
+    g_byte_array_append(extended_record, suffix, (guint)suffix_length);
+    return hs_job_state_apply(state, hs_job_state_next(state), extended_record->data,
+                              extended_record->len);
 }
 
-static void check_whole_job(const hs_job_state *state) {
+static void check_complete_job(const hs_job_state *state) {
     g_autoptr(GPtrArray) jobs = hs_job_state_list(state);
     CU_ASSERT_EQUAL_FATAL(jobs->len, 1);
     const hs_job *job = jobs->pdata[0];
@@ -65,21 +67,22 @@
 
 static void check_jobs(const char *commit) {
     g_autoptr(GPtrArray) records = read_records(commit, "jobs.bin");
-    hs_job_state *plain = hs_job_state_new();
-    hs_job_state *later = hs_job_state_new();
+    hs_job_state *unchanged = hs_job_state_new();
+    hs_job_state *extended = hs_job_state_new();
     for (guint index = 0; index < records->len; index++) {
         GBytes *record = records->pdata[index];
         gsize length = g_bytes_get_size(record);
         g_autoptr(GBytes) half = g_bytes_new_from_bytes(record, 0, length / 2);
-        CU_ASSERT_TRUE(apply_with(plain, record, NULL, 0));
-        CU_ASSERT_FALSE(apply_with(later, half, NULL, 0));
-        CU_ASSERT_TRUE(apply_with(later, record, unknown_field, sizeof unknown_field));
-        hs_job_state_apply(later, hs_job_state_next(later), unknown_kind, sizeof unknown_kind);
+        CU_ASSERT_TRUE(apply_with_suffix(unchanged, record, NULL, 0));
+        CU_ASSERT_FALSE(apply_with_suffix(extended, half, NULL, 0));
+        CU_ASSERT_TRUE(apply_with_suffix(extended, record, unknown_field, sizeof unknown_field));
+        hs_job_state_apply(extended, hs_job_state_next(extended), unknown_kind,
+                           sizeof unknown_kind);
     }
-    check_whole_job(plain);
-    check_whole_job(later);
-    hs_job_state_free(plain);
-    hs_job_state_free(later);
+    check_complete_job(unchanged);
+    check_complete_job(extended);
+    hs_job_state_free(unchanged);
+    hs_job_state_free(extended);
 }
 
 static void check_contents(const char *commit) {
@@ -98,25 +101,26 @@
     }
 }
 
-/** A keyed record: the length of its key in a byte, the key, the value. */
+/** A keyed record holds the length of its key in one byte, the key and the value. */
 static void check_crashes(const char *commit) {
     g_autoptr(GPtrArray) records = read_records(commit, "crashes.bin");
     CU_ASSERT_EQUAL_FATAL(records->len, 1);
     gsize length = 0;
     const uint8_t *bytes = g_bytes_get_data(records->pdata[0], &length);
-    size_t before = 1 + (size_t)bytes[0];
-    Hs__CrashEvidence *message = hs__crash_evidence__unpack(NULL, length - before, bytes + before);
+    size_t header_length = 1 + (size_t)bytes[0];
+    Hs__CrashEvidence *message =
+        hs__crash_evidence__unpack(NULL, length - header_length, bytes + header_length);
     CU_ASSERT_PTR_NOT_NULL_FATAL(message);
     if (message == NULL)
         return;
     hs_crash_evidence evidence = hs_crash_codec_read(message, G_GUINT64_CONSTANT(1000000));
     CU_ASSERT(evidence.engine_count >= HS_MIN_CRASHES_TO_QUARANTINE);
     CU_ASSERT(hs_crash_evidence_suspect_since_ms(&evidence) > 0);
-    CU_ASSERT_FALSE(hs_crash_evidence_has_long_run(&evidence)); /* It did not tell. */
+    CU_ASSERT_FALSE(hs_crash_evidence_has_long_run(&evidence)); /* No durations. */
     hs__crash_evidence__free_unpacked(message, NULL);
 }
 
-static void records_of_landed_builds_are_read(void) {
+static void records_of_earlier_builds_are_read(void) {
     g_autoptr(GDir) folder = g_dir_open(RECORDS_FOLDER, 0, NULL);
     CU_ASSERT_PTR_NOT_NULL_FATAL(folder);
     uint32_t builds = 0;
@@ -131,6 +135,6 @@
 }
 
 const test_case record_tests[] = {
-    {"records_of_landed_builds_are_read", records_of_landed_builds_are_read},
+    {"records_of_earlier_builds_are_read", records_of_earlier_builds_are_read},
     {NULL, NULL},
 };
