--- a/src/directory/crash_exchange.c
+++ b/src/directory/crash_exchange.c
@@ -16,8 +16,7 @@
  * reach the rest.
  */
 #define MAX_RECIPIENTS 16
-/** Maximum number of contents in one report, at about 200 bytes each, so that it fits a datagram.
- */
+/** Maximum number of contents in a report, at about 200 bytes each, so that it fits a datagram. */
 #define MAX_REPORT_EVIDENCE 64
 /** Maximum number of answers to digests in one window. An answer may have 13 kB, and many digests
  * differ while new evidence spreads. */
--- a/src/directory/crash_store.h
+++ b/src/directory/crash_store.h
@@ -5,7 +5,7 @@
  *
  * The store has one record per content. The live daemon that ranks first for the content writes it,
  * and deletes it when the quarantine ends. A daemon reads all records once, after its start.
- * Without a common clock the age of a record is unknown, so its quarantine then starts anew.
+ * Without a common clock the age of a record is unknown, so its quarantine then restarts.
  *
  * Not thread-safe: one thread calls the functions.
  */
--- a/src/directory/trial_deciders.c
+++ b/src/directory/trial_deciders.c
@@ -3,7 +3,7 @@
 
 #include <glib.h>
 
-/** Maximum number of incarnations remembered: two of each daemon of the largest fleet. */
+/** Maximum number of daemon incarnations remembered. */
 #define MAX_RECORDS 1024
 /** Time in ms without a response after which a daemon is skipped. Longer than the detection of a
  * dead daemon, which removes it from the order. */
@@ -31,8 +31,7 @@
     g_free(deciders);
 }
 
-/** Returns the record of an incarnation. Clears a full table: records are found again by queries.
- */
+/** Returns the record of an incarnation. Clears the table first if it is full. */
 static decider_record *get_or_create_record(hs_trial_deciders *deciders,
                                             uint64_t incarnation_hash) {
     decider_record *record = g_hash_table_lookup(deciders->records, &incarnation_hash);
--- a/src/fleet/crash_ledger.c
+++ b/src/fleet/crash_ledger.c
@@ -12,14 +12,12 @@
 #define ACQUITTAL_MS 30000
 /** Length of a first quarantine in ms. Each further engine that is lost doubles it. */
 #define INITIAL_QUARANTINE_MS 120000
-/** Upper bound of a quarantine in ms: a content that always comes again costs one engine an hour.
+/** Maximum length of a quarantine in ms: a content that is always resent costs an engine an hour.
  */
 #define MAX_QUARANTINE_MS 3600000
 /** Time in ms for which a content is remembered after its last loss, acquittal or quarantine. */
 #define RETENTION_MS 600000
-/** A content explains the losses of another one if it was lost with at least this many more
- * engines.
- */
+/** A content explains another's losses if it was lost with at least this many more engines. */
 #define EXPLAINING_MARGIN_ENGINES 2
 /**
  * Weight of a loss: half if another content that was lost with the same engine had been found to be
@@ -196,8 +194,7 @@
     return evidence->engine_count < before;
 }
 
-/** Returns, for each engine, the largest number of engines that a content lost there was lost with.
- */
+/** Returns, by engine, the largest number of engines that any content lost there was lost with. */
 static GHashTable *compute_max_engines(const hs_crash_ledger *ledger) {
     GHashTable *max_engines = g_hash_table_new(g_int64_hash, g_int64_equal);
     GHashTableIter iterator;
--- a/src/fleet/crash_ledger.h
+++ b/src/fleet/crash_ledger.h
@@ -111,7 +111,7 @@
 bool hs_crash_ledger_acquit(hs_crash_ledger *ledger, uint64_t content, uint64_t survived_ms);
 
 /**
- * Decides anew which contents are quarantined and removes expired records. Appends the state of
+ * Determines which contents are quarantined and removes expired records. Appends the state of
  * each content whose quarantine began or ended since the last call to @p changes (of
  * hs_crash_hold). Returns the number of quarantined contents.
  */
--- a/src/fleet/crash_trials.c
+++ b/src/fleet/crash_trials.c
@@ -22,8 +22,7 @@
 #define MAX_CONTENTS 1024
 /** Time in ms after the loss that quarantines a content in which further losses are of runs that
  * had started before. Later losses are of trial runs, or of daemons that did not know of the
- * quarantine.
- */
+ * quarantine. */
 #define PROPAGATION_MS 3000
 /** Maximum number of such later losses that a content may have to get a trial run. Of the three
  * runs that are allowed, this leaves one for two daemons that grant at the same time, or for a loss
--- a/tests/unit/test_crashes.c
+++ b/tests/unit/test_crashes.c
@@ -192,10 +192,10 @@
     hs_crash_ledger_list(from->ledger, 1, known);
     for (guint index = 0; index < known->len; index++) {
         const hs_crash_evidence *evidence = &g_array_index(known, hs_crash_evidence, index);
-        for (uint32_t one = 0; one < evidence->engine_count; one++) {
+        for (uint32_t position = 0; position < evidence->engine_count; position++) {
             hs_crash_loss loss = {.content = evidence->content,
-                                  .engine = evidence->engines[one].engine,
-                                  .lost_ms = evidence->engines[one].lost_ms};
+                                  .engine = evidence->engines[position].engine,
+                                  .lost_ms = evidence->engines[position].lost_ms};
             hs_crash_ledger_lose(to->ledger, &loss, to->now_ms);
         }
         if (evidence->is_acquitted)
@@ -374,8 +374,7 @@
     hs_crash_trials_free(trials);
 }
 
-/** A daemon may report a loss without the run's duration before another one reports the duration.
- */
+/** A daemon may report a loss without the run's duration, which another daemon reports later. */
 static void run_duration_is_merged_into_a_known_loss(void) {
     hs_crash_ledger *ledger = hs_crash_ledger_new();
     hs_crash_evidence known;
