--- a/src/directory/crash_exchange.h
+++ b/src/directory/crash_exchange.h
@@ -30,8 +30,7 @@
 void hs_crash_exchange_compare(hs_crash_exchange *exchange, uint64_t digest,
                                const struct sockaddr_in *from);
 
-/** Sends new evidence and, at intervals, evaluates the ledger. Called by the ticker's thread only.
- */
+/** Sends new evidence and, at intervals, evaluates the ledger. Only the ticker calls it. */
 void hs_crash_exchange_tick(hs_crash_exchange *exchange, uint64_t now_ms);
 
 #endif
--- a/src/fleet/crash_ledger.c
+++ b/src/fleet/crash_ledger.c
@@ -12,8 +12,7 @@
 #define ACQUITTAL_MS 30000
 /** Length of a first quarantine in ms. Each further engine that is lost doubles it. */
 #define INITIAL_QUARANTINE_MS 120000
-/** Maximum length of a quarantine in ms: a content that is always resent costs an engine an hour.
- */
+/** Maximum length of a quarantine in ms: a content that always returns costs an engine an hour. */
 #define MAX_QUARANTINE_MS 3600000
 /** Time in ms for which a content is remembered after its last loss, acquittal or quarantine. */
 #define RETENTION_MS 600000
--- a/tests/unit/test_crashes.c
+++ b/tests/unit/test_crashes.c
@@ -123,8 +123,7 @@
     free_ledger(&test);
 }
 
-/** A content that ran with the cause on three engines is released once the cause is lost with more.
- */
+/** A content that ran with the cause three times is released once the cause has two more losses. */
 static void content_that_ran_with_the_cause_is_released(void) {
     test_ledger test = create_ledger();
     for (uint64_t engine = 1; engine <= 3; engine++) {
