--- a/src/jobs/item_run.c
+++ b/src/jobs/item_run.c
@@ -216,12 +216,12 @@
  */
 static bool is_held_back(hs_item_run *run, hs_fleet_engines *engines, uint64_t content) {
     hs_crash_watch *watch = hs_fleet_engines_crash_watch(engines);
-    hs_crash_hold hold;
-    bool is_held = watch != NULL && hs_crash_watch_is_held(watch, content, &hold);
+    hs_crash_quarantine hold;
+    bool is_held = watch != NULL && hs_crash_watch_is_quarantined(watch, content, &hold);
     run->is_on_trial = run->is_on_trial && is_held;
     if (!is_held || run->is_on_trial)
         return false;
-    hs_trial_verdict verdict = hs_crash_watch_claim_trial(watch, content, true);
+    hs_trial_verdict verdict = hs_crash_watch_request_trial(watch, content, true);
     run->is_on_trial = verdict == HS_TRIAL_GRANTED;
     if (run->is_on_trial)
         return false;
--- a/src/online/online_attempts.c
+++ b/src/online/online_attempts.c
@@ -150,12 +150,12 @@
 /** Whether the request's content is held back, since engines crash under it: noted with the end. */
 static bool is_held_back(hs_online_request *request, hs_end_reason *reason) {
     hs_crash_watch *watch = hs_fleet_engines_crash_watch(request->online->engines);
-    hs_crash_hold hold;
-    if (watch == NULL || !hs_crash_watch_is_held(watch, request->content, &hold))
+    hs_crash_quarantine hold;
+    if (watch == NULL || !hs_crash_watch_is_quarantined(watch, request->content, &hold))
         return false;
     bool is_unsent = request->is_on_trial && request->run == HS_RUN_DID_NOT;
     hs_trial_verdict verdict =
-        is_unsent ? HS_TRIAL_GRANTED : hs_crash_watch_claim_trial(watch, request->content, false);
+        is_unsent ? HS_TRIAL_GRANTED : hs_crash_watch_request_trial(watch, request->content, false);
     request->is_on_trial = verdict == HS_TRIAL_GRANTED;
     if (request->is_on_trial)
         return false;
--- a/tests/fuzz/crash_record.c
+++ b/tests/fuzz/crash_record.c
@@ -17,7 +17,7 @@
                               .engine = engine->engine,
                               .lost_ms = engine->lost_ms,
                               .ran_ms = engine->ran_ms};
-        hs_crash_ledger_lose(ledger, &loss, NOW_MS);
+        hs_crash_ledger_add_loss(ledger, &loss, NOW_MS);
     }
     if (told->is_acquitted)
         hs_crash_ledger_acquit(ledger, told->content, told->acquitted_ms);
@@ -27,9 +27,9 @@
     hs_crash_evidence known;
     if (!hs_crash_ledger_find(ledger, content, &known))
         return;
-    FUZZ_CHECK(known.engine_count <= HS_CRASH_ENGINES_MOST);
+    FUZZ_CHECK(known.engine_count <= HS_MAX_CRASH_ENGINES);
     hs_crash_trials *trials = hs_crash_trials_new();
-    hs_trial_claim claim = {.evidence = &known, .is_accepted = true};
+    hs_trial_candidate claim = {.evidence = &known, .is_accepted = true};
     hs_trial_verdict verdict = hs_crash_trials_decide(trials, &claim, NOW_MS);
     FUZZ_CHECK(hs_trial_verdict_name(verdict) != NULL);
     hs_crash_trials_free(trials);
@@ -41,11 +41,11 @@
         return 0;
     hs_crash_evidence told = hs_crash_codec_read(message, NOW_MS);
     hs__crash_evidence__free_unpacked(message, NULL);
-    FUZZ_CHECK(told.engine_count <= HS_CRASH_ENGINES_MOST);
+    FUZZ_CHECK(told.engine_count <= HS_MAX_CRASH_ENGINES);
     hs_crash_ledger *ledger = hs_crash_ledger_new();
-    g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(hs_crash_hold));
+    g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(hs_crash_quarantine));
     learn(ledger, &told);
-    hs_crash_ledger_judge(ledger, NOW_MS, changes);
+    hs_crash_ledger_evaluate(ledger, NOW_MS, changes);
     uint64_t digest = hs_crash_ledger_digest(ledger);
     learn(ledger, &told);
     FUZZ_CHECK(hs_crash_ledger_digest(ledger) == digest);
--- a/tests/unit/test_entries.c
+++ b/tests/unit/test_entries.c
@@ -143,19 +143,19 @@
     hs_crash_watch *watch = hs_crash_watch_new();
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_fleet_engines_set_crash_watch(engines, watch);
-    hs_crash_hold hold;
+    hs_crash_quarantine hold;
     for (uint64_t start = 1; start <= 3; start++) {
         put(engines, "e", start * 1000);
         hs_engine_lease *lease = take(engines);
         CU_ASSERT_PTR_NOT_NULL_FATAL(lease);
         hs_engine_lease_note_run_end(lease, 77, HS_ATTEMPT_BROKEN);
         hs_engine_lease_release(lease, NULL, HS_ATTEMPT_BROKEN);
-        CU_ASSERT_FALSE(hs_crash_watch_is_held(watch, 77, &hold));
+        CU_ASSERT_FALSE(hs_crash_watch_is_quarantined(watch, 77, &hold));
     }
     put(engines, "e", 4000);
     bool is_held = false;
     for (int polls = 0; polls < 100 && !is_held; polls++) {
-        is_held = hs_crash_watch_is_held(watch, 77, &hold);
+        is_held = hs_crash_watch_is_quarantined(watch, 77, &hold);
         hs_clock_sleep_ms(10);
     }
     CU_ASSERT_TRUE(is_held);
@@ -206,13 +206,13 @@
     hs_crash_watch *watch = hs_crash_watch_new();
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_fleet_engines_set_crash_watch(engines, watch);
-    hs_crash_hold hold;
+    hs_crash_quarantine hold;
     for (guint index = 0; index < G_N_ELEMENTS(ids); index++) {
         cut_at_listener(engines, ids[index]);
-        CU_ASSERT_FALSE(hs_crash_watch_is_held(watch, 77, &hold));
+        CU_ASSERT_FALSE(hs_crash_watch_is_quarantined(watch, 77, &hold));
         hs_fleet_engines_lapse(engines, ids[index]);
     }
-    CU_ASSERT_TRUE(hs_crash_watch_is_held(watch, 77, &hold));
+    CU_ASSERT_TRUE(hs_crash_watch_is_quarantined(watch, 77, &hold));
     CU_ASSERT_EQUAL(hold.engines, 3);
     hs_fleet_engines_free(engines);
     hs_crash_watch_free(watch);
