--- a/src/online/admission.c
+++ b/src/online/admission.c
@@ -7,48 +7,48 @@
 #include <math.h>
 
 /**
- * Share of the time left in which a place must be expected: runs differ, and what is believed is
- * some hundred ms old.
+ * The expected wait must not exceed this part of the time left: run times vary, and engine load
+ * reports are up to a few hundred ms old.
  */
-#define WAIT_SHARE 0.5
-/** With this share of the slots free, engines that refuse requests now can take them any moment. */
-#define ROOM_SHARE 0.5
+#define MAX_WAIT_RATIO 0.5
+/** With at least this part of the slots free, a request that waits is no sign of a shortage. */
+#define AMPLE_FREE_RATIO 0.5
 /**
- * With this share of the slots free a place counts as left over: with fewer, a place that words of
- * some 100 ms tell of would be gone.
+ * With at least this part of the slots free, a best-effort request may take one. With fewer, the
+ * slot is probably gone already, since engine load reports lag behind.
  */
-#define LEFT_SHARE 0.05
+#define SPARE_FREE_RATIO 0.05
 
-/** Time left of the objective, less what the engine needs; 0: it is over. */
+/** Returns the time left of the objective minus the engine's time to first byte, 0 if none. */
 static double spare_ms(const hs_admission_view *view) {
-    double over_ms = (double)view->age_ms + (double)view->waited_ms + (double)view->need_ms;
-    return fmax((double)view->target_ms - over_ms, 0);
+    double used_ms = (double)view->age_ms + (double)view->waited_ms + (double)view->need_ms;
+    return fmax((double)view->target_ms - used_ms, 0);
 }
 
 /**
- * Places that words tell of may be gone, or at engines that are: what has waited here for longer
- * than a pause between two tries has asked engines in vain.
+ * Reported free slots may be taken already, or belong to engines that are gone. So a service also
+ * counts as short if a request has waited longer than the longest pause between two attempts.
  */
 static bool is_short(const hs_admission_view *view) {
     const hs_service_pressure *pressure = &view->pressure;
-    bool waits_in_vain = view->head_waited_ms > HS_HELD_PAUSE_MOST_MS;
-    bool has_room = pressure->slots <= 0 || pressure->free_share >= ROOM_SHARE;
-    return pressure->is_short || (waits_in_vain && !has_room);
+    bool is_head_overdue = view->head_waited_ms > HS_HELD_PAUSE_MOST_MS;
+    bool has_ample_slots = pressure->slots <= 0 || pressure->free_share >= AMPLE_FREE_RATIO;
+    return pressure->is_short || (is_head_overdue && !has_ample_slots);
 }
 
-/** Callers' time-outs differ by some ms; nobody is told to come back sooner than this. */
-static bool came_back(const hs_admission_view *view) {
-    return view->age_ms >= HS_RETRY_AFTER_LEAST_MS;
+/** Ignores smaller ages: timeouts vary by a few ms, and no caller is told to return sooner. */
+static bool is_returning_caller(const hs_admission_view *view) {
+    return view->age_ms >= HS_RETRY_AFTER_MIN_MS;
 }
 
-/** What was late before it could be tried would be late when it comes back, too. */
-static bool stands_by(const hs_admission_view *view, double spare) {
-    return came_back(view) || (spare <= 0 && !view->was_tried);
+/** Includes requests that were late before their first attempt: a later retry would be late too. */
+static bool is_best_effort(const hs_admission_view *view, double spare) {
+    return is_returning_caller(view) || (spare <= 0 && !view->was_tried);
 }
 
-/** Whether a place is free that no request in time waits for, so that another may take it. */
-static bool is_place_left(const hs_admission_view *view) {
-    return view->head_waited_ms == 0 && view->pressure.free_share >= LEFT_SHARE;
+/** Whether a slot is free that no request in time waits for. */
+static bool has_spare_slot(const hs_admission_view *view) {
+    return view->head_waited_ms == 0 && view->pressure.free_share >= SPARE_FREE_RATIO;
 }
 
 hs_admission_choice hs_admission_choose(const hs_admission_view *view) {
@@ -58,18 +58,19 @@
     hs_admission_choice choice = {
         .verdict = HS_ADMISSION_OPEN,
         .expected_ms = (uint64_t)ceil(expected_ms),
-        .hold_most_ms = (uint64_t)spare,
-        .begin_ms = (uint64_t)(spare * WAIT_SHARE) + view->need_ms,
+        .max_hold_ms = (uint64_t)spare,
+        .begin_ms = (uint64_t)(spare * MAX_WAIT_RATIO) + view->need_ms,
         .may_try = true,
     };
-    if (!is_short(view) || view->has_run || view->target_ms == 0)
+    if (!is_short(view) || view->may_have_run || view->target_ms == 0)
         return choice;
-    bool is_in_time = spare > 0 && expected_ms <= spare * WAIT_SHARE;
+    bool is_in_time = spare > 0 && expected_ms <= spare * MAX_WAIT_RATIO;
     if (is_in_time)
-        choice.verdict = view->is_less_urgent ? HS_ADMISSION_STAND_BY : HS_ADMISSION_IN_TIME;
+        choice.verdict = view->is_less_urgent ? HS_ADMISSION_BEST_EFFORT : HS_ADMISSION_IN_TIME;
     else
-        choice.verdict = stands_by(view, spare) ? HS_ADMISSION_STAND_BY : HS_ADMISSION_REFUSE;
-    choice.may_try = choice.verdict == HS_ADMISSION_STAND_BY ? is_place_left(view) : spare > 0;
+        choice.verdict =
+            is_best_effort(view, spare) ? HS_ADMISSION_BEST_EFFORT : HS_ADMISSION_REFUSE;
+    choice.may_try = choice.verdict == HS_ADMISSION_BEST_EFFORT ? has_spare_slot(view) : spare > 0;
     return choice;
 }
 
@@ -77,7 +78,7 @@
     static const char *const names[] = {
         [HS_ADMISSION_OPEN] = "open",
         [HS_ADMISSION_IN_TIME] = "in_time",
-        [HS_ADMISSION_STAND_BY] = "stand_by",
+        [HS_ADMISSION_BEST_EFFORT] = "stand_by",
         [HS_ADMISSION_REFUSE] = "refuse",
     };
     return names[verdict];
--- a/src/online/caller_age.c
+++ b/src/online/caller_age.c
@@ -1,11 +1,11 @@
-/** @file caller_age.c  How long ago callers first asked; see caller_age.h. */
+/** @file caller_age.c  See caller_age.h. */
 #include "online/caller_age.h"
 
 #include <glib.h>
 
-/** The longest time-out shrinks by this part with each request, so that an old one is forgotten
- * within some hundred requests. */
-#define FORGET_PARTS 256
+/** The longest timeout decays by 1/256 per request, so an old one is forgotten after some hundreds.
+ */
+#define DECAY_DIVISOR 256
 
 struct hs_caller_ages {
     GMutex lock;
@@ -16,7 +16,7 @@
     if (timeout_ms == 0)
         return 0;
     uint64_t longest_ms = age->longest_ms;
-    age->longest_ms = MAX(timeout_ms, longest_ms - longest_ms / FORGET_PARTS);
+    age->longest_ms = MAX(timeout_ms, longest_ms - longest_ms / DECAY_DIVISOR);
     return longest_ms > timeout_ms ? longest_ms - timeout_ms : 0;
 }
 
@@ -42,7 +42,7 @@
         age = g_new0(hs_caller_age, 1);
         g_hash_table_insert(ages->by_route, g_strdup(route), age);
     }
-    uint64_t over_ms = hs_caller_age_note(age, timeout_ms);
+    uint64_t elapsed_ms = hs_caller_age_note(age, timeout_ms);
     g_mutex_unlock(&ages->lock);
-    return over_ms;
+    return elapsed_ms;
 }
--- a/src/online/fair_claim.c
+++ b/src/online/fair_claim.c
@@ -1,23 +1,23 @@
-/** @file fair_claim.c  See fair_claim.h. */
+/** @file fair_claim.c  See queue_priority.h. */
 #include "online/fair_claim.h"
 
 #include <math.h>
 
-/** Doublings above one slot that bands tell apart; the last band holds all beyond. */
-#define BANDS_MOST 64
+/** Highest band; it holds all greater values. */
+#define MAX_BAND 64
 
-/** Bands of a factor two, from one slot on: small differences are noise. */
+/** Groups slot counts by powers of two, since small differences are noise. */
 static int band_of(double used_slots) {
     if (!(used_slots > 1))
         return 0;
-    return 1 + (int)fmin(log2(used_slots), BANDS_MOST);
+    return 1 + (int)fmin(log2(used_slots), MAX_BAND);
 }
 
 static int compare(uint64_t one, uint64_t other) {
     return (one > other) - (one < other);
 }
 
-int hs_fair_claim_compare(const hs_fair_claim *one, const hs_fair_claim *other) {
+int hs_queue_priority_compare(const hs_fair_claim *one, const hs_fair_claim *other) {
     if (one->is_in_time != other->is_in_time)
         return one->is_in_time ? -1 : 1;
     int order = compare(one->rank, other->rank);
@@ -28,8 +28,8 @@
     return order != 0 ? order : compare(one->arrived_ms, other->arrived_ms);
 }
 
-bool hs_fair_claim_is_behind(const hs_fair_claim *other, const hs_fair_claim *claim) {
-    bool is_known = claim->used_slots > 0;
-    return is_known && other->rank >= claim->rank &&
-           band_of(other->used_slots) > band_of(claim->used_slots);
+bool hs_queue_priority_is_behind(const hs_fair_claim *other, const hs_fair_claim *priority) {
+    bool is_known = priority->used_slots > 0;
+    return is_known && other->rank >= priority->rank &&
+           band_of(other->used_slots) > band_of(priority->used_slots);
 }
--- a/src/online/fair_claim.h
+++ b/src/online/fair_claim.h
@@ -1,11 +1,12 @@
 /**
  * @file fair_claim.h
- * Whose request goes first, and whose is refused first, while a service is short of places. Pure.
+ * Order in which requests get slots, or are refused, while a service is short of slots. Pure
+ * functions.
  *
- * Max-min fair by slots, not by requests: a claim whose group (a tenant) asks for little of the
- * engines' slots of late goes before one whose group asks for much. In order: what can be in time;
- * the more urgent kind, which is not to be served less than a less urgent one, whoever asks; less
- * asked for, in bands; less time left; age.
+ * The order is max-min fair in slots, not in requests: a request of a tenant that uses few of the
+ * engines' slots goes before one of a tenant that uses many. Requests are compared by these, in
+ * turn: can still be in time, urgency rank, slots used by the tenant (in coarse bands), deadline,
+ * arrival. Rank comes before use, so a less urgent kind never gets ahead of a more urgent one.
  */
 #ifndef HS_ONLINE_FAIR_CLAIM_H
 #define HS_ONLINE_FAIR_CLAIM_H
@@ -13,23 +14,23 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** One request that wants a place. */
+/** Priority key of one request that waits for a slot. */
 typedef struct {
-    double
-        used_slots;  /**< Slots that its group asks for of late, over all daemons; 0: not known. */
-    uint32_t rank;   /**< Of its kind; 0 is the most urgent. */
-    bool is_in_time; /**< It can still be answered within its objective. */
-    uint64_t arrived_ms; /**< When it came. */
+    double used_slots;   /**< Slots its tenant recently requested at all daemons; 0: unknown. */
+    uint32_t rank;       /**< Urgency of its kind; 0 is the most urgent. */
+    bool is_in_time;     /**< It can still be answered within its objective. */
+    uint64_t arrived_ms; /**< Monotonic time. */
     uint64_t deadline_ms;
 } hs_fair_claim;
 
 /**
- * Whether @p other, of those in time, goes after @p claim whoever comes first, and so does not
- * lengthen its wait: its kind is no more urgent, and its group is known to ask for clearly more.
+ * Whether @p other sorts after @p priority whatever their arrival times, and so does not lengthen
+ * its wait: @p other is no more urgent, and its tenant is known to use clearly more slots. Both are
+ * taken to be in time.
  */
-bool hs_fair_claim_is_behind(const hs_fair_claim *other, const hs_fair_claim *claim);
+bool hs_queue_priority_is_behind(const hs_fair_claim *other, const hs_fair_claim *priority);
 
-/** Below 0: @p one goes first; above 0: @p other. */
-int hs_fair_claim_compare(const hs_fair_claim *one, const hs_fair_claim *other);
+/** Returns a value below 0 if @p one goes first, above 0 if @p other does. */
+int hs_queue_priority_compare(const hs_fair_claim *one, const hs_fair_claim *other);
 
 #endif
--- a/src/online/fair_level.h
+++ b/src/online/fair_level.h
@@ -1,42 +1,43 @@
 /**
  * @file fair_level.h
- * How many places of a service a group of callers (a tenant) may hold while the service is short of
- * places. Pure; times in ms of one monotonic clock.
+ * How many slots of a service one tenant may use while the service is short of slots. Pure
+ * functions; times are in ms of one monotonic clock.
  *
- * Max-min fair: whoever asks for less than the level is not touched, of the others' requests the
- * part of them passes that fills the level (as in core-stateless fair queueing). No daemon works
- * the level out for all: each finds its own, begun at the same place, lowered while the service is
- * short, raised while places stand free, and not applied at all where nothing was short of late.
+ * The share is max-min fair: requests of a tenant that uses less are not affected, and of the
+ * other tenants' requests a random part is refused so that the rest fills the share (as in
+ * core-stateless fair queueing). Each daemon adapts its own share without coordination: all start
+ * at the same value, lower it while the service is full, raise it while slots are free, and drop
+ * it some time after the shortage.
  */
 #ifndef HS_ONLINE_FAIR_LEVEL_H
 #define HS_ONLINE_FAIR_LEVEL_H
 
 #include "fleet/service_pressure.h"
 
-/** Zero-initialise. */
+/** Share of one service's slots per tenant. Zero-initialise. */
 typedef struct {
-    double slots;        /**< 0: none is applied. */
-    uint64_t adapted_ms; /**< 0: never. */
-} hs_fair_level;
+    double slots;        /**< 0: no share is applied. */
+    uint64_t updated_ms; /**< Time of the last update; 0: never. */
+} hs_fair_share;
 
-/** Follow the service's pressure at this moment; @p slots: of its sound engines. */
-void hs_fair_level_adapt(hs_fair_level *level, const hs_service_pressure *pressure, uint32_t slots,
-                         uint64_t now_ms);
+/** Adapts the share to the current pressure; @p slots: slots of the service's healthy engines. */
+void hs_fair_share_update(hs_fair_share *share, const hs_service_pressure *pressure, uint32_t slots,
+                          uint64_t now_ms);
 
 /**
- * Whether a request of a group that asks for @p used_slots is over the level, by @p draw (0 to 1,
- * even over requests): of a group at twice the level each second one is.
+ * Whether a request of a tenant that uses @p used_slots is to be refused. @p sample is uniform in
+ * 0 to 1 over requests: of a tenant at twice the share every second request is refused.
  */
-bool hs_fair_level_is_over(const hs_fair_level *level, double used_slots, double draw,
-                           const hs_service_pressure *pressure);
+bool hs_fair_share_is_exceeded(const hs_fair_share *share, double used_slots, double sample,
+                               const hs_service_pressure *pressure);
 
 /**
- * A request's draw: the same each time that it comes, by its id. Without one (NULL, empty) it is by
- * @p otherwise, which is to be another for each request.
+ * Returns a request's sample, a hash of its id, so that retries get the same one. Without an id
+ * (NULL or empty) it is a hash of @p fallback, which should differ between requests.
  */
-double hs_fair_level_draw(const char *request_id, uint64_t otherwise);
+double hs_fair_share_sample(const char *request_id, uint64_t fallback);
 
-/** Time in ms until the group's use has faded to the level, where it asks for nothing more. */
-uint64_t hs_fair_level_return_ms(const hs_fair_level *level, double used_slots);
+/** Returns the time in ms until the tenant's use decays to the share if it requests no more. */
+uint64_t hs_fair_share_retry_after_ms(const hs_fair_share *share, double used_slots);
 
 #endif
--- a/src/online/fair_levels.h
+++ b/src/online/fair_levels.h
@@ -1,4 +1,4 @@
-/** @file fair_levels.h  The fair levels of a daemon's services; shared by threads. */
+/** @file fair_levels.h  Tenants' fair shares of all services of a daemon. Thread-safe. */
 #ifndef HS_ONLINE_FAIR_LEVELS_H
 #define HS_ONLINE_FAIR_LEVELS_H
 
@@ -7,33 +7,34 @@
 typedef struct hs_fair_levels hs_fair_levels;
 
 hs_fair_levels *hs_fair_levels_new(void);
-void hs_fair_levels_free(hs_fair_levels *levels);
+void hs_fair_levels_free(hs_fair_levels *shares);
 
-/** A request that wants a place of a service. Borrowed. */
+/** A request that needs a slot of a service. Strings are borrowed. */
 typedef struct {
     const char *service;
     double used_slots; /**< See hs_online_access. */
-    double draw;       /**< See hs_fair_level_is_over. */
-    bool returns;      /**< Its caller was refused before. */
-} hs_fair_request;
+    double sample;     /**< See hs_fair_share_is_exceeded. */
+    bool was_refused;  /**< The caller was refused before and has returned. */
+} hs_fair_share_request;
 
-/** What was decided of it, and by what. */
+/** A decision on a request, and the figures it was made by. */
 typedef struct {
-    bool is_over;
-    double level_slots; /**< 0: none is applied. */
-    uint64_t return_ms; /**< Until its share has room. */
-} hs_fair_verdict;
+    bool is_over;            /**< The request is to be refused. */
+    double share_slots;      /**< 0: no share is applied. */
+    uint64_t retry_after_ms; /**< Expected time until the tenant is within its share. */
+} hs_fair_share_verdict;
 
 /**
- * Follow the pressure, and decide; @p slots: of the service's sound engines. One
- * that returns is over its share only where its tenant asks for more than twice the level: to be
- * refused again costs its caller more than another's first refusal.
+ * Adapts the service's share to the pressure, then decides whether the request exceeds it.
+ * @p slots: slots of the service's healthy engines. A caller that was refused before is refused
+ * again only if its tenant uses more than twice the share.
  */
-hs_fair_verdict hs_fair_levels_judge(hs_fair_levels *levels, const hs_fair_request *request,
-                                     const hs_service_pressure *pressure, uint32_t slots,
-                                     uint64_t now_ms);
+hs_fair_share_verdict hs_fair_shares_decide(hs_fair_levels *shares,
+                                            const hs_fair_share_request *request,
+                                            const hs_service_pressure *pressure, uint32_t slots,
+                                            uint64_t now_ms);
 
-/** The levels as metrics. Free with g_free. */
-char *hs_fair_levels_describe(hs_fair_levels *levels);
+/** Returns the shares in metrics format. Free with g_free. */
+char *hs_fair_levels_describe(hs_fair_levels *shares);
 
 #endif
--- a/src/online/held_requests.c
+++ b/src/online/held_requests.c
@@ -7,19 +7,18 @@
 
 #include <glib.h>
 
-/** The held requests of one service. */
 typedef struct {
     hs_hold_queue queue;
-    GPtrArray *requests; /**< of hs_held_request*; theirs who hold them. */
+    GPtrArray *requests; /**< of hs_held_request*, not owned. */
 } service_held;
 
 struct hs_held_request {
     service_held *service;
-    hs_fair_claim claim;
+    hs_fair_claim priority;
     GCond woken;
     bool is_waiting;
     bool is_woken;
-    uint64_t woken_ms; /**< When it was woken last; 0: never. */
+    uint64_t woken_ms; /**< When it was last woken; 0: never. */
 };
 
 struct hs_held_requests {
@@ -49,7 +48,7 @@
     g_free(held);
 }
 
-/** The caller holds the lock, as for all below that have no lock of their own. */
+/** Returns the service, added if missing. The caller holds the lock, as for all helpers below. */
 static service_held *service_of(hs_held_requests *held, const char *name) {
     service_held *service = g_hash_table_lookup(held->by_service, name);
     if (service != NULL)
@@ -61,10 +60,10 @@
 }
 
 hs_held_request *hs_held_requests_enter(hs_held_requests *held, const char *service,
-                                        const hs_fair_claim *claim) {
+                                        const hs_fair_claim *priority) {
     hs_held_request *request = g_new0(hs_held_request, 1);
     g_cond_init(&request->woken);
-    request->claim = *claim;
+    request->priority = *priority;
     g_mutex_lock(&held->lock);
     request->service = service_of(held, service);
     hs_hold_queue_enter(&request->service->queue, hs_clock_monotonic_ms());
@@ -74,26 +73,26 @@
     return request;
 }
 
-/** First in order that waits and was not woken just now; NULL: none. */
+/** Returns the first waiting request that was not woken recently, or NULL. */
 static hs_held_request *first_waiting(const service_held *service, uint64_t now_ms) {
     hs_held_request *first = NULL;
     for (guint index = 0; index < service->requests->len; index++) {
         hs_held_request *request = service->requests->pdata[index];
-        bool was_woken =
-            request->woken_ms != 0 && now_ms < request->woken_ms + HS_HELD_TRY_LEAST_MS;
-        if (!request->is_waiting || request->is_woken || was_woken)
+        bool was_woken_recently =
+            request->woken_ms != 0 && now_ms < request->woken_ms + HS_HELD_MIN_WAKE_INTERVAL_MS;
+        if (!request->is_waiting || request->is_woken || was_woken_recently)
             continue;
-        if (first == NULL || hs_fair_claim_compare(&request->claim, &first->claim) < 0)
+        if (first == NULL || hs_queue_priority_compare(&request->priority, &first->priority) < 0)
             first = request;
     }
     return first;
 }
 
-/** @p is_for_in_time: the place is for one that can be in time, or for nobody. */
-static bool wake_first(hs_held_requests *held, const service_held *service, bool is_for_in_time) {
+/** Wakes the first waiting request; with @p only_in_time only if it can be in time. */
+static bool wake_first(hs_held_requests *held, const service_held *service, bool only_in_time) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     hs_held_request *first = first_waiting(service, now_ms);
-    if (first == NULL || (is_for_in_time && !first->claim.is_in_time))
+    if (first == NULL || (only_in_time && !first->priority.is_in_time))
         return false;
     first->is_woken = true;
     first->woken_ms = now_ms;
@@ -108,22 +107,22 @@
     hs_hold_queue_leave(&service->queue, is_placed, hs_clock_monotonic_ms());
     g_ptr_array_remove(service->requests, request);
     held->counters.held--;
-    if (request->is_woken && !is_placed) /* It leaves the place for which it was woken. */
+    if (request->is_woken && !is_placed) /* The slot it was woken for is unused. */
         wake_first(held, service, false);
     g_mutex_unlock(&held->lock);
     g_cond_clear(&request->woken);
     g_free(request);
 }
 
-/** Wait until it is woken, @p most_ms at most. */
-static void wait_for(hs_held_requests *held, hs_held_request *request, uint64_t most_ms) {
-    hs_pause pause = hs_clock_pause_begin(most_ms);
-    bool is_over = false;
-    while (!request->is_woken && !is_over)
-        is_over = !hs_clock_pause_wait(&pause, &request->woken, &held->lock);
+/** Waits until the request is woken or @p max_wait_ms have passed. */
+static void wait_for(hs_held_requests *held, hs_held_request *request, uint64_t max_wait_ms) {
+    hs_pause pause = hs_clock_pause_begin(max_wait_ms);
+    bool is_timed_out = false;
+    while (!request->is_woken && !is_timed_out)
+        is_timed_out = !hs_clock_pause_wait(&pause, &request->woken, &held->lock);
 }
 
-/** The lock is let go meanwhile. */
+/** Releases the lock during the check. */
 static bool has_caller_left(hs_held_requests *held, int watched) {
     g_mutex_unlock(&held->lock);
     bool has_left = hs_peer_has_left(watched);
@@ -132,18 +131,18 @@
 }
 
 bool hs_held_requests_wait(hs_held_requests *held, hs_held_request *request,
-                           const hs_fair_claim *claim, int watched, uint64_t most_ms) {
+                           const hs_fair_claim *priority, int watched, uint64_t max_wait_ms) {
     g_mutex_lock(&held->lock);
-    if (request->is_woken && !claim->is_in_time)
+    if (request->is_woken && !priority->is_in_time)
         wake_first(held, request->service, true);
-    request->claim = *claim;
+    request->priority = *priority;
     request->is_woken = false;
     request->is_waiting = true;
     bool has_left = false;
-    while (!request->is_woken && !has_left && most_ms > 0) {
-        uint64_t look_ms = MIN(most_ms, HS_HELD_LOOK_MS);
-        wait_for(held, request, look_ms);
-        most_ms -= look_ms;
+    while (!request->is_woken && !has_left && max_wait_ms > 0) {
+        uint64_t slice_ms = MIN(max_wait_ms, HS_HELD_CALLER_CHECK_INTERVAL_MS);
+        wait_for(held, request, slice_ms);
+        max_wait_ms -= slice_ms;
         has_left = !request->is_woken && has_caller_left(held, watched);
     }
     request->is_waiting = false;
@@ -156,22 +155,23 @@
 bool hs_held_requests_wake(hs_held_requests *held, const char *service) {
     g_mutex_lock(&held->lock);
     const service_held *known = g_hash_table_lookup(held->by_service, service);
-    bool is_anybody = known != NULL && wake_first(held, known, false);
+    bool is_any_woken = known != NULL && wake_first(held, known, false);
     g_mutex_unlock(&held->lock);
-    return is_anybody;
+    return is_any_woken;
 }
 
 /**
- * How long the first of those waits that can be in time and are not behind @p claim (NULL: nobody
- * is); 0: there is none.
+ * Returns how long the oldest request has waited that can be in time and is not behind @p priority
+ * (NULL: none is behind). Returns 0 if there is none.
  */
-static uint64_t head_waited_ms(const service_held *service, const hs_fair_claim *claim,
+static uint64_t head_waited_ms(const service_held *service, const hs_fair_claim *priority,
                                uint64_t now_ms) {
     uint64_t head_ms = 0;
     for (guint index = 0; index < service->requests->len; index++) {
         const hs_fair_claim *held =
-            &((const hs_held_request *)service->requests->pdata[index])->claim;
-        bool counts = held->is_in_time && (claim == NULL || !hs_fair_claim_is_behind(held, claim));
+            &((const hs_held_request *)service->requests->pdata[index])->priority;
+        bool counts =
+            held->is_in_time && (priority == NULL || !hs_queue_priority_is_behind(held, priority));
         if (counts && (head_ms == 0 || held->arrived_ms < head_ms))
             head_ms = held->arrived_ms;
     }
@@ -179,7 +179,7 @@
 }
 
 hs_held_view hs_held_requests_view(hs_held_requests *held, const char *service,
-                                   const hs_fair_claim *claim) {
+                                   const hs_fair_claim *priority) {
     hs_held_view view = {0};
     g_mutex_lock(&held->lock);
     uint64_t now_ms = hs_clock_monotonic_ms();
@@ -187,7 +187,7 @@
     view.held = known->requests->len;
     view.expected_ms = hs_hold_queue_expected_ms(&known->queue, now_ms);
     view.head_waited_ms = head_waited_ms(known, NULL, now_ms);
-    view.ahead_waited_ms = head_waited_ms(known, claim, now_ms);
+    view.ahead_waited_ms = head_waited_ms(known, priority, now_ms);
     g_mutex_unlock(&held->lock);
     return view;
 }
--- a/src/online/held_requests.h
+++ b/src/online/held_requests.h
@@ -1,10 +1,10 @@
 /**
  * @file held_requests.h
- * The requests that a daemon holds, by service: each waits for a place in an order, and a place
- * that frees wakes the first. Shared by threads.
+ * Requests that a daemon holds until an engine has a free slot, by service. A slot that becomes
+ * free wakes the first request in the order of hs_fair_claim. Thread-safe.
  *
- * A place is heard of by chance, and another daemon may take it: whoever waits tries again after
- * its pause in any case.
+ * Daemons do not learn of every free slot, and another daemon may take it first. So each held
+ * request also tries again after a pause.
  */
 #ifndef HS_ONLINE_HELD_REQUESTS_H
 #define HS_ONLINE_HELD_REQUESTS_H
@@ -16,58 +16,65 @@
 
 typedef struct hs_held_requests hs_held_requests;
 
-/** One held request. */
+/** One held request. Created by hs_held_requests_enter, freed by hs_held_requests_leave. */
 typedef struct hs_held_request hs_held_request;
 
-/** What is known of a service's held requests. */
+/** State of a service's held requests. */
 typedef struct {
     uint32_t held;
     uint64_t expected_ms;     /**< See hs_hold_queue_expected_ms. */
-    uint64_t head_waited_ms;  /**< Since the first of those came that can be in time; 0: none. */
-    uint64_t ahead_waited_ms; /**< The same of those that are not behind a claim. */
+    uint64_t head_waited_ms;  /**< Wait of the oldest that can be in time; 0: none. */
+    uint64_t ahead_waited_ms; /**< The same without those behind a priority. */
 } hs_held_view;
 
-/** Counts over all services, for metrics. */
+/** Totals over all services, for metrics. */
 typedef struct {
-    uint32_t held;     /**< Now. */
-    uint64_t woken;    /**< By a place, so far. */
-    uint64_t timeouts; /**< Pauses that ended without one. */
+    uint32_t held;     /**< Currently held. */
+    uint64_t woken;    /**< Wake-ups by a free slot. */
+    uint64_t timeouts; /**< Waits that ended without a wake-up. */
 } hs_held_counters;
 
 hs_held_requests *hs_held_requests_new(void);
 void hs_held_requests_free(hs_held_requests *held);
 
-/** A request of the service is held from now on; end it with hs_held_requests_leave. */
+/** Adds a held request of the service. Free it with hs_held_requests_leave. */
 hs_held_request *hs_held_requests_enter(hs_held_requests *held, const char *service,
-                                        const hs_fair_claim *claim);
+                                        const hs_fair_claim *priority);
 
-/** It is held no longer, and is freed; @p is_placed: since an engine took it. */
+/**
+ * Removes and frees a held request. @p is_placed: an engine accepted it. A request that was woken
+ * and leaves without being placed wakes the next one.
+ */
 void hs_held_requests_leave(hs_held_requests *held, hs_held_request *request, bool is_placed);
 
 /**
- * Wait for a place, @p most_ms at most, by the request's claim now. True: it was woken. It ends
- * within HS_HELD_LOOK_MS when the peer of @p watched leaves; -1: nobody is looked at. A request
- * that was woken and waits again, no longer in time, passes its place to one that is.
+ * Waits up to @p max_wait_ms for a free slot, with the request's current priority. Returns true if
+ * the request was woken, false on a timeout or within HS_HELD_CALLER_CHECK_INTERVAL_MS after the
+ * peer of the socket @p watched closes it (-1: no socket is checked). If the request was woken
+ * before and is no longer in time, it first wakes the next request that is.
  */
 bool hs_held_requests_wait(hs_held_requests *held, hs_held_request *request,
-                           const hs_fair_claim *claim, int watched, uint64_t most_ms);
+                           const hs_fair_claim *priority, int watched, uint64_t max_wait_ms);
 
 /**
- * A place of the service may be free: wake the first in order of those that wait. None is woken
- * again within HS_HELD_TRY_LEAST_MS. False: nobody was woken.
+ * Wakes the first waiting request, since a slot of the service may be free. Skips requests that
+ * were woken less than HS_HELD_MIN_WAKE_INTERVAL_MS ago. Returns false if none was woken.
  */
 bool hs_held_requests_wake(hs_held_requests *held, const char *service);
 
-/** @p claim: see hs_fair_claim_is_behind; NULL: nobody is behind. */
+/**
+ * Returns the state of the service's held requests. @p priority: for ahead_waited_ms, see
+ * hs_queue_priority_is_behind; NULL counts no request as behind.
+ */
 hs_held_view hs_held_requests_view(hs_held_requests *held, const char *service,
-                                   const hs_fair_claim *claim);
+                                   const hs_fair_claim *priority);
 
 hs_held_counters hs_held_requests_count(hs_held_requests *held);
 
-/** Least time in ms between two wakes of a request: a try asks up to three arbiters. */
-#define HS_HELD_TRY_LEAST_MS 15
+/** Minimum time between two wake-ups of a request: each attempt asks up to three arbiters. */
+#define HS_HELD_MIN_WAKE_INTERVAL_MS 15
 
-/** A held request's caller is looked at this often, in ms. */
-#define HS_HELD_LOOK_MS 50
+/** How often a held request's connection to its caller is checked. */
+#define HS_HELD_CALLER_CHECK_INTERVAL_MS 50
 
 #endif
--- a/src/online/hold_queue.h
+++ b/src/online/hold_queue.h
@@ -1,7 +1,7 @@
 /**
  * @file hold_queue.h
- * The requests of a service that a daemon holds since no engine begins with them, and how fast
- * they got places. Pure; times in ms of one monotonic clock.
+ * Estimates how long held requests of a service wait for a slot, from the rate at which engines
+ * accepted them. Pure functions; times are in ms of one monotonic clock.
  */
 #ifndef HS_ONLINE_HOLD_QUEUE_H
 #define HS_ONLINE_HOLD_QUEUE_H
@@ -9,23 +9,24 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Zero-initialise. */
+/** Held requests of one service. Zero-initialise. */
 typedef struct {
     uint32_t held;
-    uint64_t since_ms; /**< Since when some have been held, with short breaks; 0: never. */
-    double placed;     /**< Held requests that an engine took, fading, as of at_ms. */
-    uint64_t at_ms;    /**< When one began or ceased to be held last. */
+    uint64_t since_ms;   /**< Start of the observation, which restarts after a pause; 0: none. */
+    double placed;       /**< Decaying count of placed requests as of updated_ms. */
+    uint64_t updated_ms; /**< When a request was last added or removed. */
 } hs_hold_queue;
 
-/** A request is held from now on. */
+/** Adds a held request. */
 void hs_hold_queue_enter(hs_hold_queue *queue, uint64_t now_ms);
 
-/** A held request is held no longer; @p is_placed: since an engine took it. */
+/** Removes a held request; @p is_placed: an engine accepted it. */
 void hs_hold_queue_leave(hs_hold_queue *queue, bool is_placed, uint64_t now_ms);
 
 /**
- * Expected time in ms until all that are held, and one more, have places, by how many got one of
- * late. Where none did, less than one in the time observed. 0: nothing was held of late.
+ * Returns the expected time in ms until all held requests and one more are placed, at the recent
+ * rate of placed requests. If none was placed, one is assumed. Returns 0 if no request was held
+ * recently.
  */
 uint64_t hs_hold_queue_expected_ms(const hs_hold_queue *queue, uint64_t now_ms);
 
--- a/src/online/online_refusal.c
+++ b/src/online/online_refusal.c
@@ -1,4 +1,4 @@
-/** @file online_refusal.c  How a request that no engine took ends; see online_request_state.h. */
+/** @file online_refusal.c  Admission, holding and refusal; see online_request_state.h. */
 #include "online/online_request_state.h"
 
 #include "base/clock.h"
@@ -21,9 +21,9 @@
                 " heard=%u free_share=%.3f words_age_ms=%.0f tries=%u",
                 request->request_id, request->service, hs_refusal_verdict_name(choice->verdict),
                 (guint64)choice->expected_ms, (guint64)view->left_ms, (guint64)view->waited_ms,
-                (guint64)request->age_ms, (guint64)view->drain_ms, view->has_run, service->is_known,
-                service->engines, service->sound, service->slots, service->running,
-                service->waiting, service->run_ms, (guint64)service->need_ms,
+                (guint64)request->age_ms, (guint64)view->drain_ms, view->may_have_run,
+                service->is_known, service->engines, service->sound, service->slots,
+                service->running, service->waiting, service->run_ms, (guint64)service->need_ms,
                 (guint64)service->return_ms, (guint64)service->absent_ms,
                 (guint64)service->last_absence_ms, (guint64)service->listed_age_ms,
                 hs_admission_verdict_name(request->admission.verdict),
@@ -37,8 +37,8 @@
     return (hs_fair_claim){
         .used_slots = request->used_slots,
         .rank = request->is_less_urgent,
-        .is_in_time = request->admission.verdict != HS_ADMISSION_STAND_BY &&
-                      request->admission.hold_most_ms > 0,
+        .is_in_time = request->admission.verdict != HS_ADMISSION_BEST_EFFORT &&
+                      request->admission.max_hold_ms > 0,
         .arrived_ms = request->inbound->received_ms,
         .deadline_ms = request->deadline,
     };
@@ -48,9 +48,9 @@
     if ((request->held != NULL) == is_held)
         return;
     if (is_held) {
-        hs_fair_claim claim = hs_online_claim(request);
+        hs_fair_claim priority = hs_online_claim(request);
         request->held_since_ms = hs_clock_monotonic_ms();
-        request->held = hs_held_requests_enter(request->online->held, request->service, &claim);
+        request->held = hs_held_requests_enter(request->online->held, request->service, &priority);
     } else {
         request->held_ms += hs_clock_monotonic_ms() - request->held_since_ms;
         hs_held_requests_leave(request->online->held, request->held, is_placed);
@@ -60,8 +60,8 @@
 
 void hs_online_admit(hs_online_request *request) {
     hs_online *online = request->online;
-    hs_fair_claim claim = hs_online_claim(request);
-    hs_held_view held = hs_held_requests_view(online->held, request->service, &claim);
+    hs_fair_claim priority = hs_online_claim(request);
+    hs_held_view held = hs_held_requests_view(online->held, request->service, &priority);
     request->admitted_by = (hs_admission_view){
         .pressure = hs_fleet_engines_pressure(online->engines, request->service),
         .head_waited_ms = held.head_waited_ms,
@@ -71,20 +71,20 @@
         .waited_ms = hs_clock_monotonic_ms() - request->inbound->received_ms,
         .age_ms = request->age_ms,
         .was_tried = request->tries > 0,
-        .has_run = request->run != HS_RUN_DID_NOT,
+        .may_have_run = request->run != HS_RUN_DID_NOT,
         .is_less_urgent = request->is_less_urgent,
     };
     request->admission = hs_admission_choose(&request->admitted_by);
     request->tries += request->admission.may_try;
 }
 
-/** Without a word to wake it, a held request asks again after a pause that its wait is worth. */
+/** Returns how long a held request waits for a wake-up before it asks engines again. */
 static uint64_t pause_ms(const hs_online_request *request, const hs_refusal_choice *choice) {
     const hs_admission_choice *admission = &request->admission;
     switch (admission->verdict) {
     case HS_ADMISSION_IN_TIME:
-        return MIN(MAX(HS_HELD_PAUSE_MOST_MS, admission->expected_ms), admission->hold_most_ms);
-    case HS_ADMISSION_STAND_BY:
+        return MIN(MAX(HS_HELD_PAUSE_MOST_MS, admission->expected_ms), admission->max_hold_ms);
+    case HS_ADMISSION_BEST_EFFORT:
         return HS_HELD_PAUSE_MOST_MS;
     case HS_ADMISSION_OPEN:
     case HS_ADMISSION_REFUSE:
@@ -95,16 +95,16 @@
 
 hs_refusal_choice hs_online_choose_refusal(hs_online_request *request) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    bool is_heard = request->admitted_by.pressure.slots > 0;
+    bool is_pressure_known = request->admitted_by.pressure.slots > 0;
     hs_held_view held = hs_held_requests_view(request->online->held, request->service, NULL);
     hs_refusal_view view = {
         .service = hs_fleet_engines_outlook(request->online->engines, request->service),
         .left_ms = request->deadline > now_ms ? request->deadline - now_ms : 0,
-        /* What is under way tells more than the few that drained here, and what stands by gets no
-         * places in a shortage, which says nothing of its end. */
-        .drain_ms = is_heard ? 0 : held.expected_ms,
+        /* Engine load reports, if known, predict better than the few requests that drained here:
+         * best-effort requests get no slots in a shortage, however soon the shortage ends. */
+        .drain_ms = is_pressure_known ? 0 : held.expected_ms,
         .waited_ms = now_ms - request->inbound->received_ms,
-        .has_run = request->run != HS_RUN_DID_NOT,
+        .may_have_run = request->run != HS_RUN_DID_NOT,
     };
     hs_refusal_choice choice = hs_refusal_choose(&view);
     if (choice.verdict == HS_REFUSAL_HOLD && request->admission.verdict == HS_ADMISSION_REFUSE) {
--- a/src/online/refusal_choice.c
+++ b/src/online/refusal_choice.c
@@ -1,4 +1,4 @@
-/** @file refusal_choice.c  Held or refused; see refusal_choice.h. */
+/** @file refusal_choice.c  See refusal_choice.h. */
 #include "online/refusal_choice.h"
 
 #include "fleet/engine_choice.h"
@@ -6,25 +6,24 @@
 
 #include <math.h>
 
-/** Shortest pause between two tries in ms: a try asks each engine of the service once. */
-#define PAUSE_LEAST_MS 15
-/** A wait is looked at this often before it is expected to end. */
-#define PAUSE_PARTS 4
-/** The longer a request has waited in vain, the less often engines are asked: by this part of it.
- */
-#define PAUSE_WAITED_PARTS 8
+/** Shortest pause between two attempts, each of which asks several engines. */
+#define MIN_PAUSE_MS 15
+/** The pause is the expected wait divided by this, */
+#define EXPECTED_WAIT_DIVISOR 4
+/** or the time waited so far divided by this, if longer. */
+#define PAST_WAIT_DIVISOR 8
 
-/** Half of the places free and nothing waiting: the engines that refused can take it any moment. */
-static bool has_room(const hs_service_outlook *service) {
+/** Whether half of the slots are free and no request waits, so that a refusal is only transient. */
+static bool has_ample_slots(const hs_service_outlook *service) {
     return service->running < service->slots / 2.0 && service->waiting < 1;
 }
 
-/** Expected ms until a place frees for one more: one frees each run_ms / slots. */
-static double place_wait_ms(const hs_service_outlook *service) {
+/** Returns the expected wait of one more request: a slot becomes free every run_ms / slots. */
+static double slot_wait_ms(const hs_service_outlook *service) {
     return (service->waiting + 1) * service->run_ms / fmax(service->slots, 1);
 }
 
-static hs_refusal_choice expect(const hs_refusal_view *view) {
+static hs_refusal_choice estimate_wait(const hs_refusal_view *view) {
     const hs_service_outlook *service = &view->service;
     hs_refusal_choice choice = {.verdict = HS_REFUSAL_QUEUE};
     if (!service->is_known) {
@@ -38,29 +37,29 @@
         choice.verdict = HS_REFUSAL_SUSPECTED;
         choice.expected_ms = service->return_ms;
     } else {
-        choice.expected_ms = MAX((uint64_t)place_wait_ms(service), view->drain_ms);
+        choice.expected_ms = MAX((uint64_t)slot_wait_ms(service), view->drain_ms);
     }
     return choice;
 }
 
-/** Engines that were never there cannot be waited for. */
-static bool is_hopeless(const hs_refusal_view *view, const hs_refusal_choice *choice) {
+/** Whether waiting is in vain: the service has no engine, or the wait exceeds the deadline. */
+static bool is_wait_in_vain(const hs_refusal_view *view, const hs_refusal_choice *choice) {
     const hs_service_outlook *service = &view->service;
     if (service->is_known && service->engines == 0)
         return true;
-    if (service->sound > 0 && has_room(service))
+    if (service->sound > 0 && has_ample_slots(service))
         return false;
     return choice->expected_ms + service->need_ms > view->left_ms;
 }
 
 hs_refusal_choice hs_refusal_choose(const hs_refusal_view *view) {
-    hs_refusal_choice choice = expect(view);
-    double pause_ms = fmax((double)choice.expected_ms / PAUSE_PARTS,
-                           (double)view->waited_ms / PAUSE_WAITED_PARTS);
-    choice.pause_ms = (uint64_t)fmin(fmax(pause_ms, PAUSE_LEAST_MS), HS_HELD_PAUSE_MOST_MS);
+    hs_refusal_choice choice = estimate_wait(view);
+    double pause_ms = fmax((double)choice.expected_ms / EXPECTED_WAIT_DIVISOR,
+                           (double)view->waited_ms / PAST_WAIT_DIVISOR);
+    choice.pause_ms = (uint64_t)fmin(fmax(pause_ms, MIN_PAUSE_MS), HS_HELD_PAUSE_MOST_MS);
     if (choice.pause_ms >= view->left_ms)
         choice.verdict = HS_REFUSAL_OVER;
-    else if (view->has_run || !is_hopeless(view, &choice))
+    else if (view->may_have_run || !is_wait_in_vain(view, &choice))
         choice.verdict = HS_REFUSAL_HOLD;
     return choice;
 }
--- a/src/online/refusal_choice.h
+++ b/src/online/refusal_choice.h
@@ -1,43 +1,43 @@
 /**
  * @file refusal_choice.h
- * Whether a request that no engine has taken is held or refused. Pure.
+ * Decides whether a request that no engine accepted is held or refused. Pure functions.
  *
- * A request is held while the expected wait for an engine ends before its deadline, and refused as
- * soon as it does not: what cannot be served is told at once, and what can is not sent away.
+ * A request is held while an engine is expected to accept it before its deadline, and refused as
+ * soon as none is.
  */
 #ifndef HS_ONLINE_REFUSAL_CHOICE_H
 #define HS_ONLINE_REFUSAL_CHOICE_H
 
 #include "fleet/fleet_engines.h"
 
-/** What is known at the moment of the choice. */
+/** Input of the decision. */
 typedef struct {
     hs_service_outlook service;
-    uint64_t left_ms;   /**< Until the request's deadline. */
-    uint64_t drain_ms;  /**< Expected until those held and this one have places; 0: not known. */
-    uint64_t waited_ms; /**< Since it came. */
-    bool has_run;       /**< It may have run: it can be repeated, or it would have ended. */
+    uint64_t left_ms;   /**< Time until the request's deadline. */
+    uint64_t drain_ms;  /**< See hs_hold_queue_expected_ms; 0: unknown. */
+    uint64_t waited_ms; /**< Time since the request arrived. */
+    bool may_have_run;  /**< An engine may have run it, and it is safe to repeat. */
 } hs_refusal_view;
 
 typedef enum {
-    HS_REFUSAL_HOLD,      /**< Try again after pause_ms. */
-    HS_REFUSAL_NO_ENGINE, /**< The service has no engine, and none is expected in time. */
-    HS_REFUSAL_SUSPECTED, /**< All its engines failed, and none is expected back in time. */
-    HS_REFUSAL_QUEUE,     /**< No place is expected to be free in time. */
-    HS_REFUSAL_OVER,      /**< The deadline is too near for another try. */
-    HS_REFUSAL_SHORT,     /**< It would be late, where others can be in time; see admission.h. */
+    HS_REFUSAL_HOLD,      /**< Hold the request and try again after pause_ms. */
+    HS_REFUSAL_NO_ENGINE, /**< The service has no engine; none is expected in time. */
+    HS_REFUSAL_SUSPECTED, /**< All engines failed; none is expected back in time. */
+    HS_REFUSAL_QUEUE,     /**< No slot is expected to become free in time. */
+    HS_REFUSAL_OVER,      /**< The deadline is too close for another attempt. */
+    HS_REFUSAL_SHORT,     /**< It would miss its objective; see admission.h. */
     HS_REFUSAL_VERDICT_COUNT,
 } hs_refusal_verdict;
 
 typedef struct {
     hs_refusal_verdict verdict;
-    uint64_t expected_ms; /**< Until an engine can take it. */
-    uint64_t pause_ms;
+    uint64_t expected_ms; /**< Expected time until an engine can accept it. */
+    uint64_t pause_ms;    /**< Time until the next attempt. */
 } hs_refusal_choice;
 
 hs_refusal_choice hs_refusal_choose(const hs_refusal_view *view);
 
-/** Name of a verdict, for logs. */
+/** Returns the name of a verdict, for logs and metrics. */
 const char *hs_refusal_verdict_name(hs_refusal_verdict verdict);
 
 #endif
--- a/src/online/retry_after.c
+++ b/src/online/retry_after.c
@@ -1,4 +1,4 @@
-/** @file retry_after.c  When to come back after a refusal; see retry_after.h. */
+/** @file retry_after.c  See retry_after.h. */
 #include "online/retry_after.h"
 
 #include <glib.h>
@@ -16,6 +16,6 @@
 }
 
 uint64_t hs_retry_after_spread_ms(uint64_t expected_ms, uint64_t caller) {
-    uint64_t base_ms = MAX(expected_ms, HS_RETRY_AFTER_LEAST_MS);
+    uint64_t base_ms = MAX(expected_ms, HS_RETRY_AFTER_MIN_MS);
     return base_ms + caller % base_ms;
 }
--- a/src/online/retry_after.h
+++ b/src/online/retry_after.h
@@ -1,6 +1,7 @@
 /**
  * @file retry_after.h
- * When a caller that is refused should come back, worked out from what is observed. Pure.
+ * Computes the Retry-After time of refused requests from observed rates. Pure functions; times are
+ * in ms.
  */
 #ifndef HS_ONLINE_RETRY_AFTER_H
 #define HS_ONLINE_RETRY_AFTER_H
@@ -8,27 +9,27 @@
 #include <stdint.h>
 
 /**
- * Expected rest of an absence, in ms, that has lasted @p absent_ms so far when the one before
- * lasted @p last_ms (0: none was seen): up to the length of the last one, and beyond it as long
- * again as it has lasted.
+ * Returns the expected remaining time of an absence that has lasted @p absent_ms: up to the length
+ * of the previous one, @p last_ms (0: there was none), and after that as long again as it has
+ * lasted.
  */
 uint64_t hs_retry_after_absence_ms(uint64_t absent_ms, uint64_t last_ms);
 
 /**
- * Expected time in ms until @p excess units have drained, where @p drained units did within the
- * @p observed_ms before. 0 drained or observed: not known, answers @p unknown_ms.
+ * Returns the expected time until @p excess units have drained, at the rate of @p drained units in
+ * @p observed_ms. Returns @p unknown_ms if either is 0.
  */
 uint64_t hs_retry_after_drain_ms(uint64_t excess, uint64_t drained, uint64_t observed_ms,
                                  uint64_t unknown_ms);
 
 /**
- * The time to tell one caller, in ms: from @p expected_ms up to twice that, evenly over callers by
- * @p caller, a hash of what names the caller's request, so that callers who were refused together
- * do not return together. At least HS_RETRY_AFTER_LEAST_MS.
+ * Returns the time to send to one caller: between @p expected_ms and twice that, at least
+ * HS_RETRY_AFTER_MIN_MS. It is spread by @p caller, a hash of the request's identity, so that
+ * callers refused together do not return together.
  */
 uint64_t hs_retry_after_spread_ms(uint64_t expected_ms, uint64_t caller);
 
-/** Least time to tell, in ms: a new connection and a request's way there and back take as long. */
-#define HS_RETRY_AFTER_LEAST_MS 20
+/** Shortest Retry-After: about the time of a new connection and a round trip. */
+#define HS_RETRY_AFTER_MIN_MS 20
 
 #endif
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -1,7 +1,7 @@
 /**
  * @file test_admission.c
- * A service short of places: how hard it is pressed, and what callers get, played over daemons
- * whose words on the engines are old.
+ * Service pressure and admission decisions, also in a simulation of daemons with outdated engine
+ * load reports.
  */
 #include "fleet/engine_choice.h"
 #include "online/admission.h"
@@ -18,135 +18,137 @@
 #define DAEMONS 64
 #define RUN_MS 700.0
 #define STEP_MS 5
-#define PLAY_MS 20000
+#define DURATION_MS 20000
 #define TARGET_MS 300
 #define NEED_MS 40
 #define DEADLINE_MS 5000
-#define LOOKS 3
-/** Steps of history kept: longer than the oldest word. */
+#define MAX_QUERIES 3
+/** Steps of load history; covers the oldest report. */
 #define HISTORY 128
 
-typedef enum { BY_ENDED_RUNS, BY_UNDER_WAY, BY_SEEN_DELAY } play_rule;
+/** What the expected wait is estimated from. */
+typedef enum { BY_COMPLETED_RUNS, BY_CURRENT_LOAD, BY_OBSERVED_DELAY } wait_estimate;
 
 typedef struct {
     uint64_t first_ms;
-    uint64_t came_ms;
-    uint64_t next_ms; /**< Of its next try, or its return. */
+    uint64_t arrived_ms;
+    uint64_t next_ms; /**< Time of its next attempt or its return. */
     uint32_t daemon;
-    bool came_back;
+    bool has_returned;
     bool is_held;
     bool is_over;
-} play_request;
+} sim_request;
 
-/** What a controller on the seen delay knows, as CoDel does: one a daemon. */
+/** State of a daemon's CoDel-like controller of the observed delay. */
 typedef struct {
-    uint64_t above_since_ms; /**< The delay seen has been above its aim since; 0: it is not. */
+    uint64_t above_since_ms; /**< Since when the delay exceeds its target; 0: it does not. */
     uint64_t next_drop_ms;
     uint32_t drops;
 } delay_control;
 
 typedef struct {
-    play_rule rule;
-    bool lasts; /**< The shortage, to the end. */
+    wait_estimate rule;
+    bool is_lasting; /**< The shortage lasts to the end. */
     uint32_t seed;
     uint64_t now_ms;
-    double ends[ENGINES][512]; /**< When what was placed there ends. */
+    double ends[ENGINES][512]; /**< End times of the requests placed there. */
     uint32_t placed[ENGINES];
     double slot_free[ENGINES][SLOTS];
     uint32_t history[HISTORY][ENGINES];
     hs_hold_queue held[DAEMONS];
-    uint64_t head_ms[DAEMONS]; /**< When the request held longest came; 0: none. */
+    uint64_t head_ms[DAEMONS]; /**< Arrival of the oldest held request; 0: none. */
     delay_control control[DAEMONS];
     hs_pressure_trend trends[DAEMONS];
     GArray *requests; /**< of play_request */
-    uint32_t came, in_time, late, late_first, prompt_again, refused_again, refused;
-    double idle, wanted;    /**< Slots that stood idle while somebody waited, of all. */
-    uint64_t first_full_ms; /**< When all slots were taken first, */
-    uint64_t first_seen_ms; /**< and when half of the daemons held the service for short. */
-    bool somebody_waits;
-} play;
+    uint32_t arrivals, in_time, late, late_first, in_time_again, refused_again, refused;
+    double idle, idle_total;    /**< Idle and total slots while a request waited. */
+    uint64_t first_full_ms;     /**< When all slots were first in use. */
+    uint64_t first_detected_ms; /**< When half of the daemons first saw a shortage. */
+    bool is_any_waiting;
+} simulation;
 
-static double chance(play *game) {
-    game->seed = game->seed * 1664525U + 1013904223U;
-    return (double)(game->seed >> 8) / (1U << 24);
+static double random_unit(simulation *sim) {
+    sim->seed = sim->seed * 1664525U + 1013904223U;
+    return (double)(sim->seed >> 8) / (1U << 24);
 }
 
-static uint32_t count_online(play *game, int engine) {
-    uint32_t kept = 0;
-    for (uint32_t index = 0; index < game->placed[engine]; index++)
-        if (game->ends[engine][index] > (double)game->now_ms)
-            game->ends[engine][kept++] = game->ends[engine][index];
-    game->placed[engine] = kept;
-    return kept;
+static uint32_t count_online(simulation *sim, int engine) {
+    uint32_t running = 0;
+    for (uint32_t index = 0; index < sim->placed[engine]; index++)
+        if (sim->ends[engine][index] > (double)sim->now_ms)
+            sim->ends[engine][running++] = sim->ends[engine][index];
+    sim->placed[engine] = running;
+    return running;
 }
 
-/** Words are 100 to 400 ms old, others for each pair of a daemon and an engine. */
-static uint64_t word_age_ms(uint32_t daemon, int engine) {
+/** Reports are 100 to 400 ms old, depending on the daemon and the engine. */
+static uint64_t report_age_ms(uint32_t daemon, int engine) {
     return 100 + (daemon * 7919U + (uint32_t)engine * 104729U) % 300;
 }
 
-static uint32_t believed(const play *game, uint32_t daemon, int engine) {
-    uint64_t age_ms = MIN(word_age_ms(daemon, engine), game->now_ms);
-    return game->history[(game->now_ms - age_ms) / STEP_MS % HISTORY][engine];
+static uint32_t reported_online(const simulation *sim, uint32_t daemon, int engine) {
+    uint64_t age_ms = MIN(report_age_ms(daemon, engine), sim->now_ms);
+    return sim->history[(sim->now_ms - age_ms) / STEP_MS % HISTORY][engine];
 }
 
-static hs_service_pressure pressure_of(play *game, uint32_t daemon) {
+static hs_service_pressure pressure_of(simulation *sim, uint32_t daemon) {
     hs_pressure_sample samples[ENGINES];
     for (int engine = 0; engine < ENGINES; engine++)
         samples[engine] = (hs_pressure_sample){.slots = SLOTS,
-                                               .online = believed(game, daemon, engine),
-                                               .age_ms = word_age_ms(daemon, engine)};
+                                               .online = reported_online(sim, daemon, engine),
+                                               .age_ms = report_age_ms(daemon, engine)};
     hs_service_pressure pressure = hs_service_pressure_make(samples, ENGINES, RUN_MS);
-    if (game->rule == BY_UNDER_WAY)
-        hs_service_pressure_project(&pressure, &game->trends[daemon], game->now_ms);
+    if (sim->rule == BY_CURRENT_LOAD)
+        hs_service_pressure_project(&pressure, &sim->trends[daemon], sim->now_ms);
     return pressure;
 }
 
-static void place(play *game, play_request *request, int engine) {
-    double *slots = game->slot_free[engine];
+static void start_run(simulation *sim, sim_request *request, int engine) {
+    double *slots = sim->slot_free[engine];
     int first = 0;
     for (int slot = 1; slot < SLOTS; slot++)
         if (slots[slot] < slots[first])
             first = slot;
-    double begin_ms = fmax(slots[first], (double)game->now_ms);
-    slots[first] = begin_ms + RUN_MS * (0.5 + chance(game));
-    game->ends[engine][game->placed[engine]++] = slots[first];
+    double begin_ms = fmax(slots[first], (double)sim->now_ms);
+    slots[first] = begin_ms + RUN_MS * (0.5 + random_unit(sim));
+    sim->ends[engine][sim->placed[engine]++] = slots[first];
     bool in_time = begin_ms + NEED_MS <= (double)request->first_ms + TARGET_MS;
-    bool is_prompt = begin_ms + NEED_MS <= (double)request->came_ms + TARGET_MS;
-    game->in_time += in_time;
-    game->late += !in_time;
-    game->late_first += !in_time && !request->came_back;
-    game->prompt_again += request->came_back && !in_time && is_prompt;
+    bool is_in_time_again = begin_ms + NEED_MS <= (double)request->arrived_ms + TARGET_MS;
+    sim->in_time += in_time;
+    sim->late += !in_time;
+    sim->late_first += !in_time && !request->has_returned;
+    sim->in_time_again += request->has_returned && !in_time && is_in_time_again;
 }
 
-/** As an attempt: the engines that seem best are asked, and their arbiters know. */
-static bool try_engines(play *game, play_request *request, uint64_t begin_ms) {
+/** Asks the engines that seem best, as an attempt does; their arbiters know the exact load. */
+static bool try_engines(simulation *sim, sim_request *request, uint64_t begin_ms) {
     static const hs_engine_speed speed = {
         .tokens_per_ms = 1, .run_ms = RUN_MS, .online_run_ms = RUN_MS, .first_byte_ms = NEED_MS};
-    bool looked[ENGINES] = {false};
+    bool is_queried[ENGINES] = {false};
     int engine = 0;
-    for (int look = 0; look < LOOKS; look++) {
+    for (int query = 0; query < MAX_QUERIES; query++) {
         double best = INFINITY;
         for (int other = 0; other < ENGINES; other++) {
-            double waiting = fmax((double)believed(game, request->daemon, other) + 1 - SLOTS, 0);
-            double cost = looked[other] ? INFINITY : waiting + chance(game);
+            double waiting =
+                fmax((double)reported_online(sim, request->daemon, other) + 1 - SLOTS, 0);
+            double cost = is_queried[other] ? INFINITY : waiting + random_unit(sim);
             if (cost < best) {
                 best = cost;
                 engine = other;
             }
         }
-        looked[engine] = true;
-        if (count_online(game, engine) < SLOTS)
+        is_queried[engine] = true;
+        if (count_online(sim, engine) < SLOTS)
             break;
     }
-    double wait_ms = hs_engine_choice_wait_ms(count_online(game, engine) + 1, SLOTS, 0, &speed);
+    double wait_ms = hs_engine_choice_wait_ms(count_online(sim, engine) + 1, SLOTS, 0, &speed);
     if (!hs_engine_choice_is_quick(wait_ms, &speed, begin_ms))
         return false;
-    place(game, request, engine);
+    start_run(sim, request, engine);
     return true;
 }
 
-/** Drops at growing frequency while the delay was above 30 ms for 100 ms. */
+/** Drops at a growing rate once the delay has exceeded 30 ms for 100 ms. */
 static bool is_dropped_by_delay(delay_control *control, uint64_t delay_ms, uint64_t now_ms) {
     if (delay_ms < 30) {
         *control = (delay_control){0};
@@ -160,30 +162,30 @@
     return true;
 }
 
-static void set_held(play *game, play_request *request, bool is_held, bool is_placed) {
+static void set_held(simulation *sim, sim_request *request, bool is_held, bool is_placed) {
     if (request->is_held == is_held)
         return;
     request->is_held = is_held;
     if (is_held)
-        hs_hold_queue_enter(&game->held[request->daemon], game->now_ms);
+        hs_hold_queue_enter(&sim->held[request->daemon], sim->now_ms);
     else
-        hs_hold_queue_leave(&game->held[request->daemon], is_placed, game->now_ms);
+        hs_hold_queue_leave(&sim->held[request->daemon], is_placed, sim->now_ms);
 }
 
-static void refuse(play *game, play_request *request, uint64_t expected_ms) {
-    set_held(game, request, false, false);
-    game->refused++;
+static void refuse(simulation *sim, sim_request *request, uint64_t expected_ms) {
+    set_held(sim, request, false, false);
+    sim->refused++;
     uint64_t back_ms =
-        game->now_ms + hs_retry_after_spread_ms(expected_ms, (uint64_t)(chance(game) * 1e6));
-    game->refused_again += request->came_back;
-    request->is_over = request->came_back || back_ms >= request->first_ms + DEADLINE_MS;
-    request->came_back = true;
-    request->came_ms = request->next_ms = back_ms;
-    request->daemon = (uint32_t)(chance(game) * DAEMONS);
+        sim->now_ms + hs_retry_after_spread_ms(expected_ms, (uint64_t)(random_unit(sim) * 1e6));
+    sim->refused_again += request->has_returned;
+    request->is_over = request->has_returned || back_ms >= request->first_ms + DEADLINE_MS;
+    request->has_returned = true;
+    request->arrived_ms = request->next_ms = back_ms;
+    request->daemon = (uint32_t)(random_unit(sim) * DAEMONS);
 }
 
-static hs_refusal_choice standing_choice(play *game, const play_request *request) {
-    const hs_service_pressure pressure = pressure_of(game, request->daemon);
+static hs_refusal_choice refusal_choice(simulation *sim, const sim_request *request) {
+    const hs_service_pressure pressure = pressure_of(sim, request->daemon);
     double free = pressure.free_share * ENGINES * SLOTS;
     hs_refusal_view view = {
         .service = {.is_known = true,
@@ -192,11 +194,11 @@
                     .slots = ENGINES * SLOTS,
                     .run_ms = RUN_MS,
                     .need_ms = NEED_MS},
-        .left_ms = request->first_ms + DEADLINE_MS - game->now_ms,
-        .drain_ms = game->rule != BY_UNDER_WAY
-                        ? hs_hold_queue_expected_ms(&game->held[request->daemon], game->now_ms)
+        .left_ms = request->first_ms + DEADLINE_MS - sim->now_ms,
+        .drain_ms = sim->rule != BY_CURRENT_LOAD
+                        ? hs_hold_queue_expected_ms(&sim->held[request->daemon], sim->now_ms)
                         : 0,
-        .waited_ms = game->now_ms - request->came_ms,
+        .waited_ms = sim->now_ms - request->arrived_ms,
     };
     view.service.running = ENGINES * SLOTS - free;
     view.service.waiting =
@@ -204,213 +206,212 @@
     return hs_refusal_choose(&view);
 }
 
-static hs_admission_choice admission_choice(play *game, const play_request *request) {
-    uint64_t head_ms = game->head_ms[request->daemon];
+static hs_admission_choice admission_choice(simulation *sim, const sim_request *request) {
+    uint64_t head_ms = sim->head_ms[request->daemon];
     return hs_admission_choose(&(hs_admission_view){
-        .pressure = pressure_of(game, request->daemon),
-        .head_waited_ms = head_ms > 0 ? game->now_ms - head_ms : 0,
-        .ahead_waited_ms = head_ms > 0 ? game->now_ms - head_ms : 0,
+        .pressure = pressure_of(sim, request->daemon),
+        .head_waited_ms = head_ms > 0 ? sim->now_ms - head_ms : 0,
+        .ahead_waited_ms = head_ms > 0 ? sim->now_ms - head_ms : 0,
         .need_ms = NEED_MS,
         .target_ms = TARGET_MS,
-        .waited_ms = game->now_ms - request->came_ms,
-        .was_tried = request->is_held, /* Nothing here comes late to its first try. */
-        .age_ms = request->came_ms - request->first_ms});
+        .waited_ms = sim->now_ms - request->arrived_ms,
+        .was_tried = request->is_held, /* No request here is late at its first attempt. */
+        .age_ms = request->arrived_ms - request->first_ms});
 }
 
-static void serve(play *game, play_request *request) {
-    uint64_t age_ms = game->now_ms - request->first_ms;
+static void serve(simulation *sim, sim_request *request) {
+    uint64_t age_ms = sim->now_ms - request->first_ms;
     uint64_t begin_ms = hs_engine_choice_begin_ms(TARGET_MS, age_ms, false);
     hs_admission_choice admission = {.verdict = HS_ADMISSION_OPEN, .may_try = true};
-    if (game->rule == BY_UNDER_WAY) {
-        admission = admission_choice(game, request);
+    if (sim->rule == BY_CURRENT_LOAD) {
+        admission = admission_choice(sim, request);
         begin_ms = MIN(begin_ms, admission.begin_ms);
     }
-    if (admission.may_try && try_engines(game, request, begin_ms)) {
-        set_held(game, request, false, true);
+    if (admission.may_try && try_engines(sim, request, begin_ms)) {
+        set_held(sim, request, false, true);
         request->is_over = true;
         return;
     }
     if (admission.verdict == HS_ADMISSION_REFUSE) {
-        refuse(game, request, admission.expected_ms);
+        refuse(sim, request, admission.expected_ms);
         return;
     }
-    hs_refusal_choice choice = standing_choice(game, request);
-    bool is_dropped = game->rule == BY_SEEN_DELAY &&
-                      is_dropped_by_delay(&game->control[request->daemon],
-                                          game->now_ms - request->came_ms, game->now_ms);
+    hs_refusal_choice choice = refusal_choice(sim, request);
+    bool is_dropped = sim->rule == BY_OBSERVED_DELAY &&
+                      is_dropped_by_delay(&sim->control[request->daemon],
+                                          sim->now_ms - request->arrived_ms, sim->now_ms);
     if (is_dropped || choice.verdict != HS_REFUSAL_HOLD) {
-        refuse(game, request, choice.expected_ms);
+        refuse(sim, request, choice.expected_ms);
         return;
     }
-    set_held(game, request, true, false);
-    request->next_ms = game->now_ms + choice.pause_ms;
+    set_held(sim, request, true, false);
+    request->next_ms = sim->now_ms + choice.pause_ms;
 }
 
-/** Of what the engines carry: 0.6 and 1.3 in squares, or 1.3 from the first square on. */
-static double demand_at(const play *game) {
-    uint64_t at_ms = game->lasts ? game->now_ms : game->now_ms % 6000;
+/** Demand relative to capacity: alternates between 0.6 and 1.3, or stays at 1.3 if it lasts. */
+static double current_demand(const simulation *sim) {
+    uint64_t at_ms = sim->is_lasting ? sim->now_ms : sim->now_ms % 6000;
     return at_ms < 3400 ? 0.6 : 1.3;
 }
 
-static void find_heads(play *game) {
-    memset(game->head_ms, 0, sizeof game->head_ms);
-    game->somebody_waits = false;
-    for (guint index = 0; index < game->requests->len; index++) {
-        const play_request *request = &g_array_index(game->requests, play_request, index);
+static void find_heads(simulation *sim) {
+    memset(sim->head_ms, 0, sizeof sim->head_ms);
+    sim->is_any_waiting = false;
+    for (guint index = 0; index < sim->requests->len; index++) {
+        const sim_request *request = &g_array_index(sim->requests, sim_request, index);
         if (request->is_over || !request->is_held)
             continue;
-        uint64_t *head_ms = &game->head_ms[request->daemon];
-        bool is_in_time = game->now_ms + NEED_MS < request->first_ms + TARGET_MS;
-        game->somebody_waits |= is_in_time;
-        if (is_in_time && (*head_ms == 0 || request->came_ms < *head_ms))
-            *head_ms = request->came_ms;
+        uint64_t *head_ms = &sim->head_ms[request->daemon];
+        bool is_in_time = sim->now_ms + NEED_MS < request->first_ms + TARGET_MS;
+        sim->is_any_waiting |= is_in_time;
+        if (is_in_time && (*head_ms == 0 || request->arrived_ms < *head_ms))
+            *head_ms = request->arrived_ms;
     }
 }
 
-static void count_idle(play *game) {
+static void count_idle(simulation *sim) {
     uint32_t idle = 0;
     for (int engine = 0; engine < ENGINES; engine++) {
-        uint32_t online = count_online(game, engine);
-        game->history[game->now_ms / STEP_MS % HISTORY][engine] = online;
+        uint32_t online = count_online(sim, engine);
+        sim->history[sim->now_ms / STEP_MS % HISTORY][engine] = online;
         idle += SLOTS - MIN(online, SLOTS);
     }
-    if (!game->somebody_waits)
+    if (!sim->is_any_waiting)
         return;
-    game->idle += idle;
-    game->wanted += ENGINES * SLOTS;
+    sim->idle += idle;
+    sim->idle_total += ENGINES * SLOTS;
 }
 
-static void note_shortage(play *game) {
-    if (game->first_full_ms != 0 && game->first_seen_ms != 0)
+static void detect_shortage(simulation *sim) {
+    if (sim->first_full_ms != 0 && sim->first_detected_ms != 0)
         return;
     uint32_t online = 0;
-    uint32_t seeing = 0;
+    uint32_t detecting = 0;
     for (int engine = 0; engine < ENGINES; engine++)
-        online += count_online(game, engine);
+        online += count_online(sim, engine);
     for (uint32_t daemon = 0; daemon < DAEMONS; daemon++)
-        seeing += pressure_of(game, daemon).is_short;
-    if (online >= ENGINES * SLOTS && game->first_full_ms == 0)
-        game->first_full_ms = game->now_ms;
-    if (2 * seeing >= DAEMONS && game->first_seen_ms == 0)
-        game->first_seen_ms = game->now_ms;
-}
-
-static play *play_rule_of(play_rule rule, uint32_t seed, bool lasts) {
-    play *game = g_new0(play, 1);
-    game->rule = rule;
-    game->lasts = lasts;
-    game->seed = seed;
-    game->requests = g_array_new(FALSE, TRUE, sizeof(play_request));
+        detecting += pressure_of(sim, daemon).is_short;
+    if (online >= ENGINES * SLOTS && sim->first_full_ms == 0)
+        sim->first_full_ms = sim->now_ms;
+    if (2 * detecting >= DAEMONS && sim->first_detected_ms == 0)
+        sim->first_detected_ms = sim->now_ms;
+}
+
+static simulation *simulate(wait_estimate rule, uint32_t seed, bool is_lasting) {
+    simulation *sim = g_new0(simulation, 1);
+    sim->rule = rule;
+    sim->is_lasting = is_lasting;
+    sim->seed = seed;
+    sim->requests = g_array_new(FALSE, TRUE, sizeof(sim_request));
     double due = 0;
-    for (game->now_ms = STEP_MS; game->now_ms < PLAY_MS; game->now_ms += STEP_MS) {
-        find_heads(game);
-        count_idle(game);
-        note_shortage(game);
-        for (guint index = 0; index < game->requests->len; index++) {
-            play_request *request = &g_array_index(game->requests, play_request, index);
-            if (!request->is_over && request->next_ms <= game->now_ms)
-                serve(game, request);
+    for (sim->now_ms = STEP_MS; sim->now_ms < DURATION_MS; sim->now_ms += STEP_MS) {
+        find_heads(sim);
+        count_idle(sim);
+        detect_shortage(sim);
+        for (guint index = 0; index < sim->requests->len; index++) {
+            sim_request *request = &g_array_index(sim->requests, sim_request, index);
+            if (!request->is_over && request->next_ms <= sim->now_ms)
+                serve(sim, request);
         }
-        due += demand_at(game) * ENGINES * SLOTS / RUN_MS * STEP_MS;
-        int coming = (int)due;
-        due -= coming;
-        for (int index = 0; index < coming; index++) {
-            play_request request = {.first_ms = game->now_ms,
-                                    .came_ms = game->now_ms,
-                                    .next_ms = game->now_ms,
-                                    .daemon = (uint32_t)(chance(game) * DAEMONS)};
-            game->came++;
-            serve(game, &request);
-            g_array_append_val(game->requests, request);
+        due += current_demand(sim) * ENGINES * SLOTS / RUN_MS * STEP_MS;
+        int arriving = (int)due;
+        due -= arriving;
+        for (int index = 0; index < arriving; index++) {
+            sim_request request = {.first_ms = sim->now_ms,
+                                   .arrived_ms = sim->now_ms,
+                                   .next_ms = sim->now_ms,
+                                   .daemon = (uint32_t)(random_unit(sim) * DAEMONS)};
+            sim->arrivals++;
+            serve(sim, &request);
+            g_array_append_val(sim->requests, request);
         }
-        for (guint index = game->requests->len; index-- > 0;)
-            if (g_array_index(game->requests, play_request, index).is_over)
-                g_array_remove_index_fast(game->requests, index);
+        for (guint index = sim->requests->len; index-- > 0;)
+            if (g_array_index(sim->requests, sim_request, index).is_over)
+                g_array_remove_index_fast(sim->requests, index);
     }
-    g_array_free(game->requests, TRUE);
-    return game;
+    g_array_free(sim->requests, TRUE);
+    return sim;
 }
 
-static double of_first_tries(const play *game) {
-    return (double)game->in_time / (game->in_time + game->late_first);
+static double first_attempts_in_time(const simulation *sim) {
+    return (double)sim->in_time / (sim->in_time + sim->late_first);
 }
 
-static double idle_share(const play *game) {
-    return game->idle / fmax(game->wanted, 1);
+static double idle_share(const simulation *sim) {
+    return sim->idle / fmax(sim->idle_total, 1);
 }
 
-static void report(const play *game, const char *rule) {
-    printf("%-10s in time %.3f late %.3f (not refused before %.3f) refused %u again %u idle %.3f "
-           "full %u seen %u ms\n",
-           rule, (double)game->in_time / game->came, (double)game->late / game->came,
-           (double)game->late_first / game->came, game->refused, game->refused_again,
-           idle_share(game), (uint32_t)game->first_full_ms, (uint32_t)game->first_seen_ms);
+static void print_result(const simulation *sim, const char *estimate) {
+    printf("%-14s in time %.3f late %.3f (not refused before %.3f) refused %u again %u idle %.3f "
+           "full %u detected %u ms\n",
+           estimate, (double)sim->in_time / sim->arrivals, (double)sim->late / sim->arrivals,
+           (double)sim->late_first / sim->arrivals, sim->refused, sim->refused_again,
+           idle_share(sim), (uint32_t)sim->first_full_ms, (uint32_t)sim->first_detected_ms);
 }
 
 /**
- * Of what is served without a refusal, 0.95 is in time; more callers are served in time than by
- * the mean of ended runs and by a controller on the delay seen; the shortage is known 100 ms after
- * its begin.
+ * Requires that 95 % of the requests served without a refusal are in time, that more are in time
+ * than with the other rules, and that a shortage is detected within 100 ms.
  */
-static void play_all(uint32_t seed, bool lasts) {
-    play *by_ended = play_rule_of(BY_ENDED_RUNS, seed, lasts);
-    play *by_way = play_rule_of(BY_UNDER_WAY, seed, lasts);
-    play *by_delay = play_rule_of(BY_SEEN_DELAY, seed, lasts);
-    CU_ASSERT(of_first_tries(by_way) >= 0.95);
-    CU_ASSERT(by_way->in_time > by_ended->in_time);
-    CU_ASSERT(by_way->in_time > by_delay->in_time);
-    CU_ASSERT(by_way->first_seen_ms <= by_way->first_full_ms + 100);
-    report(by_ended, "ended runs");
-    report(by_way, "under way");
-    report(by_delay, "seen delay");
-    g_free(by_ended);
-    g_free(by_way);
+static void compare_estimates(uint32_t seed, bool is_lasting) {
+    simulation *by_completed = simulate(BY_COMPLETED_RUNS, seed, is_lasting);
+    simulation *by_load = simulate(BY_CURRENT_LOAD, seed, is_lasting);
+    simulation *by_delay = simulate(BY_OBSERVED_DELAY, seed, is_lasting);
+    CU_ASSERT(first_attempts_in_time(by_load) >= 0.95);
+    CU_ASSERT(by_load->in_time > by_completed->in_time);
+    CU_ASSERT(by_load->in_time > by_delay->in_time);
+    CU_ASSERT(by_load->first_detected_ms <= by_load->first_full_ms + 100);
+    print_result(by_completed, "completed runs");
+    print_result(by_load, "current load");
+    print_result(by_delay, "observed delay");
+    g_free(by_completed);
+    g_free(by_load);
     g_free(by_delay);
 }
 
-/** Demand steps from 0.6 to 1.3 of what the engines carry, for 2.6 s in 6. */
-static void what_is_served_in_a_shortage_is_served_in_time(void) {
+/** Step load: demand is 1.3 of the capacity for 2.6 s of each 6 s, else 0.6. */
+static void requests_served_under_step_load_are_in_time(void) {
     for (uint32_t seed = 7; seed < 10; seed++)
-        play_all(seed, false);
+        compare_estimates(seed, false);
 }
 
-/** The same for 16 s, longer than callers wait. */
-static void a_shortage_that_lasts_makes_no_one_else_late(void) {
+/** A shortage of 16 s, longer than callers wait. */
+static void requests_served_in_a_lasting_shortage_are_in_time(void) {
     for (uint32_t seed = 7; seed < 10; seed++)
-        play_all(seed, true);
+        compare_estimates(seed, true);
 }
 
-static double of_all_served(const play *game) {
-    return (double)game->in_time / (game->in_time + game->late);
+static double served_in_time(const simulation *sim) {
+    return (double)sim->in_time / (sim->in_time + sim->late);
 }
 
-static void check_all_served(bool lasts) {
+static void check_all_served(bool is_lasting) {
     for (uint32_t seed = 7; seed < 10; seed++) {
-        g_autofree play *game = play_rule_of(BY_UNDER_WAY, seed, lasts);
-        CU_ASSERT(of_all_served(game) >= 0.95);
+        g_autofree simulation *sim = simulate(BY_CURRENT_LOAD, seed, is_lasting);
+        CU_ASSERT(served_in_time(sim) >= 0.95);
     }
 }
 
-/** Of all that is served in squares of demand, also after a refusal, 0.95 is in time. */
+/** Under step load, 95 % of all served requests are in time, including returning callers'. */
 static void whatever_is_served_in_squares_is_in_time(void) {
     check_all_served(false);
 }
 
-/** The same while the shortage lasts. */
+/** The same in a lasting shortage. */
 static void whatever_is_served_in_a_lasting_shortage_is_in_time(void) {
     check_all_served(true);
 }
 
-/** Of the room 0.02 at most idles while one that can be in time waits. */
+/** At most 2 % of the slots are idle while a request that can be in time waits. */
 static void hardly_any_room_idles_while_somebody_waits(void) {
     for (uint32_t seed = 7; seed < 10; seed++)
-        for (int lasts = 0; lasts < 2; lasts++) {
-            g_autofree play *game = play_rule_of(BY_UNDER_WAY, seed, lasts == 1);
-            CU_ASSERT(idle_share(game) <= 0.02);
+        for (int is_lasting = 0; is_lasting < 2; is_lasting++) {
+            g_autofree simulation *sim = simulate(BY_CURRENT_LOAD, seed, is_lasting == 1);
+            CU_ASSERT(idle_share(sim) <= 0.02);
         }
 }
 
-/** Ten engines of eight slots and runs of 800 ms: a place frees each 10 ms. */
+/** Ten engines with 8 slots and runs of 800 ms: a slot becomes free every 10 ms. */
 static hs_service_pressure ten_engines(double online, uint64_t age_ms, size_t heard) {
     hs_pressure_sample samples[10];
     for (size_t index = 0; index < G_N_ELEMENTS(samples); index++)
@@ -419,7 +420,7 @@
     return hs_service_pressure_make(samples, G_N_ELEMENTS(samples), 800);
 }
 
-static void pressure_is_what_is_under_way(void) {
+static void pressure_counts_running_and_waiting_requests(void) {
     hs_service_pressure pressure = ten_engines(8, 100, 10);
     CU_ASSERT_TRUE(pressure.is_short);
     CU_ASSERT_EQUAL(pressure.heard, 10);
@@ -433,13 +434,13 @@
     CU_ASSERT_DOUBLE_EQUAL(ten_engines(6, 100, 10).wait_ms, 0, 1e-9);
     hs_pressure_sample slow = {.slots = 8, .online = 9, .pace = 1.6, .age_ms = 10};
     CU_ASSERT_DOUBLE_EQUAL(hs_service_pressure_make(&slow, 1, 800).wait_ms, 320, 1e-9);
-    slow.batch = 8; /* Batch items leave their slots. */
+    slow.batch = 8; /* Batch items are preempted. */
     slow.online = 0;
     CU_ASSERT_FALSE(hs_service_pressure_make(&slow, 1, 800).is_short);
 }
 
-/** Old words, or words on less than half of the engines, say nothing. */
-static void what_is_not_heard_is_not_short(void) {
+/** Old reports, or reports for fewer than half of the engines, do not indicate a shortage. */
+static void missing_load_reports_are_no_shortage(void) {
     CU_ASSERT_FALSE(ten_engines(20, HS_PRESSURE_HEARD_MOST_MS + 1, 10).is_short);
     CU_ASSERT_FALSE(ten_engines(20, 100, 4).is_short);
     CU_ASSERT_DOUBLE_EQUAL(ten_engines(20, 100, 4).wait_ms, 0, 1e-9);
@@ -451,8 +452,8 @@
     CU_ASSERT_FALSE(hs_service_pressure_make(NULL, 0, 0).is_short);
 }
 
-/** Load that grows between two words is carried on to now; load that falls is not. */
-static void growing_load_is_carried_on(void) {
+/** Load that grew between two reports is extrapolated to now; falling load is not. */
+static void growing_load_is_extrapolated(void) {
     hs_pressure_trend trend = {0};
     hs_service_pressure pressure = ten_engines(5, 200, 10);
     hs_service_pressure_project(&pressure, &trend, 1000);
@@ -478,14 +479,14 @@
         .target_ms = 300};
 }
 
-/** Half of the 260 ms that are left must be enough for the wait expected. */
-static void what_would_be_late_is_refused_at_once(void) {
+/** The expected wait may take up to half of the remaining 260 ms. */
+static void requests_that_would_be_late_are_refused_at_once(void) {
     hs_admission_view view = short_view(130);
     hs_admission_choice choice = hs_admission_choose(&view);
     CU_ASSERT_EQUAL(choice.verdict, HS_ADMISSION_IN_TIME);
-    CU_ASSERT_EQUAL(choice.hold_most_ms, 260);
+    CU_ASSERT_EQUAL(choice.max_hold_ms, 260);
     CU_ASSERT_EQUAL(choice.begin_ms, 170);
-    view.head_waited_ms = 131; /* Of those that go after it. */
+    view.head_waited_ms = 131; /* Only requests behind it wait. */
     CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_IN_TIME);
     view.ahead_waited_ms = 131;
     choice = hs_admission_choose(&view);
@@ -500,36 +501,36 @@
     CU_ASSERT_TRUE(hs_admission_choose(&view).may_try);
 }
 
-static void a_caller_that_came_back_is_not_sent_away_by_its_objective(void) {
+static void returning_callers_are_served_best_effort(void) {
     hs_admission_view view = short_view(200);
-    for (view.age_ms = HS_RETRY_AFTER_LEAST_MS; view.age_ms < 4000; view.age_ms += 100)
-        CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_STAND_BY);
+    for (view.age_ms = HS_RETRY_AFTER_MIN_MS; view.age_ms < 4000; view.age_ms += 100)
+        CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_BEST_EFFORT);
     view.age_ms = 0;
-    view.waited_ms = 260; /* Its time went before it could be tried: it is no better off later. */
-    CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_STAND_BY);
+    view.waited_ms = 260; /* It was late before its first attempt. */
+    CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_BEST_EFFORT);
     view.waited_ms = 0;
-    view.age_ms = HS_RETRY_AFTER_LEAST_MS - 1; /* Time-outs that differ a little. */
+    view.age_ms = HS_RETRY_AFTER_MIN_MS - 1; /* Within the variation of timeouts. */
     CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_REFUSE);
     view = short_view(10);
     view.age_ms = 100;
     CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_IN_TIME);
     view.is_less_urgent = true;
-    CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_STAND_BY);
+    CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_BEST_EFFORT);
 }
 
-/** What stands by takes places that are left and that nobody who can be in time waits for. */
-static void what_stands_by_is_not_held_beside_free_places(void) {
+/** A best-effort request gets a spare slot only if no request that can be in time waits. */
+static void best_effort_requests_take_spare_slots_only(void) {
     hs_admission_view late = short_view(0);
-    late.pressure = ten_engines(7.4, 100, 10); /* Six of 80 places are left. */
+    late.pressure = ten_engines(7.4, 100, 10); /* 6 of 80 slots are free. */
     CU_ASSERT_TRUE(late.pressure.is_short);
     late.age_ms = 400;
-    CU_ASSERT_EQUAL(hs_admission_choose(&late).verdict, HS_ADMISSION_STAND_BY);
-    late.waited_ms = 3000; /* It has stood by for long. */
+    CU_ASSERT_EQUAL(hs_admission_choose(&late).verdict, HS_ADMISSION_BEST_EFFORT);
+    late.waited_ms = 3000; /* It has waited long. */
     CU_ASSERT_TRUE(hs_admission_choose(&late).may_try);
     hs_admission_view less_urgent = late;
     less_urgent.age_ms = less_urgent.waited_ms = 0;
     less_urgent.is_less_urgent = true;
-    CU_ASSERT_EQUAL(hs_admission_choose(&less_urgent).verdict, HS_ADMISSION_STAND_BY);
+    CU_ASSERT_EQUAL(hs_admission_choose(&less_urgent).verdict, HS_ADMISSION_BEST_EFFORT);
     CU_ASSERT_TRUE(hs_admission_choose(&less_urgent).may_try);
     late.head_waited_ms = less_urgent.head_waited_ms = 1;
     CU_ASSERT_FALSE(hs_admission_choose(&late).may_try);
@@ -540,8 +541,8 @@
     CU_ASSERT_FALSE(hs_admission_choose(&less_urgent).may_try);
 }
 
-/** Places that are told of and not found are none; where too little is heard, that says nothing. */
-static void what_waits_in_vain_makes_a_service_short(void) {
+/** A long wait despite reported free slots means a shortage, if enough engines have reported. */
+static void overdue_held_requests_indicate_a_shortage(void) {
     hs_admission_view view = {.pressure = ten_engines(6, 100, 10), .need_ms = 40, .target_ms = 300};
     view.head_waited_ms = 50;
     CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_OPEN);
@@ -558,10 +559,10 @@
     CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_OPEN);
 }
 
-/** Without a shortage, a run that may have begun, or an objective, all is as it was. */
-static void where_nothing_is_short_admission_is_open(void) {
+/** Also for requests that may have run, and on routes without an objective. */
+static void admission_is_open_without_a_shortage(void) {
     hs_admission_view view = short_view(1000);
-    view.has_run = true;
+    view.may_have_run = true;
     CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_OPEN);
     view = short_view(1000);
     view.target_ms = 0;
@@ -573,19 +574,18 @@
 }
 
 const test_case admission_tests[] = {
-    {"pressure_is_what_is_under_way", pressure_is_what_is_under_way},
-    {"what_is_not_heard_is_not_short", what_is_not_heard_is_not_short},
-    {"growing_load_is_carried_on", growing_load_is_carried_on},
-    {"what_would_be_late_is_refused_at_once", what_would_be_late_is_refused_at_once},
-    {"a_caller_that_came_back_is_not_sent_away_by_its_objective",
-     a_caller_that_came_back_is_not_sent_away_by_its_objective},
-    {"what_stands_by_is_not_held_beside_free_places",
-     what_stands_by_is_not_held_beside_free_places},
-    {"what_waits_in_vain_makes_a_service_short", what_waits_in_vain_makes_a_service_short},
-    {"where_nothing_is_short_admission_is_open", where_nothing_is_short_admission_is_open},
-    {"what_is_served_in_a_shortage_is_served_in_time",
-     what_is_served_in_a_shortage_is_served_in_time},
-    {"a_shortage_that_lasts_makes_no_one_else_late", a_shortage_that_lasts_makes_no_one_else_late},
+    {"pressure_counts_running_and_waiting_requests", pressure_counts_running_and_waiting_requests},
+    {"missing_load_reports_are_no_shortage", missing_load_reports_are_no_shortage},
+    {"growing_load_is_extrapolated", growing_load_is_extrapolated},
+    {"requests_that_would_be_late_are_refused_at_once",
+     requests_that_would_be_late_are_refused_at_once},
+    {"returning_callers_are_served_best_effort", returning_callers_are_served_best_effort},
+    {"best_effort_requests_take_spare_slots_only", best_effort_requests_take_spare_slots_only},
+    {"overdue_held_requests_indicate_a_shortage", overdue_held_requests_indicate_a_shortage},
+    {"admission_is_open_without_a_shortage", admission_is_open_without_a_shortage},
+    {"requests_served_under_step_load_are_in_time", requests_served_under_step_load_are_in_time},
+    {"requests_served_in_a_lasting_shortage_are_in_time",
+     requests_served_in_a_lasting_shortage_are_in_time},
     {"whatever_is_served_in_squares_is_in_time", whatever_is_served_in_squares_is_in_time},
     {"whatever_is_served_in_a_lasting_shortage_is_in_time",
      whatever_is_served_in_a_lasting_shortage_is_in_time},
--- a/tests/unit/test_refusal.c
+++ b/tests/unit/test_refusal.c
@@ -1,4 +1,4 @@
-/** @file test_refusal.c  Held or refused, when to come back, and what is known of a service. */
+/** @file test_refusal.c  Decisions to hold or refuse, Retry-After, and the state of a service. */
 #include "base/clock.h"
 #include "base/hash.h"
 #include "online/caller_age.h"
@@ -9,7 +9,7 @@
 
 #include <string.h>
 
-/** A service whose ten places are taken and where two wait: a place frees each 100 ms. */
+/** A service with ten slots in use and two waiting requests: a slot becomes free every 100 ms. */
 static hs_refusal_view full_view(void) {
     return (hs_refusal_view){.service = {.is_known = true,
                                          .engines = 2,
@@ -26,8 +26,8 @@
     return hs_refusal_choose(view).verdict;
 }
 
-/** The limit is the deadline against the expected wait and what an engine needs, to the ms. */
-static void a_request_is_held_while_its_wait_ends_in_time(void) {
+/** The expected wait and the time to first byte must fit before the deadline, to the ms. */
+static void requests_are_held_while_their_wait_ends_in_time(void) {
     hs_refusal_view view = full_view();
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_HOLD);
     CU_ASSERT_EQUAL(hs_refusal_choose(&view).expected_ms, 300);
@@ -41,20 +41,20 @@
     CU_ASSERT_EQUAL(hs_refusal_choose(&view).expected_ms, 10100);
 }
 
-/** What is held drains by what was seen to drain, however short the engines' own queues are. */
-static void held_requests_that_do_not_drain_refuse_others(void) {
+/** The observed drain time counts even if the engines' own queues are short. */
+static void slow_drain_of_held_requests_refuses_others(void) {
     hs_refusal_view view = full_view();
     view.drain_ms = 4970;
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_HOLD);
     view.drain_ms = 4971;
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_QUEUE);
     CU_ASSERT_EQUAL(hs_refusal_choose(&view).expected_ms, 4971);
-    view.has_run = true;
+    view.may_have_run = true;
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_HOLD);
 }
 
-/** A queue's prospect grows with its time without a place, and shrinks with each place. */
-static void a_hold_queue_tells_how_it_drains(void) {
+/** The estimate grows with time in which none is placed, and shrinks with each that is. */
+static void a_hold_queue_estimates_its_drain_time(void) {
     hs_hold_queue queue = {0};
     CU_ASSERT_EQUAL(hs_hold_queue_expected_ms(&queue, 1000), 0);
     hs_hold_queue_enter(&queue, 1000);
@@ -69,14 +69,13 @@
     CU_ASSERT(draining_ms >= 480 && draining_ms <= 520);
     for (int request = 0; request < 5; request++)
         hs_hold_queue_leave(&queue, false, 9000);
-    CU_ASSERT(hs_hold_queue_expected_ms(&queue, 9000) > 4000); /* Nothing moves any more. */
+    CU_ASSERT(hs_hold_queue_expected_ms(&queue, 9000) > 4000); /* None is placed any more. */
     CU_ASSERT_EQUAL(hs_hold_queue_expected_ms(&queue, 10001), 0);
     hs_hold_queue_enter(&queue, 10001);
     CU_ASSERT_EQUAL(hs_hold_queue_expected_ms(&queue, 10001), 0);
 }
 
-/** How long it has waited so far changes nothing: there is no window of its own. */
-static void time_waited_alone_refuses_nothing(void) {
+static void time_waited_alone_causes_no_refusal(void) {
     hs_refusal_view view = full_view();
     for (view.waited_ms = 0; view.waited_ms < 4000; view.waited_ms += 100)
         CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_HOLD);
@@ -93,9 +92,7 @@
     CU_ASSERT_EQUAL(hs_refusal_choose(&view).expected_ms, 1500);
 }
 
-/** A daemon that has not read the list knows of no engine, which does not say that there is none.
- */
-static void an_unread_list_is_no_sign_that_engines_lack(void) {
+static void an_unread_engine_list_does_not_mean_no_engines(void) {
     hs_refusal_view view = full_view();
     view.service = (hs_service_outlook){.run_ms = 300};
     view.left_ms = 2000;
@@ -104,7 +101,7 @@
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_NO_ENGINE);
 }
 
-static void failing_engines_are_waited_for_until_they_are_tried_again(void) {
+static void requests_wait_for_failed_engines_to_return(void) {
     hs_refusal_view view = full_view();
     view.service.sound = 0;
     view.service.return_ms = 1600;
@@ -114,8 +111,8 @@
     CU_ASSERT_EQUAL(hs_refusal_choose(&view).expected_ms, 1600);
 }
 
-/** Over all states with half of the places free and nothing waiting, none is refused in time. */
-static void nothing_is_refused_while_half_of_the_places_are_free(void) {
+/** With half of the slots free and none waiting, requests are refused for their deadline only. */
+static void requests_are_held_while_half_of_the_slots_are_free(void) {
     for (uint32_t slots = 1; slots <= 40; slots++)
         for (uint32_t running = 0; 2 * running < slots; running++)
             for (uint64_t left_ms = 16; left_ms < 4000; left_ms += 97) {
@@ -130,10 +127,9 @@
             }
 }
 
-/** What may have run is never given a refusal's verdict while there is time. */
-static void what_may_have_run_goes_on_to_its_deadline(void) {
+static void requests_that_may_have_run_are_held_until_their_deadline(void) {
     hs_refusal_view view = full_view();
-    view.has_run = true;
+    view.may_have_run = true;
     view.service.waiting = 1000;
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_HOLD);
     view.service = (hs_service_outlook){.is_known = true};
@@ -142,14 +138,14 @@
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_OVER);
 }
 
-static void drain_is_what_was_seen_to_drain(void) {
+static void drain_time_follows_the_observed_rate(void) {
     CU_ASSERT_EQUAL(hs_retry_after_drain_ms(500, 1000, 2000, 7), 1000);
     CU_ASSERT_EQUAL(hs_retry_after_drain_ms(500, 0, 2000, 7), 7);
     CU_ASSERT_EQUAL(hs_retry_after_drain_ms(500, 10, 0, 7), 7);
     CU_ASSERT_EQUAL(hs_retry_after_absence_ms(0, 0), 0);
 }
 
-/** Callers that were refused together come back over as long a time as they were told to wait. */
+/** Callers refused together return evenly spread over the expected time. */
 static void callers_do_not_return_together(void) {
     enum { CALLERS = 1000, PARTS = 10, EXPECTED_MS = 500 };
     int parts[PARTS] = {0};
@@ -161,11 +157,11 @@
     }
     for (int part = 0; part < PARTS; part++)
         CU_ASSERT(parts[part] > CALLERS / PARTS / 2 && parts[part] < CALLERS / PARTS * 2);
-    CU_ASSERT(hs_retry_after_spread_ms(0, 12345) >= HS_RETRY_AFTER_LEAST_MS);
+    CU_ASSERT(hs_retry_after_spread_ms(0, 12345) >= HS_RETRY_AFTER_MIN_MS);
 }
 
-/** What callers state of their time tells who came back; a longest of long ago is forgotten. */
-static void a_caller_that_comes_back_is_known_by_its_time(void) {
+/** A shorter timeout than the longest recent one marks a returning caller; old ones expire. */
+static void a_returning_caller_is_detected_by_its_timeout(void) {
     hs_caller_age age = {0};
     CU_ASSERT_EQUAL(hs_caller_age_note(&age, 5000), 0);
     CU_ASSERT_EQUAL(hs_caller_age_note(&age, 5000), 0);
@@ -200,7 +196,7 @@
     g_hash_table_destroy(listed);
 }
 
-static void an_outlook_counts_engines_places_and_absences(void) {
+static void an_outlook_counts_engines_slots_and_absences(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     CU_ASSERT_FALSE(hs_fleet_engines_outlook(engines, "svc").is_known);
     read_list(engines);
@@ -215,13 +211,13 @@
     hs_engine_lease *leases[6];
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++)
         leases[index] = hs_fleet_engines_take(engines, &query);
-    hs_service_outlook there = hs_fleet_engines_outlook(engines, "svc");
-    CU_ASSERT_EQUAL(there.engines, 1);
-    CU_ASSERT_EQUAL(there.slots, 4);
-    CU_ASSERT_EQUAL(there.running, 6);
-    CU_ASSERT_EQUAL(there.waiting, 2);
-    CU_ASSERT_EQUAL(there.absent_ms, 0);
-    CU_ASSERT(there.last_absence_ms >= 30);
+    hs_service_outlook present = hs_fleet_engines_outlook(engines, "svc");
+    CU_ASSERT_EQUAL(present.engines, 1);
+    CU_ASSERT_EQUAL(present.slots, 4);
+    CU_ASSERT_EQUAL(present.running, 6);
+    CU_ASSERT_EQUAL(present.waiting, 2);
+    CU_ASSERT_EQUAL(present.absent_ms, 0);
+    CU_ASSERT(present.last_absence_ms >= 30);
     for (size_t index = 1; index < G_N_ELEMENTS(leases); index++)
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_DROPPED);
     hs_engine_lease_release(leases[0], NULL, HS_ATTEMPT_UNREACHABLE);
@@ -231,44 +227,43 @@
     hs_fleet_engines_free(engines);
 }
 
-static void count_place(const char *service, void *user_data) {
+static void count_free_slot(const char *service, void *user_data) {
     CU_ASSERT_STRING_EQUAL(service, "svc");
     (*(uint32_t *)user_data)++;
 }
 
-static void tell_online(hs_fleet_engines *engines, const char *id, uint32_t online) {
+static void report_online(hs_fleet_engines *engines, const char *id, uint32_t online) {
     hs_engine_total total = {.engine_hash = hs_hash_bytes(id, strlen(id)), .online = online};
     hs_fleet_engines_put_total(engines, &total);
 }
 
-/** Arbiters' words make the pressure, for all who ask within some ms, and tell of free places. */
-static void words_of_arbiters_press_a_service(void) {
+/** Arbiters' load reports determine the pressure, which is cached for some ms, and free slots. */
+static void load_reports_determine_the_pressure(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
-    uint32_t places = 0;
-    hs_fleet_engines_set_place_watch(engines, count_place, &places);
+    uint32_t free_slots = 0;
+    hs_fleet_engines_set_place_watch(engines, count_free_slot, &free_slots);
     put_engine(engines, "e1", false);
     put_engine(engines, "e2", false);
-    CU_ASSERT_EQUAL(places, 2);
+    CU_ASSERT_EQUAL(free_slots, 2);
     CU_ASSERT_FALSE(hs_fleet_engines_pressure(engines, "svc").is_short);
-    tell_online(engines, "e1", 4);
-    tell_online(engines, "e2", 5);
-    CU_ASSERT_EQUAL(places, 2);
+    report_online(engines, "e1", 4);
+    report_online(engines, "e2", 5);
+    CU_ASSERT_EQUAL(free_slots, 2);
     hs_clock_sleep_ms(30);
     hs_service_pressure pressure = hs_fleet_engines_pressure(engines, "svc");
     CU_ASSERT_EQUAL(pressure.heard, 2);
     CU_ASSERT_TRUE(pressure.is_short);
     CU_ASSERT_DOUBLE_EQUAL(pressure.wait_ms, 2 * 300.0 / 8, 1e-9);
     CU_ASSERT_TRUE(hs_fleet_engines_outlook(engines, "svc").pressure.is_short);
-    tell_online(engines, "e1", 3);
-    CU_ASSERT_EQUAL(places, 3);
+    report_online(engines, "e1", 3);
+    CU_ASSERT_EQUAL(free_slots, 3);
     hs_engine_query query = {.service = "svc"};
     hs_engine_lease_release(hs_fleet_engines_take(engines, &query), NULL, HS_ATTEMPT_SERVED);
-    CU_ASSERT_EQUAL(places, 4);
+    CU_ASSERT_EQUAL(free_slots, 4);
     hs_fleet_engines_free(engines);
 }
 
-/** Where no word was heard, or none is short, the earlier rule decides alone, and as it did. */
-static void pressure_is_no_input_of_the_earlier_rule(void) {
+static void the_refusal_choice_ignores_pressure(void) {
     for (uint64_t left_ms = 0; left_ms < 6000; left_ms += 7) {
         hs_refusal_view view = full_view();
         view.left_ms = left_ms;
@@ -283,25 +278,24 @@
 }
 
 const test_case refusal_choice_tests[] = {
-    {"words_of_arbiters_press_a_service", words_of_arbiters_press_a_service},
-    {"pressure_is_no_input_of_the_earlier_rule", pressure_is_no_input_of_the_earlier_rule},
-    {"a_request_is_held_while_its_wait_ends_in_time",
-     a_request_is_held_while_its_wait_ends_in_time},
-    {"held_requests_that_do_not_drain_refuse_others",
-     held_requests_that_do_not_drain_refuse_others},
-    {"a_hold_queue_tells_how_it_drains", a_hold_queue_tells_how_it_drains},
-    {"time_waited_alone_refuses_nothing", time_waited_alone_refuses_nothing},
+    {"load_reports_determine_the_pressure", load_reports_determine_the_pressure},
+    {"the_refusal_choice_ignores_pressure", the_refusal_choice_ignores_pressure},
+    {"requests_are_held_while_their_wait_ends_in_time",
+     requests_are_held_while_their_wait_ends_in_time},
+    {"slow_drain_of_held_requests_refuses_others", slow_drain_of_held_requests_refuses_others},
+    {"a_hold_queue_estimates_its_drain_time", a_hold_queue_estimates_its_drain_time},
+    {"time_waited_alone_causes_no_refusal", time_waited_alone_causes_no_refusal},
     {"a_service_without_engines_refuses_at_once", a_service_without_engines_refuses_at_once},
-    {"an_unread_list_is_no_sign_that_engines_lack", an_unread_list_is_no_sign_that_engines_lack},
-    {"failing_engines_are_waited_for_until_they_are_tried_again",
-     failing_engines_are_waited_for_until_they_are_tried_again},
-    {"nothing_is_refused_while_half_of_the_places_are_free",
-     nothing_is_refused_while_half_of_the_places_are_free},
-    {"what_may_have_run_goes_on_to_its_deadline", what_may_have_run_goes_on_to_its_deadline},
-    {"drain_is_what_was_seen_to_drain", drain_is_what_was_seen_to_drain},
+    {"an_unread_engine_list_does_not_mean_no_engines",
+     an_unread_engine_list_does_not_mean_no_engines},
+    {"requests_wait_for_failed_engines_to_return", requests_wait_for_failed_engines_to_return},
+    {"requests_are_held_while_half_of_the_slots_are_free",
+     requests_are_held_while_half_of_the_slots_are_free},
+    {"requests_that_may_have_run_are_held_until_their_deadline",
+     requests_that_may_have_run_are_held_until_their_deadline},
+    {"drain_time_follows_the_observed_rate", drain_time_follows_the_observed_rate},
     {"callers_do_not_return_together", callers_do_not_return_together},
-    {"a_caller_that_comes_back_is_known_by_its_time",
-     a_caller_that_comes_back_is_known_by_its_time},
-    {"an_outlook_counts_engines_places_and_absences",
-     an_outlook_counts_engines_places_and_absences},
+    {"a_returning_caller_is_detected_by_its_timeout",
+     a_returning_caller_is_detected_by_its_timeout},
+    {"an_outlook_counts_engines_slots_and_absences", an_outlook_counts_engines_slots_and_absences},
     {NULL, NULL}};
