--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -159,7 +159,7 @@
     hs_memory_budget_set(hs_memory_budget_of_machine((uint32_t)daemon->settings->fleet_memory_mb));
     if (hs_memory_budget_get() > 0)
         daemon->online.read_ahead = hs_read_ahead_new();
-    daemon->online.levels = hs_fair_levels_new();
+    daemon->online.levels = hs_fair_shares_new();
     g_mutex_init(&daemon->online.counters.lock);
     hs_fleet_surface_settings surface = {.front = daemon->settings->fleet_front,
                                          .ready = daemon->settings->fleet_ready,
@@ -192,7 +192,7 @@
     hs_caller_ages_free(daemon->online.ages);
     hs_held_requests_free(daemon->online.held);
     hs_read_ahead_free(daemon->online.read_ahead);
-    hs_fair_levels_free(daemon->online.levels);
+    hs_fair_shares_free(daemon->online.levels);
     hs_fleet_engines_free(daemon->engines);
     hs_crash_watch_free(daemon->crash_watch);
     hs_store_client_free(daemon->store);
--- a/src/online/online_attempts.c
+++ b/src/online/online_attempts.c
@@ -135,7 +135,7 @@
     bool has_run = request->run != HS_RUN_DID_NOT;
     hs_refusal_choice choice = hs_online_choose_refusal(request);
     if (choice.verdict == HS_REFUSAL_HOLD && (!has_run || hs_online_may_repeat(request))) {
-        hs_fair_claim claim = hs_online_claim(request);
+        hs_queue_priority claim = hs_online_queue_priority(request);
         uint64_t pause_ms = has_run ? RESUME_PAUSE_MS : choice.pause_ms;
         request->woken += hs_held_requests_wait(request->online->held, request->held, &claim,
                                                 request->inbound->descriptor, pause_ms);
@@ -221,7 +221,7 @@
         hs_attempt_order order = make_order(request);
         bool has_head = hs_attempt_start(request->online->engines, &order, &request->attempt);
         if (request->attempt.prospect.is_hopeless) {
-            hs_online_note_hopeless(request, reason);
+            hs_online_refuse_unsent(request, reason);
             return false;
         }
         if (request->attempt.lease == NULL) {
--- a/src/online/online_request.h
+++ b/src/online/online_request.h
@@ -70,7 +70,7 @@
     hs_caller_ages *ages;
     hs_held_requests *held;
     hs_read_ahead *read_ahead; /**< NULL: no memory budget, nothing is read ahead. */
-    hs_fair_levels *levels;
+    hs_fair_shares *levels;
     uint64_t keys_hold_ms; /**< How long keys hold without the store's word; 0: for good. Where they
                                 do not, streams of a key that was taken away end. */
     gint split_turn;       /**< Spreads requests over the shares of a split route. */
--- a/src/online/online_request_state.h
+++ b/src/online/online_request_state.h
@@ -85,14 +85,14 @@
 void hs_online_admit(hs_online_request *request);
 
 /** The claim by which a request that waits for a place is put in order. */
-hs_fair_claim hs_online_claim(const hs_online_request *request);
+hs_queue_priority hs_online_queue_priority(const hs_online_request *request);
 
 /** Whether the request is over its tenant's share while the service is short; noted with the end.
  */
 bool hs_online_is_over_share(hs_online_request *request, hs_end_reason *reason);
 
 /** The attempt at hand was not sent since no engine can serve in time: note why, and the end. */
-void hs_online_note_hopeless(hs_online_request *request, hs_end_reason *reason);
+void hs_online_refuse_unsent(hs_online_request *request, hs_end_reason *reason);
 
 /** The end that a verdict other than HS_REFUSAL_HOLD means. */
 hs_end_reason hs_online_refusal_reason(hs_refusal_verdict verdict);
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -29,7 +29,7 @@
 }
 
 static void write_holds(GString *text, hs_online *online) {
-    hs_held_counters held = hs_held_requests_count(online->held);
+    hs_held_counters held = hs_held_requests_get_counters(online->held);
     g_string_append_printf(text,
                            "heathsail_requests_held %u\n"
                            "heathsail_holds_woken_total %" G_GUINT64_FORMAT "\n"
@@ -166,7 +166,7 @@
     g_autofree char *shares =
         hs_tenant_limiter_describe_shares(hs_daemon_directory_limiter(sources->members));
     g_string_append(text, shares);
-    g_autofree char *levels = hs_fair_levels_describe(online->levels);
+    g_autofree char *levels = hs_fair_shares_describe(online->levels);
     g_string_append(text, levels);
     write_entries(text, sources->engine_source);
     write_job_reads(text, sources->jobs);
