--- a/src/directory/daemon_directory.c
+++ b/src/directory/daemon_directory.c
@@ -33,7 +33,7 @@
  */
 #define SHARES_OWNERS_LARGE 1
 /** Daemons above which a fleet is large: three rounds of the most peers, so that all are heard. */
-#define LARGE_FLEET HS_ENGINE_WORDS_LARGE_FLEET
+#define LARGE_FLEET HS_LARGE_FLEET_PEERS
 #define REGISTRY_INTERVAL_MS 4000
 #define REGISTRY_CALL_MS 1000
 #define JOIN_CHECK_MS 200
--- a/src/directory/slot_arbiter.c
+++ b/src/directory/slot_arbiter.c
@@ -152,10 +152,10 @@
 
 /** Words in the form that engine_words.h picks from; the index takes the place of the hash. */
 static GArray *words_to_pick(const GArray *known, const Hs__EngineTotals *body) {
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(hs_engine_word));
+    GArray *words = g_array_new(FALSE, FALSE, sizeof(hs_relay_candidate));
     for (guint index = 0; index < known->len; index++) {
         const hs_engine_total *total = &g_array_index(known, hs_engine_total, index);
-        hs_engine_word word = {.engine_hash = index, .age_ms = total->age_ms};
+        hs_relay_candidate word = {.engine_hash = index, .age_ms = total->age_ms};
         if (!is_answered(body, total->engine_hash))
             g_array_append_val(words, word);
     }
@@ -173,13 +173,13 @@
     g_autoptr(GArray) known = hs_fleet_engines_words(arbiter->engines);
     g_autoptr(GArray) words = words_to_pick(known, body);
     size_t room = body->n_totals < ANSWER_WORDS_MOST ? ANSWER_WORDS_MOST - body->n_totals : 0;
-    size_t count = hs_engine_words_pick((hs_engine_word *)words->data, words->len);
+    size_t count = hs_engine_reports_pick((hs_relay_candidate *)words->data, words->len);
     size_t bytes = 0;
     body->n_passed_on = MIN(count, room);
     Hs__EngineTotal *told = g_new(Hs__EngineTotal, body->n_passed_on + 1);
     body->passed_on = g_new(Hs__EngineTotal *, body->n_passed_on + 1);
     for (size_t index = 0; index < body->n_passed_on; index++) {
-        const hs_engine_word *word = &g_array_index(words, hs_engine_word, index);
+        const hs_relay_candidate *word = &g_array_index(words, hs_relay_candidate, index);
         write_total(&g_array_index(known, hs_engine_total, word->engine_hash), &told[index]);
         body->passed_on[index] = &told[index];
         bytes += hs__engine_total__get_packed_size(&told[index]) + WORD_HEAD_BYTES;
--- a/src/fleet/engine_beliefs.c
+++ b/src/fleet/engine_beliefs.c
@@ -51,7 +51,7 @@
 
 uint64_t hs_fleet_engine_word_age_ms(const hs_fleet_engine *engine, uint64_t now_ms) {
     uint64_t age_ms = now_ms > engine->told_ms ? now_ms - engine->told_ms : 0;
-    return engine->told_ms == 0 || age_ms >= HS_ENGINE_WORD_VALID_MS ? UINT64_MAX : age_ms;
+    return engine->told_ms == 0 || age_ms >= HS_ENGINE_REPORT_VALID_MS ? UINT64_MAX : age_ms;
 }
 
 /**
@@ -61,11 +61,11 @@
 static double believed(const hs_fleet_engine *engine, double told, double mean, double peers,
                        uint64_t now_ms) {
     uint64_t age_ms = hs_fleet_engine_word_age_ms(engine, now_ms);
-    if (age_ms < HS_ENGINE_WORD_FRESH_MS)
+    if (age_ms < HS_ENGINE_REPORT_RECENT_MS)
         return told;
     if (!engine->has_mean)
         return peers;
-    double weight = hs_engine_word_weight(age_ms);
+    double weight = hs_engine_report_weight(age_ms);
     return told * weight + mean * (1 - weight);
 }
 
@@ -98,7 +98,7 @@
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
-        if (hs_fleet_engine_word_age_ms(engine, now_ms) >= HS_ENGINE_WORD_FRESH_MS ||
+        if (hs_fleet_engine_word_age_ms(engine, now_ms) >= HS_ENGINE_REPORT_RECENT_MS ||
             hs_fleet_engine_is_suspected(engine, now_ms))
             continue;
         word_sum *sum = g_hash_table_lookup(sums, engine->entry.service);
@@ -116,7 +116,7 @@
 }
 
 bool hs_fleet_engines_hear_words(const hs_fleet_engines *engines, uint64_t now_ms) {
-    return engines->passed_on_ms != 0 && now_ms < engines->passed_on_ms + HS_ENGINE_WORD_VALID_MS;
+    return engines->passed_on_ms != 0 && now_ms < engines->passed_on_ms + HS_ENGINE_REPORT_VALID_MS;
 }
 
 void hs_fleet_engines_mean_words(hs_fleet_engines *engines, uint64_t now_ms) {
@@ -188,7 +188,7 @@
         candidate.warmup_ms = (double)(engine->entry.warmup_left_ms - since_listed);
     if (hs_fleet_engines_hear_words(engines, now_ms))
         candidate.word_age_ms =
-            (double)MIN(hs_fleet_engine_word_age_ms(engine, now_ms), HS_ENGINE_WORD_VALID_MS);
+            (double)MIN(hs_fleet_engine_word_age_ms(engine, now_ms), HS_ENGINE_REPORT_VALID_MS);
     if (query->size != NULL) {
         uint32_t cached = hs_prefix_index_match(engine->prefixes, query->size);
         candidate.uncached_tokens =
--- a/src/fleet/engine_lease.c
+++ b/src/fleet/engine_lease.c
@@ -252,8 +252,8 @@
     lease->engine->load = *load;
     lease->engine->load_ms = hs_clock_monotonic_ms();
     lease->engine->load_own = (double)lease->engine->online + lease->engine->batch;
-    hs_engine_pace_note_word(&lease->engine->pace, load->slowdown_percent, 0,
-                             lease->engine->load_ms);
+    hs_engine_pace_note_slowdown(&lease->engine->pace, load->slowdown_percent, 0,
+                                 lease->engine->load_ms);
     g_mutex_unlock(&lease->engines->lock);
 }
 
--- a/src/fleet/engine_selection.c
+++ b/src/fleet/engine_selection.c
@@ -88,7 +88,8 @@
         hs_engine_speed own = hs_engine_speed_at(speed, candidate->pace);
         double wait_ms =
             hs_engine_choice_wait_ms(online, candidate->slots, candidate->queued_tokens, &own);
-        if (query->has_wait_limit && !hs_engine_choice_is_quick(wait_ms, &own, query->wait_most_ms))
+        if (query->has_wait_limit &&
+            !hs_engine_choice_can_start_in_time(wait_ms, &own, query->wait_most_ms))
             continue;
         found->pdata[kept] = found->pdata[index];
         candidates[kept++] = *candidate;
--- a/src/fleet/engine_uses.c
+++ b/src/fleet/engine_uses.c
@@ -111,9 +111,9 @@
 
 /** Take what the arbiter says of the engine's pace; its own word is as old as it says. */
 static void put_pace(hs_fleet_engine *engine, const hs_engine_total *total, uint64_t now_ms) {
-    hs_engine_pace_put_event_us(&engine->pace, total->event_us, now_ms);
-    hs_engine_pace_note_word(&engine->pace, total->slowdown_percent,
-                             (uint64_t)total->slowdown_age_ms + total->age_ms, now_ms);
+    hs_engine_pace_set_reported_event_us(&engine->pace, total->event_us, now_ms);
+    hs_engine_pace_note_slowdown(&engine->pace, total->slowdown_percent,
+                                 (uint64_t)total->slowdown_age_ms + total->age_ms, now_ms);
 }
 
 void hs_fleet_engines_put_total(hs_fleet_engines *engines, const hs_engine_total *total) {
@@ -158,7 +158,7 @@
 
 bool hs_fleet_engines_passes_words(hs_fleet_engines *engines) {
     g_mutex_lock(&engines->lock);
-    bool is_large = engines->peer_count > HS_ENGINE_WORDS_LARGE_FLEET;
+    bool is_large = engines->peer_count > HS_LARGE_FLEET_PEERS;
     g_mutex_unlock(&engines->lock);
     return is_large;
 }
@@ -263,9 +263,10 @@
     prospect.need_ms = speed.first_byte_ms;
     prospect.wait_ms = hs_engine_choice_wait_ms(prospect.online, prospect.slots,
                                                 fmax(prospect.queued_tokens, 0), &speed);
-    prospect.is_quick = !query->has_wait_limit ||
-                        hs_engine_choice_is_quick(prospect.wait_ms, &speed, query->wait_most_ms);
-    prospect.is_hopeless = hs_engine_choice_is_hopeless(prospect.wait_ms, &speed, left_ms);
+    prospect.is_quick =
+        !query->has_wait_limit ||
+        hs_engine_choice_can_start_in_time(prospect.wait_ms, &speed, query->wait_most_ms);
+    prospect.is_hopeless = hs_engine_choice_will_miss_deadline(prospect.wait_ms, &speed, left_ms);
     g_mutex_unlock(&lease->engines->lock);
     return prospect;
 }
--- a/src/fleet/fleet_engines.c
+++ b/src/fleet/fleet_engines.c
@@ -341,10 +341,10 @@
     const hs_engine_speed *speed = hs_fleet_engines_speed(engines, query->service);
     hs_engine_selection_keep_quick(found, query, candidates, speed);
     size_t first = found->len > 0 ? engines->turn++ % found->len : 0;
-    hs_engine_turn turn = {.draw = g_random_double(), .first = first};
+    hs_engine_tie_break turn = {.draw = g_random_double(), .first = first};
     int picked = query->work == HS_WORK_ONLINE
                      ? hs_engine_spread_pick(candidates, found->len, &turn, speed)
-                     : hs_engine_choice_pick_spare(candidates, found->len, first, speed);
+                     : hs_engine_choice_pick_for_batch(candidates, found->len, first, speed);
     if (picked != HS_ENGINE_NONE) {
         const hs_engine_candidate *chosen = &candidates[picked];
         hs_fleet_engine *engine = found->pdata[picked];
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -60,7 +60,7 @@
     uint64_t memory_tokens;    /**< An engine's memory by the configuration; 0: unknown. */
     uint32_t max_connections;  /**< To one engine from all daemons; 0: unknown. */
     bool has_wait_limit;       /**< Online: engines only that begin with it in wait_most_ms. */
-    uint64_t wait_most_ms;     /**< See hs_engine_choice_is_quick. */
+    uint64_t wait_most_ms;     /**< See hs_engine_choice_can_start_in_time. */
 } hs_engine_query;
 
 /** One engine's load as a daemon tells it to others. */
--- a/src/fleet/slot_ledger.c
+++ b/src/fleet/slot_ledger.c
@@ -147,7 +147,7 @@
                     "daemon=%s downs=%u",
                     engine->hash, hs_health_state_name(engine->health.state),
                     hs_health_state_name(before), engine->health.failure_rate, use->daemon,
-                    engine->health.downs);
+                    engine->health.down_count);
 }
 
 /**
@@ -156,8 +156,8 @@
  */
 static void note_pace(engine_uses *engine, const daemon_use *use, const hs_slot_word *word,
                       uint64_t now_ms) {
-    hs_engine_pace_note_word(&engine->pace, word->use.slowdown_percent, word->use.slowdown_age_ms,
-                             now_ms);
+    hs_engine_pace_note_slowdown(&engine->pace, word->use.slowdown_percent,
+                                 word->use.slowdown_age_ms, now_ms);
     if (use->told_ms == 0 || use->incarnation != word->incarnation ||
         word->use.run_events <= use->told.run_events || word->use.run_ms < use->told.run_ms)
         return;
@@ -169,7 +169,7 @@
 
 /** What the engine's pace is by all daemons' words. */
 static void add_pace(const engine_uses *engine, uint64_t now_ms, hs_engine_total *total) {
-    total->event_us = hs_engine_pace_event_us(&engine->pace, now_ms);
+    total->event_us = hs_engine_pace_observed_event_us(&engine->pace, now_ms);
     if (engine->pace.slowdown_percent == 0)
         return;
     total->slowdown_percent = engine->pace.slowdown_percent;
@@ -294,7 +294,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         engine_uses *engine = value;
         expire_uses(engine, now_ms);
-        bool is_over = engine->health.state == HS_HEALTH_SOUND ||
+        bool is_over = engine->health.state == HS_HEALTH_HEALTHY ||
                        now_ms > engine->health.down_until_ms + HEALTH_KEPT_MS;
         bool has_pace = engine->pace.events > 0 && now_ms < engine->pace.seen_ms + PACE_KEPT_MS;
         bool is_idle = engine->uses->len == 0 && now_ms > engine->told_ms + IDLE_KEPT_MS;
--- a/src/online/admission.c
+++ b/src/online/admission.c
@@ -31,7 +31,7 @@
  */
 static bool is_short(const hs_admission_view *view) {
     const hs_service_pressure *pressure = &view->pressure;
-    bool is_head_overdue = view->head_waited_ms > HS_HELD_PAUSE_MOST_MS;
+    bool is_head_overdue = view->head_waited_ms > HS_MAX_HELD_RETRY_PAUSE_MS;
     bool has_ample_slots = pressure->slots <= 0 || pressure->free_share >= AMPLE_FREE_RATIO;
     return pressure->is_short || (is_head_overdue && !has_ample_slots);
 }
--- a/src/online/online_refusal.c
+++ b/src/online/online_refusal.c
@@ -83,9 +83,9 @@
     const hs_admission_choice *admission = &request->admission;
     switch (admission->verdict) {
     case HS_ADMISSION_IN_TIME:
-        return MIN(MAX(HS_HELD_PAUSE_MOST_MS, admission->expected_ms), admission->max_hold_ms);
+        return MIN(MAX(HS_MAX_HELD_RETRY_PAUSE_MS, admission->expected_ms), admission->max_hold_ms);
     case HS_ADMISSION_BEST_EFFORT:
-        return HS_HELD_PAUSE_MOST_MS;
+        return HS_MAX_HELD_RETRY_PAUSE_MS;
     case HS_ADMISSION_OPEN:
     case HS_ADMISSION_REFUSE:
         break;
--- a/src/online/refusal_choice.c
+++ b/src/online/refusal_choice.c
@@ -56,7 +56,7 @@
     hs_refusal_choice choice = estimate_wait(view);
     double pause_ms = fmax((double)choice.expected_ms / EXPECTED_WAIT_DIVISOR,
                            (double)view->waited_ms / PAST_WAIT_DIVISOR);
-    choice.pause_ms = (uint64_t)fmin(fmax(pause_ms, MIN_PAUSE_MS), HS_HELD_PAUSE_MOST_MS);
+    choice.pause_ms = (uint64_t)fmin(fmax(pause_ms, MIN_PAUSE_MS), HS_MAX_HELD_RETRY_PAUSE_MS);
     if (choice.pause_ms >= view->left_ms)
         choice.verdict = HS_REFUSAL_OVER;
     else if (view->may_have_run || !is_wait_in_vain(view, &choice))
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -142,7 +142,7 @@
             break;
     }
     double wait_ms = hs_engine_choice_wait_ms(count_online(sim, engine) + 1, SLOTS, 0, &speed);
-    if (!hs_engine_choice_is_quick(wait_ms, &speed, begin_ms))
+    if (!hs_engine_choice_can_start_in_time(wait_ms, &speed, begin_ms))
         return false;
     start_run(sim, request, engine);
     return true;
@@ -202,7 +202,9 @@
     };
     view.service.running = ENGINES * SLOTS - free;
     view.service.waiting =
-        pressure.place_ms > 0 ? fmax(pressure.wait_ms / pressure.place_ms - 1 + free, 0) : 0;
+        pressure.slot_free_interval_ms > 0
+            ? fmax(pressure.wait_ms / pressure.slot_free_interval_ms - 1 + free, 0)
+            : 0;
     return hs_refusal_choose(&view);
 }
 
@@ -221,7 +223,7 @@
 
 static void serve(simulation *sim, sim_request *request) {
     uint64_t age_ms = sim->now_ms - request->first_ms;
-    uint64_t begin_ms = hs_engine_choice_begin_ms(TARGET_MS, age_ms, false);
+    uint64_t begin_ms = hs_engine_choice_start_limit_ms(TARGET_MS, age_ms, false);
     hs_admission_choice admission = {.verdict = HS_ADMISSION_OPEN, .may_try = true};
     if (sim->rule == BY_CURRENT_LOAD) {
         admission = admission_choice(sim, request);
@@ -425,7 +427,7 @@
     CU_ASSERT_TRUE(pressure.is_short);
     CU_ASSERT_EQUAL(pressure.heard, 10);
     CU_ASSERT_DOUBLE_EQUAL(pressure.free_share, 0, 1e-9);
-    CU_ASSERT_DOUBLE_EQUAL(pressure.place_ms, 10, 1e-9);
+    CU_ASSERT_DOUBLE_EQUAL(pressure.slot_free_interval_ms, 10, 1e-9);
     CU_ASSERT_DOUBLE_EQUAL(pressure.wait_ms, 10, 1e-9);
     CU_ASSERT_DOUBLE_EQUAL(pressure.age_ms, 100, 1e-9);
     CU_ASSERT_DOUBLE_EQUAL(ten_engines(9, 100, 10).wait_ms, 110, 1e-9);
@@ -441,7 +443,7 @@
 
 /** Old reports, or reports for fewer than half of the engines, do not indicate a shortage. */
 static void missing_load_reports_are_no_shortage(void) {
-    CU_ASSERT_FALSE(ten_engines(20, HS_PRESSURE_HEARD_MOST_MS + 1, 10).is_short);
+    CU_ASSERT_FALSE(ten_engines(20, HS_MAX_PRESSURE_REPORT_AGE_MS + 1, 10).is_short);
     CU_ASSERT_FALSE(ten_engines(20, 100, 4).is_short);
     CU_ASSERT_DOUBLE_EQUAL(ten_engines(20, 100, 4).wait_ms, 0, 1e-9);
     CU_ASSERT_TRUE(ten_engines(20, 100, 5).is_short);
--- a/tests/unit/test_engines.c
+++ b/tests/unit/test_engines.c
@@ -29,14 +29,14 @@
 static void batch_takes_free_slots_only(void) {
     hs_engine_speed speed = {.tokens_per_ms = 50, .run_ms = 1000};
     hs_engine_candidate one = {.slots = 10, .running = 9, .batch = 3};
-    CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), 0);
+    CU_ASSERT_EQUAL(hs_engine_choice_pick_for_batch(&one, 1, 0, &speed), 0);
     one.running = 10;
-    CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), HS_ENGINE_NONE);
+    CU_ASSERT_EQUAL(hs_engine_choice_pick_for_batch(&one, 1, 0, &speed), HS_ENGINE_NONE);
     one.running = 9.5; /* Words of unheard daemons are scaled: not a whole slot. */
-    CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), HS_ENGINE_NONE);
+    CU_ASSERT_EQUAL(hs_engine_choice_pick_for_batch(&one, 1, 0, &speed), HS_ENGINE_NONE);
     one.running = 2;
     one.suspected = true;
-    CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), HS_ENGINE_NONE);
+    CU_ASSERT_EQUAL(hs_engine_choice_pick_for_batch(&one, 1, 0, &speed), HS_ENGINE_NONE);
 }
 
 /** For online requests a slot that a batch item holds is nearly free; one of a request is not. */
@@ -60,12 +60,12 @@
     CU_ASSERT_EQUAL(hs_engine_choice_wait_ms(8, 8, 0, &speed), 0);
     CU_ASSERT_EQUAL(hs_engine_choice_wait_ms(24, 8, 0, &speed), 2000);
     CU_ASSERT_EQUAL(hs_engine_choice_wait_ms(4, 8, 5000, &speed), 100);
-    CU_ASSERT_FALSE(hs_engine_choice_is_hopeless(2000, &speed, 2020));
-    CU_ASSERT_TRUE(hs_engine_choice_is_hopeless(2000, &speed, 2019));
-    CU_ASSERT_TRUE(hs_engine_choice_is_hopeless(0, &speed, 19));
-    CU_ASSERT_FALSE(hs_engine_choice_is_hopeless(0, &speed, 20));
+    CU_ASSERT_FALSE(hs_engine_choice_will_miss_deadline(2000, &speed, 2020));
+    CU_ASSERT_TRUE(hs_engine_choice_will_miss_deadline(2000, &speed, 2019));
+    CU_ASSERT_TRUE(hs_engine_choice_will_miss_deadline(0, &speed, 19));
+    CU_ASSERT_FALSE(hs_engine_choice_will_miss_deadline(0, &speed, 20));
     speed.first_byte_ms = 0; /* Nothing was served yet: nothing is known. */
-    CU_ASSERT_FALSE(hs_engine_choice_is_hopeless(0, &speed, 0));
+    CU_ASSERT_FALSE(hs_engine_choice_will_miss_deadline(0, &speed, 0));
     speed.online_run_ms = 0;
     CU_ASSERT_EQUAL(hs_engine_choice_wait_ms(16, 8, 0, &speed), 4000);
 }
@@ -96,11 +96,11 @@
 /** Past its objective a request takes a free place, or one that frees within a pause of 50 ms. */
 static void late_requests_take_free_places_only(void) {
     hs_engine_speed speed = {.tokens_per_ms = 50, .run_ms = 1000, .first_byte_ms = 20};
-    CU_ASSERT_TRUE(hs_engine_choice_is_quick(0, &speed, 0));
-    CU_ASSERT_TRUE(hs_engine_choice_is_quick(50, &speed, 0));
-    CU_ASSERT_FALSE(hs_engine_choice_is_quick(51, &speed, 0));
-    CU_ASSERT_TRUE(hs_engine_choice_is_quick(280, &speed, 300));
-    CU_ASSERT_FALSE(hs_engine_choice_is_quick(281, &speed, 300));
+    CU_ASSERT_TRUE(hs_engine_choice_can_start_in_time(0, &speed, 0));
+    CU_ASSERT_TRUE(hs_engine_choice_can_start_in_time(50, &speed, 0));
+    CU_ASSERT_FALSE(hs_engine_choice_can_start_in_time(51, &speed, 0));
+    CU_ASSERT_TRUE(hs_engine_choice_can_start_in_time(280, &speed, 300));
+    CU_ASSERT_FALSE(hs_engine_choice_can_start_in_time(281, &speed, 300));
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
--- a/tests/unit/test_urgency.c
+++ b/tests/unit/test_urgency.c
@@ -80,8 +80,8 @@
     double online = candidates[picked].running - candidates[picked].batch + 1;
     double wait_ms = hs_engine_choice_wait_ms(online, SLOTS, 0, &speed);
     uint64_t begin_ms =
-        hs_engine_choice_begin_ms((uint64_t)target_ms[kind], 0, kind == LESS_URGENT);
-    if (!hs_engine_choice_is_quick(wait_ms, &speed, begin_ms))
+        hs_engine_choice_start_limit_ms((uint64_t)target_ms[kind], 0, kind == LESS_URGENT);
+    if (!hs_engine_choice_can_start_in_time(wait_ms, &speed, begin_ms))
         return;
     engine *at = &played->engines[picked];
     at->runs[at->count++] = (run){.kind = kind, .came_ms = now_ms, .left_ms = RUN_MS};
@@ -91,7 +91,7 @@
 static void start_items(play *played, int now_ms) {
     hs_engine_candidate candidates[ENGINES];
     candidates_of(played, candidates);
-    int picked = hs_engine_choice_pick_spare(candidates, ENGINES, 0, &speed);
+    int picked = hs_engine_choice_pick_for_batch(candidates, ENGINES, 0, &speed);
     if (played->waiting_items == 0 || picked == HS_ENGINE_NONE)
         return;
     engine *at = &played->engines[picked];
@@ -183,9 +183,9 @@
                         is_less[index]);
     }
     hs_fleet_config_unref(config);
-    CU_ASSERT_EQUAL(hs_engine_choice_begin_ms(300, 100, false), 200);
-    CU_ASSERT_EQUAL(hs_engine_choice_begin_ms(300, 400, false), 0);
-    CU_ASSERT_EQUAL(hs_engine_choice_begin_ms(300, 0, true), 0);
+    CU_ASSERT_EQUAL(hs_engine_choice_start_limit_ms(300, 100, false), 200);
+    CU_ASSERT_EQUAL(hs_engine_choice_start_limit_ms(300, 400, false), 0);
+    CU_ASSERT_EQUAL(hs_engine_choice_start_limit_ms(300, 0, true), 0);
 }
 
 const test_case urgency_tests[] = {
--- a/tests/unit/test_words.c
+++ b/tests/unit/test_words.c
@@ -10,22 +10,22 @@
 #include <string.h>
 
 static void the_freshest_words_are_passed_on(void) {
-    hs_engine_word words[40];
+    hs_relay_candidate words[40];
     for (size_t index = 0; index < G_N_ELEMENTS(words); index++)
-        words[index] = (hs_engine_word){index, (index * 7 % 40) * 50};
-    CU_ASSERT_EQUAL(hs_engine_words_pick(words, 40), HS_ENGINE_WORDS_MOST);
-    for (size_t index = 0; index < HS_ENGINE_WORDS_MOST; index++)
+        words[index] = (hs_relay_candidate){index, (index * 7 % 40) * 50};
+    CU_ASSERT_EQUAL(hs_engine_reports_pick(words, 40), HS_MAX_RELAYED_REPORTS);
+    for (size_t index = 0; index < HS_MAX_RELAYED_REPORTS; index++)
         CU_ASSERT_EQUAL(words[index].age_ms, index * 50);
-    hs_engine_word old[] = {{1, HS_ENGINE_WORD_VALID_MS}, {2, HS_ENGINE_WORD_VALID_MS - 1}};
-    CU_ASSERT_EQUAL(hs_engine_words_pick(old, 2), 1);
+    hs_relay_candidate old[] = {{1, HS_ENGINE_REPORT_VALID_MS}, {2, HS_ENGINE_REPORT_VALID_MS - 1}};
+    CU_ASSERT_EQUAL(hs_engine_reports_pick(old, 2), 1);
     CU_ASSERT_EQUAL(old[0].engine_hash, 2);
 }
 
 static void a_word_fades(void) {
-    CU_ASSERT_EQUAL(hs_engine_word_weight(0), 1);
-    CU_ASSERT_EQUAL(hs_engine_word_weight(HS_ENGINE_WORD_FRESH_MS), 1);
-    CU_ASSERT_DOUBLE_EQUAL(hs_engine_word_weight(625), 0.5, 1e-9);
-    CU_ASSERT_EQUAL(hs_engine_word_weight(HS_ENGINE_WORD_VALID_MS), 0);
+    CU_ASSERT_EQUAL(hs_engine_report_weight(0), 1);
+    CU_ASSERT_EQUAL(hs_engine_report_weight(HS_ENGINE_REPORT_RECENT_MS), 1);
+    CU_ASSERT_DOUBLE_EQUAL(hs_engine_report_weight(625), 0.5, 1e-9);
+    CU_ASSERT_EQUAL(hs_engine_report_weight(HS_ENGINE_REPORT_VALID_MS), 0);
 }
 
 /** Engines "e0".. of service "svc". */
@@ -103,7 +103,7 @@
     hs_fleet_engines_put_passed_on(engines, &old);
     CU_ASSERT_DOUBLE_EQUAL(others_on(engines, "e3"), 3, 0.1);
     CU_ASSERT_EQUAL(others_on(engines, "e4"), 6);
-    hs_clock_sleep_ms(HS_ENGINE_WORD_FRESH_MS); /* No fresh word is left: nothing is known. */
+    hs_clock_sleep_ms(HS_ENGINE_REPORT_RECENT_MS); /* No fresh word is left: nothing is known. */
     CU_ASSERT_EQUAL(others_on(engines, "e4"), 0);
     hs_fleet_engines_free(engines);
 }
@@ -118,7 +118,7 @@
     }
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 7);
     CU_ASSERT_EQUAL(others_on(engines, "e4"), 0);
-    hs_clock_sleep_ms(HS_ENGINE_WORD_FRESH_MS);
+    hs_clock_sleep_ms(HS_ENGINE_REPORT_RECENT_MS);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 0);
     CU_ASSERT_FALSE(hs_fleet_engines_passes_words(engines));
     hs_fleet_engines_free(engines);
--- a/tests/unit/test_words_travel.c
+++ b/tests/unit/test_words_travel.c
@@ -107,7 +107,7 @@
         return;
     const Hs__EngineTotals *totals = answer->engine_totals;
     CU_ASSERT_EQUAL(totals->n_totals, 1);
-    CU_ASSERT_EQUAL_FATAL(totals->n_passed_on, HS_ENGINE_WORDS_MOST);
+    CU_ASSERT_EQUAL_FATAL(totals->n_passed_on, HS_MAX_RELAYED_REPORTS);
     CU_ASSERT(length < DATAGRAM_MOST);
     hs_slot_arbiter_handle(hearer.arbiter, answer, NULL);
     uint32_t believed = 0;
@@ -117,7 +117,7 @@
         believed += hs_fleet_engine_others_online(engine, now_ms) == 5;
         CU_ASSERT_EQUAL(engine->told_count, index == 0); /* The others answer no question. */
     }
-    CU_ASSERT_EQUAL(believed, HS_ENGINE_WORDS_MOST + 1);
+    CU_ASSERT_EQUAL(believed, HS_MAX_RELAYED_REPORTS + 1);
     hs__peer_message__free_unpacked(answer, NULL);
     free_member(&hearer);
     free_member(&arbiter);
