--- a/src/fleet/engine_beliefs.c
+++ b/src/fleet/engine_estimates.c
@@ -10,7 +10,7 @@
 /** A load told with an answer counts for this long, fading. */
 #define LOAD_VALID_MS 1000.0
 /** Fresh words on engines of a service from which on their mean says something of the others. */
-#define MEAN_WORDS_LEAST 3
+#define MIN_MEAN_REPORTS 3
 /** An arbiter's word that an engine fails counts for this long; then it is asked again. */
 #define FAILING_VALID_MS 1000
 /** Failures fade to half in this time, so that an engine is tried again. */
@@ -20,47 +20,47 @@
 
 bool hs_fleet_engine_is_silent(const hs_fleet_engine *engine, uint64_t now_ms) {
     return engine->online + engine->batch > 0 &&
-           now_ms > engine->heard_ms + engine->silent_limit_ms;
+           now_ms > engine->last_received_ms + engine->silence_limit_ms;
 }
 
-double hs_fleet_engine_faded(const hs_fleet_engine *engine, double count, uint64_t now_ms) {
-    double age_ms = (double)(now_ms - engine->ended_ms);
+double hs_fleet_engine_decayed_count(const hs_fleet_engine *engine, double count, uint64_t now_ms) {
+    double age_ms = (double)(now_ms - engine->decayed_at_ms);
     return count * exp2(-age_ms / FAILURE_HALF_MS);
 }
 
 double hs_fleet_engine_failure_rate(const hs_fleet_engine *engine, uint64_t now_ms) {
-    double failed = hs_fleet_engine_faded(engine, engine->failed, now_ms) + engine->peers_failed;
-    double ended = hs_fleet_engine_faded(engine, engine->ended, now_ms) + engine->peers_ended;
+    double failed = hs_fleet_engine_decayed_count(engine, engine->decayed_failed, now_ms) + engine->peers_failed;
+    double ended = hs_fleet_engine_decayed_count(engine, engine->decayed_ended, now_ms) + engine->peers_ended;
     return failed / (ended + FAILURE_PRIOR);
 }
 
 /** Suspected now by what this daemon has seen, or by the word of the engine's arbiter. */
 static bool is_avoided(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return now_ms < engine->suspect_until_ms || hs_fleet_engine_is_silent(engine, now_ms) ||
-           (engine->told_failing_ms != 0 && now_ms < engine->told_failing_ms + FAILING_VALID_MS);
+    return now_ms < engine->suspected_until_ms || hs_fleet_engine_is_silent(engine, now_ms) ||
+           (engine->reported_failing_at_ms != 0 && now_ms < engine->reported_failing_at_ms + FAILING_VALID_MS);
 }
 
 bool hs_fleet_engine_is_suspected(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return is_avoided(engine, now_ms) || engine->is_on_trial || engine->peers_suspecting > 0;
+    return is_avoided(engine, now_ms) || engine->is_probing || engine->peers_suspecting > 0;
 }
 
-bool hs_fleet_engine_is_to_be_tried(const hs_fleet_engine *engine, uint64_t now_ms) {
-    bool has_reason = engine->suspect_until_ms != 0 || engine->peers_suspecting > 0;
-    return has_reason && !engine->is_on_trial && !is_avoided(engine, now_ms);
+bool hs_fleet_engine_is_probe_due(const hs_fleet_engine *engine, uint64_t now_ms) {
+    bool has_reason = engine->suspected_until_ms != 0 || engine->peers_suspecting > 0;
+    return has_reason && !engine->is_probing && !is_avoided(engine, now_ms);
 }
 
-uint64_t hs_fleet_engine_word_age_ms(const hs_fleet_engine *engine, uint64_t now_ms) {
-    uint64_t age_ms = now_ms > engine->told_ms ? now_ms - engine->told_ms : 0;
-    return engine->told_ms == 0 || age_ms >= HS_ENGINE_WORD_VALID_MS ? UINT64_MAX : age_ms;
+uint64_t hs_fleet_engine_report_age_ms(const hs_fleet_engine *engine, uint64_t now_ms) {
+    uint64_t age_ms = now_ms > engine->reported_at_ms ? now_ms - engine->reported_at_ms : 0;
+    return engine->reported_at_ms == 0 || age_ms >= HS_ENGINE_WORD_VALID_MS ? UINT64_MAX : age_ms;
 }
 
 /**
  * The arbiter's word is fresher than what daemons tell each other at intervals, for a while. Where
  * they tell each other nothing the mean of the service's words takes its place, little by little.
  */
-static double believed(const hs_fleet_engine *engine, double told, double mean, double peers,
+static double estimate_load(const hs_fleet_engine *engine, double told, double mean, double peers,
                        uint64_t now_ms) {
-    uint64_t age_ms = hs_fleet_engine_word_age_ms(engine, now_ms);
+    uint64_t age_ms = hs_fleet_engine_report_age_ms(engine, now_ms);
     if (age_ms < HS_ENGINE_WORD_FRESH_MS)
         return told;
     if (!engine->has_mean)
@@ -70,15 +70,15 @@
 }
 
 double hs_fleet_engine_others_online(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return believed(engine, engine->told_online, engine->mean_online, engine->peers_online, now_ms);
+    return estimate_load(engine, engine->reported_online, engine->mean_online, engine->peers_online, now_ms);
 }
 
 double hs_fleet_engine_others_batch(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return believed(engine, engine->told_batch, engine->mean_batch, engine->peers_batch, now_ms);
+    return estimate_load(engine, engine->reported_batch, engine->mean_batch, engine->peers_batch, now_ms);
 }
 
 double hs_fleet_engine_others_queued(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return believed(engine, engine->told_queued, engine->mean_queued, engine->peers_queued, now_ms);
+    return estimate_load(engine, engine->reported_queued, engine->mean_queued, engine->peers_queued, now_ms);
 }
 
 /** Sums over the fresh words on the engines of one service that nobody suspects. */
@@ -88,48 +88,48 @@
     double queued;
     double slots;
     uint32_t words;
-} word_sum;
+} report_sum;
 
 /** Sums by service: name -> word_sum*. Free with g_hash_table_destroy. */
-static GHashTable *sum_words(hs_fleet_engines *engines, uint64_t now_ms) {
+static GHashTable *sum_reports(hs_fleet_engines *engines, uint64_t now_ms) {
     GHashTable *sums = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
-        if (hs_fleet_engine_word_age_ms(engine, now_ms) >= HS_ENGINE_WORD_FRESH_MS ||
+        if (hs_fleet_engine_report_age_ms(engine, now_ms) >= HS_ENGINE_WORD_FRESH_MS ||
             hs_fleet_engine_is_suspected(engine, now_ms))
             continue;
-        word_sum *sum = g_hash_table_lookup(sums, engine->entry.service);
+        report_sum *sum = g_hash_table_lookup(sums, engine->entry.service);
         if (sum == NULL) {
-            sum = g_new0(word_sum, 1);
+            sum = g_new0(report_sum, 1);
             g_hash_table_insert(sums, engine->entry.service, sum);
         }
-        sum->online += engine->told_online;
-        sum->batch += engine->told_batch;
-        sum->queued += engine->told_queued;
+        sum->online += engine->reported_online;
+        sum->batch += engine->reported_batch;
+        sum->queued += engine->reported_queued;
         sum->slots += engine->entry.slots;
         sum->words++;
     }
     return sums;
 }
 
-bool hs_fleet_engines_hear_words(const hs_fleet_engines *engines, uint64_t now_ms) {
-    return engines->passed_on_ms != 0 && now_ms < engines->passed_on_ms + HS_ENGINE_WORD_VALID_MS;
+bool hs_fleet_engines_has_relayed_reports(const hs_fleet_engines *engines, uint64_t now_ms) {
+    return engines->relayed_at_ms != 0 && now_ms < engines->relayed_at_ms + HS_ENGINE_WORD_VALID_MS;
 }
 
-void hs_fleet_engines_mean_words(hs_fleet_engines *engines, uint64_t now_ms) {
+void hs_fleet_engines_update_mean_loads(hs_fleet_engines *engines, uint64_t now_ms) {
     bool is_needed =
-        hs_fleet_engines_hear_words(engines, now_ms) && g_hash_table_size(engines->peers) == 0;
-    g_autoptr(GHashTable) sums = sum_words(engines, now_ms);
+        hs_fleet_engines_has_relayed_reports(engines, now_ms) && g_hash_table_size(engines->peers) == 0;
+    g_autoptr(GHashTable) sums = sum_reports(engines, now_ms);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         hs_fleet_engine *engine = value;
-        const word_sum *sum = g_hash_table_lookup(sums, engine->entry.service);
-        engine->has_mean = is_needed && sum != NULL && sum->words >= MEAN_WORDS_LEAST;
+        const report_sum *sum = g_hash_table_lookup(sums, engine->entry.service);
+        engine->has_mean = is_needed && sum != NULL && sum->words >= MIN_MEAN_REPORTS;
         if (!engine->has_mean)
             continue;
         double part = engine->entry.slots / fmax(sum->slots, 1);
@@ -146,7 +146,7 @@
                     hs_fleet_engine_others_batch(engine, now_ms);
     double age_ms = (double)(now_ms - engine->load_ms);
     if (engine->load.present && age_ms < LOAD_VALID_MS) {
-        double told = (double)engine->load.running + engine->load.waiting - engine->load_own;
+        double told = (double)engine->load.running + engine->load.waiting - engine->load_own_requests;
         double fresh = 1.0 - age_ms / LOAD_VALID_MS;
         others = fmax(others, others * (1.0 - fresh) + fmax(told, 0.0) * fresh);
     }
@@ -186,9 +186,9 @@
     };
     if (engine->entry.warmup_left_ms > since_listed)
         candidate.warmup_ms = (double)(engine->entry.warmup_left_ms - since_listed);
-    if (hs_fleet_engines_hear_words(engines, now_ms))
+    if (hs_fleet_engines_has_relayed_reports(engines, now_ms))
         candidate.word_age_ms =
-            (double)MIN(hs_fleet_engine_word_age_ms(engine, now_ms), HS_ENGINE_WORD_VALID_MS);
+            (double)MIN(hs_fleet_engine_report_age_ms(engine, now_ms), HS_ENGINE_WORD_VALID_MS);
     if (query->size != NULL) {
         uint32_t cached = hs_prefix_index_match(engine->prefixes, query->size);
         candidate.uncached_tokens =
@@ -222,15 +222,15 @@
                                engine->entry.id, hs_fleet_engine_is_suspected(engine, now_ms),
                                engine->entry.id, hs_fleet_engine_pace(engines, engine, now_ms));
     }
-    const hs_words_counters *words = &engines->words;
+    const hs_report_counters *counters = &engines->reports;
     g_string_append_printf(text,
                            "heathsail_engine_words{kind=\"answered\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_engine_words{kind=\"taken\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_engine_words{kind=\"stale\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_engine_words{kind=\"passed_on\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_engine_words_sent_bytes %" G_GUINT64_FORMAT "\n",
-                           (guint64)words->answered, (guint64)words->taken, (guint64)words->stale,
-                           (guint64)words->passed_on, (guint64)words->passed_on_bytes);
+                           (guint64)counters->received, (guint64)counters->accepted, (guint64)counters->stale,
+                           (guint64)counters->relayed, (guint64)counters->relayed_bytes);
     g_string_append_printf(text, "heathsail_engine_slowdowns_rejected %" G_GUINT64_FORMAT "\n",
                            (guint64)engines->slowdowns_rejected);
     g_mutex_unlock(&engines->lock);
--- a/src/fleet/engine_lease.c
+++ b/src/fleet/engine_lease.c
@@ -9,35 +9,35 @@
 #include <math.h>
 #include <string.h>
 
-#define IDLE_PER_ENGINE_MAX 16
-#define IDLE_UNTOLD_MS 4000  /* Kept this long where the engine names no time. */
+#define MAX_IDLE_PER_ENGINE 16
+#define DEFAULT_KEEP_ALIVE_MS 4000  /* Kept this long where the engine names no time. */
 #define KEEP_ALIVE_SHARE 0.7 /* Of the engine's own time, so that no close crosses a request. */
-#define SUSPECT_FIRST_MS 400
-#define SUSPECT_MOST_MS 5000
-#define FULL_MS 40
-#define BROKEN_IN_A_ROW 3
-#define SPEED_WEIGHT 0.1
+#define MIN_SUSPICION_MS 400
+#define MAX_SUSPICION_MS 5000
+#define FULL_BACKOFF_MS 40
+#define BROKEN_BEFORE_SUSPICION 3
+#define SPEED_SMOOTHING 0.1
 /** The shortest time to a first byte grows by this with each one, so that old ones are forgotten.
  */
-#define SHORTEST_GROWTH 1.01
-#define RATE_SAMPLE_LEAST_TOKENS 1000
+#define FIRST_BYTE_GROWTH 1.01
+#define MIN_RATE_SAMPLE_TOKENS 1000
 /** The arbiter hears at once that a prompt of this length is read; of others with the next word. */
-#define TELL_READ_LEAST_TOKENS 2000
+#define MIN_NOTIFIED_PROMPT_TOKENS 2000
 /**
  * Longest wait for a connection to an engine, in ms: a hundred times the way. An engine that went
  * dark must be left in time for another to answer within the shortest objective, half a second.
  */
-#define CONNECT_LIMIT_MS 300
+#define CONNECT_TIMEOUT_MS 300
 /** Answers' heads after which their usual time is known. */
-#define HEADS_KNOWN 10
+#define MIN_HEAD_SAMPLES 10
 /** Mean deviations above the mean that a head may take, as in TCP's retransmission time-out. */
 #define HEAD_DEVIATIONS 4
 /** An engine may read a prompt so many times slower than usual before its answer counts as late. */
-#define HEAD_READINGS 2
+#define PROMPT_READ_FACTOR 2
 /** An event of a run counts as this many times the service's mean at most. */
-#define EVENT_TIMES_MOST 4
+#define MAX_EVENT_TIME_FACTOR 4
 /** Above it in ms an estimate is of no use: other time-outs end sooner. */
-#define HEAD_LIMIT_MOST_MS 60000
+#define MAX_HEAD_LIMIT_MS 60000
 
 const char *hs_engine_lease_id(const hs_engine_lease *lease) {
     return lease->engine->entry.id;
@@ -57,13 +57,13 @@
     return names[end];
 }
 
-static void blend(double *value, double sample) {
-    *value += (sample - *value) * SPEED_WEIGHT;
+static void update_average(double *value, double sample) {
+    *value += (sample - *value) * SPEED_SMOOTHING;
 }
 
-static bool is_fresh(const hs_idle_connection *idle, uint64_t now_ms) {
+static bool is_connection_usable(const hs_idle_connection *idle, uint64_t now_ms) {
     uint64_t told = hs_client_connection_keep_alive_ms(idle->connection);
-    uint64_t limit = told > 0 ? (uint64_t)((double)told * KEEP_ALIVE_SHARE) : IDLE_UNTOLD_MS;
+    uint64_t limit = told > 0 ? (uint64_t)((double)told * KEEP_ALIVE_SHARE) : DEFAULT_KEEP_ALIVE_MS;
     return now_ms < idle->idle_since_ms + limit && hs_client_connection_is_quiet(idle->connection);
 }
 
@@ -79,7 +79,7 @@
  * request before stays for others, as do those that were idle for @p idle_most_ms and longer. They
  * are looked at when others need one, and by hs_fleet_engines_prune.
  */
-static hs_client_connection *take_idle(hs_engine_lease *lease, uint32_t idle_most_ms) {
+static hs_client_connection *take_idle(hs_engine_lease *lease, uint32_t max_idle_ms) {
     hs_client_connection *connection = NULL;
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&lease->engines->lock);
@@ -88,12 +88,12 @@
     while (connection == NULL && link != NULL) {
         GList *before = link->prev;
         hs_idle_connection *idle = link->data;
-        bool is_recent = now_ms - idle->idle_since_ms < idle_most_ms;
+        bool is_recent = now_ms - idle->idle_since_ms < max_idle_ms;
         if (!is_recent || has_carried(&idle->carried, lease->request_hash)) {
             link = before;
             continue;
         }
-        if (is_fresh(idle, now_ms)) {
+        if (is_connection_usable(idle, now_ms)) {
             connection = idle->connection;
             lease->carried = idle->carried;
             g_free(idle);
@@ -108,15 +108,15 @@
 }
 
 hs_client_connection *hs_engine_lease_connect(hs_engine_lease *lease, const char *request_id,
-                                              const hs_wait *wait, uint32_t idle_most_ms,
+                                              const hs_wait *wait, uint32_t max_idle_ms,
                                               hs_step *step) {
     lease->request_hash = request_id != NULL ? hs_hash_bytes(request_id, strlen(request_id)) : 0;
-    hs_client_connection *connection = take_idle(lease, idle_most_ms);
+    hs_client_connection *connection = take_idle(lease, max_idle_ms);
     *step = HS_STEP_PROGRESS;
     if (connection != NULL)
         return connection;
     hs_wait connecting = *wait;
-    connecting.deadline = MIN(wait->deadline, hs_clock_monotonic_ms() + CONNECT_LIMIT_MS);
+    connecting.deadline = MIN(wait->deadline, hs_clock_monotonic_ms() + CONNECT_TIMEOUT_MS);
     g_mutex_lock(&lease->engines->lock);
     lease->engines->connects++;
     uint32_t address = lease->engine->entry.address;
@@ -139,53 +139,53 @@
     const hs_engine_speed *speed =
         hs_fleet_engines_speed(lease->engines, lease->engine->entry.service);
     bool is_known =
-        speed->heads >= HEADS_KNOWN && 2 * lease->reasons.running <= lease->reasons.slots;
+        speed->heads >= MIN_HEAD_SAMPLES && 2 * lease->reasons.running <= lease->reasons.slots;
     double pace = hs_fleet_engine_pace(lease->engines, lease->engine, hs_clock_monotonic_ms());
     double limit_ms = speed->head_ms + HEAD_DEVIATIONS * speed->head_deviation_ms;
     if (speed->tokens_per_ms > 0)
-        limit_ms += HEAD_READINGS * (double)prompt_tokens / speed->tokens_per_ms;
+        limit_ms += PROMPT_READ_FACTOR * (double)prompt_tokens / speed->tokens_per_ms;
     limit_ms *= fmax(pace, 1); /* A slow engine is not silent. */
     g_mutex_unlock(&lease->engines->lock);
-    return is_known ? (uint32_t)fmax(fmin(limit_ms, HEAD_LIMIT_MOST_MS), 1) : 0;
+    return is_known ? (uint32_t)fmax(fmin(limit_ms, MAX_HEAD_LIMIT_MS), 1) : 0;
 }
 
 void hs_engine_lease_head_came(hs_engine_lease *lease) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&lease->engines->lock);
     hs_engine_speed *speed = hs_fleet_engines_speed(lease->engines, lease->engine->entry.service);
-    double took_ms = (double)(now_ms - lease->taken_ms);
+    double took_ms = (double)(now_ms - lease->acquired_ms);
     if (speed->heads == 0)
         speed->head_ms = took_ms;
-    blend(&speed->head_deviation_ms, fabs(took_ms - speed->head_ms));
-    blend(&speed->head_ms, took_ms);
+    update_average(&speed->head_deviation_ms, fabs(took_ms - speed->head_ms));
+    update_average(&speed->head_ms, took_ms);
     speed->heads++;
     g_mutex_unlock(&lease->engines->lock);
 }
 
 /** A trial is over: the next request may try the engine. The caller holds the lock. */
-static void end_trial(hs_engine_lease *lease) {
-    if (lease->is_trial)
-        lease->engine->is_on_trial = false;
-    lease->is_trial = false;
+static void end_probe(hs_engine_lease *lease) {
+    if (lease->is_probe)
+        lease->engine->is_probing = false;
+    lease->is_probe = false;
 }
 
 void hs_engine_lease_heard(hs_engine_lease *lease) {
     g_mutex_lock(&lease->engines->lock);
-    lease->engine->heard_ms = hs_clock_monotonic_ms();
-    if (lease->is_trial)
-        lease->engine->suspect_until_ms = 0;
-    end_trial(lease);
+    lease->engine->last_received_ms = hs_clock_monotonic_ms();
+    if (lease->is_probe)
+        lease->engine->suspected_until_ms = 0;
+    end_probe(lease);
     g_mutex_unlock(&lease->engines->lock);
 }
 
 /** A time to a first byte was seen. */
 static void note_first_byte(hs_engine_speed *speed, double took_ms) {
-    double shortest_ms = speed->first_byte_ms * SHORTEST_GROWTH;
+    double shortest_ms = speed->first_byte_ms * FIRST_BYTE_GROWTH;
     speed->first_byte_ms = speed->first_byte_ms > 0 ? fmin(shortest_ms, took_ms) : took_ms;
 }
 
 /** The caller holds the lock. */
-static void count_read(hs_engine_lease *lease) {
+static void remove_unread_tokens(hs_engine_lease *lease) {
     lease->engine->queued_tokens -= MIN(lease->engine->queued_tokens, lease->unread_tokens);
     lease->unread_tokens = 0;
 }
@@ -193,24 +193,24 @@
 void hs_engine_lease_first_token(hs_engine_lease *lease) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&lease->engines->lock);
-    lease->engine->heard_ms = now_ms;
-    lease->first_ms = now_ms;
+    lease->engine->last_received_ms = now_ms;
+    lease->first_token_ms = now_ms;
     if (lease->work == HS_WORK_ONLINE)
         note_first_byte(hs_fleet_engines_speed(lease->engines, lease->engine->entry.service),
-                        (double)(now_ms - lease->taken_ms));
-    if (lease->was_alone && lease->unread_tokens >= RATE_SAMPLE_LEAST_TOKENS) {
-        double took_ms = fmax((double)(now_ms - lease->taken_ms), 1.0);
-        blend(&hs_fleet_engines_speed(lease->engines, lease->engine->entry.service)->tokens_per_ms,
+                        (double)(now_ms - lease->acquired_ms));
+    if (lease->had_empty_queue && lease->unread_tokens >= MIN_RATE_SAMPLE_TOKENS) {
+        double took_ms = fmax((double)(now_ms - lease->acquired_ms), 1.0);
+        update_average(&hs_fleet_engines_speed(lease->engines, lease->engine->entry.service)->tokens_per_ms,
               lease->unread_tokens / took_ms);
     }
-    bool is_news = lease->unread_tokens >= TELL_READ_LEAST_TOKENS;
-    count_read(lease);
+    bool is_news = lease->unread_tokens >= MIN_NOTIFIED_PROMPT_TOKENS;
+    remove_unread_tokens(lease);
     hs_engine_use use = {0};
     if (is_news)
         use = hs_fleet_engine_use(lease->engines, lease->engine);
     g_mutex_unlock(&lease->engines->lock);
     if (is_news)
-        hs_fleet_engines_tell(lease->engines, &use, false);
+        hs_fleet_engines_notify_use(lease->engines, &use, false);
 }
 
 void hs_engine_lease_note_events(hs_engine_lease *lease, uint64_t events) {
@@ -235,10 +235,10 @@
     hs_engine_speed *speed = hs_fleet_engines_speed(lease->engines, lease->engine->entry.service);
     double took_ms = (double)(lease->last_event_ms - lease->first_event_ms);
     if (speed->event_ms > 0)
-        took_ms = fmin(took_ms, EVENT_TIMES_MOST * speed->event_ms * (double)events);
+        took_ms = fmin(took_ms, MAX_EVENT_TIME_FACTOR * speed->event_ms * (double)events);
     else
         speed->event_ms = took_ms / (double)events;
-    blend(&speed->event_ms, took_ms / (double)events);
+    update_average(&speed->event_ms, took_ms / (double)events);
     lease->engine->run_events += events;
     lease->engine->run_ms += (uint64_t)took_ms;
     hs_engine_pace_note_events(&lease->engine->pace, events, (uint64_t)took_ms, now_ms);
@@ -251,18 +251,18 @@
     lease->engines->slowdowns_rejected += load->is_slowdown_rejected;
     lease->engine->load = *load;
     lease->engine->load_ms = hs_clock_monotonic_ms();
-    lease->engine->load_own = (double)lease->engine->online + lease->engine->batch;
+    lease->engine->load_own_requests = (double)lease->engine->online + lease->engine->batch;
     hs_engine_pace_note_word(&lease->engine->pace, load->slowdown_percent, 0,
                              lease->engine->load_ms);
     g_mutex_unlock(&lease->engines->lock);
 }
 
-static void suspect(hs_fleet_engine *engine, uint64_t now_ms, const char *cause) {
-    bool is_new = now_ms >= engine->suspect_until_ms;
+static void mark_suspected(hs_fleet_engine *engine, uint64_t now_ms, const char *cause) {
+    bool is_new = now_ms >= engine->suspected_until_ms;
     uint32_t doublings = MIN(engine->failures, 8);
-    uint64_t time_ms = MIN((uint64_t)SUSPECT_FIRST_MS << doublings, SUSPECT_MOST_MS);
+    uint64_t time_ms = MIN((uint64_t)MIN_SUSPICION_MS << doublings, MAX_SUSPICION_MS);
     engine->failures++;
-    engine->suspect_until_ms = now_ms + time_ms;
+    engine->suspected_until_ms = now_ms + time_ms;
     if (is_new)
         hs_log_warning("engine_suspected", "engine=%s cause=%s failures=%u for_ms=%u",
                        engine->entry.id, cause, engine->failures, (unsigned)time_ms);
@@ -270,19 +270,19 @@
 
 void hs_engine_lease_note_misplaced(hs_engine_lease *lease) {
     g_mutex_lock(&lease->engines->lock);
-    lease->engines->misplaced++;
+    lease->engines->resume_mismatches++;
     g_mutex_unlock(&lease->engines->lock);
 }
 
 /** Count a request's end and, where it failed, its failure. */
 static void note_end(hs_fleet_engine *engine, bool failed, uint64_t now_ms) {
-    engine->ended = hs_fleet_engine_faded(engine, engine->ended, now_ms) + 1;
-    engine->failed = hs_fleet_engine_faded(engine, engine->failed, now_ms) + (failed ? 1 : 0);
-    engine->ended_ms = now_ms;
+    engine->decayed_ended = hs_fleet_engine_decayed_count(engine, engine->decayed_ended, now_ms) + 1;
+    engine->decayed_failed = hs_fleet_engine_decayed_count(engine, engine->decayed_failed, now_ms) + (failed ? 1 : 0);
+    engine->decayed_at_ms = now_ms;
 }
 
 /** Ends that are told to the engine's arbiter as failures. */
-static bool has_failed(hs_attempt_end end) {
+static bool is_failure(hs_attempt_end end) {
     return end == HS_ATTEMPT_FAILED || end == HS_ATTEMPT_UNREACHABLE || end == HS_ATTEMPT_SILENT ||
            end == HS_ATTEMPT_BROKEN;
 }
@@ -290,49 +290,49 @@
 /** A run ended well. The caller holds the lock. */
 static void note_run(const hs_engine_lease *lease, double took_ms) {
     hs_engine_speed *speed = hs_fleet_engines_speed(lease->engines, lease->engine->entry.service);
-    blend(&speed->run_ms, took_ms);
+    update_average(&speed->run_ms, took_ms);
     if (lease->work != HS_WORK_ONLINE)
         return;
     if (speed->online_run_ms == 0)
         speed->online_run_ms = took_ms;
-    blend(&speed->online_run_ms, took_ms);
+    update_average(&speed->online_run_ms, took_ms);
     if (lease->tenant != NULL)
         hs_tenant_runs_note_run(lease->engines->tenant_runs, lease->tenant,
                                 lease->engine->entry.service, took_ms);
 }
 
 /** What an attempt's end says of the engine. The caller holds the lock. */
-static void judge(hs_engine_lease *lease, hs_attempt_end end, uint64_t now_ms) {
+static void apply_attempt_end(hs_engine_lease *lease, hs_attempt_end end, uint64_t now_ms) {
     hs_fleet_engine *engine = lease->engine;
     engine->served_count += end == HS_ATTEMPT_SERVED;
-    engine->failed_count += has_failed(end);
+    engine->failed_count += is_failure(end);
     switch (end) {
     case HS_ATTEMPT_SERVED:
         engine->failures = 0;
-        engine->suspect_until_ms = 0;
+        engine->suspected_until_ms = 0;
         note_end(engine, false, now_ms);
-        note_run(lease, (double)(now_ms - lease->taken_ms));
+        note_run(lease, (double)(now_ms - lease->acquired_ms));
         break;
     case HS_ATTEMPT_FAILED:
         note_end(engine, true, now_ms);
         break;
     case HS_ATTEMPT_REFUSED:
-        engine->full_until_ms = now_ms + FULL_MS;
+        engine->full_until_ms = now_ms + FULL_BACKOFF_MS;
         break;
     case HS_ATTEMPT_WRONG_ENGINE:
-        engine->misplaced = true;
+        engine->has_address_mismatch = true;
         break;
     case HS_ATTEMPT_UNREACHABLE:
-        suspect(engine, now_ms, "unreachable");
+        mark_suspected(engine, now_ms, "unreachable");
         break;
     case HS_ATTEMPT_SILENT:
         note_end(engine, true, now_ms);
-        suspect(engine, now_ms, "silent");
+        mark_suspected(engine, now_ms, "silent");
         break;
     case HS_ATTEMPT_BROKEN:
         note_end(engine, true, now_ms);
-        if (++engine->failures >= BROKEN_IN_A_ROW)
-            suspect(engine, now_ms, "broken");
+        if (++engine->failures >= BROKEN_BEFORE_SUSPICION)
+            mark_suspected(engine, now_ms, "broken");
         break;
     case HS_ATTEMPT_DROPPED:
         break;
@@ -344,11 +344,11 @@
     if (lease->request_hash == 0)
         return true;
     lease->carried.hashes[lease->carried.count++] = lease->request_hash;
-    return lease->carried.count < HS_CARRIED_MOST;
+    return lease->carried.count < HS_MAX_CARRIED_REQUESTS;
 }
 
 /** Connections to the engine that are this daemon's, with one more idle one. */
-static double with_one_more(const hs_fleet_engine *engine) {
+static double connections_with_one_more(const hs_fleet_engine *engine) {
     return (double)engine->online + engine->batch + engine->idle.length + 1;
 }
 
@@ -357,18 +357,18 @@
  * requests that come back, so that the newest is worth more: ten items that one engine refused
  * forty times needed 256 connections while the oldest stayed, and 40 at least.
  */
-static bool make_room(hs_engine_lease *lease) {
+static bool evict_idle(hs_engine_lease *lease) {
     hs_fleet_engine *engine = lease->engine;
-    while (!g_queue_is_empty(&engine->idle) && (engine->idle.length >= IDLE_PER_ENGINE_MAX ||
-                                                with_one_more(engine) > lease->connection_share))
+    while (!g_queue_is_empty(&engine->idle) && (engine->idle.length >= MAX_IDLE_PER_ENGINE ||
+                                                connections_with_one_more(engine) > lease->connection_share))
         hs_idle_connection_free(g_queue_pop_head(&engine->idle));
-    return with_one_more(engine) <= lease->connection_share;
+    return connections_with_one_more(engine) <= lease->connection_share;
 }
 
-static bool keep(hs_engine_lease *lease, hs_client_connection *connection, uint64_t now_ms) {
+static bool keep_connection(hs_engine_lease *lease, hs_client_connection *connection, uint64_t now_ms) {
     hs_fleet_engine *engine = lease->engine;
     if (connection == NULL || !hs_client_connection_is_reusable(connection) || !engine->listed ||
-        engine->entry.draining || !make_room(lease))
+        engine->entry.draining || !evict_idle(lease))
         return false;
     hs_client_connection_drop_body(connection);
     hs_idle_connection *idle = g_new(hs_idle_connection, 1);
@@ -380,14 +380,14 @@
 
 /** An engine that leaves ends its last runs with it, which is no crash. */
 static bool is_leaving(const hs_fleet_engine *engine) {
-    return engine->entry.draining || (!engine->listed && !engine->is_reborn);
+    return engine->entry.draining || (!engine->listed && !engine->has_restarted);
 }
 
 static void note_cut(hs_engine_lease *lease, uint64_t content) {
     const hs_fleet_engine *engine = lease->engine;
     hs_cut_run run = {.content = content, .cut_ms = hs_clock_monotonic_ms()};
-    if (lease->first_ms != 0)
-        run.ran_ms = (uint32_t)(run.cut_ms - lease->first_ms);
+    if (lease->first_token_ms != 0)
+        run.ran_ms = (uint32_t)(run.cut_ms - lease->first_token_ms);
     g_mutex_lock(&lease->engines->lock);
     bool is_expected = is_leaving(engine);
     run.engine = engine->hash;
@@ -415,7 +415,7 @@
     hs_fleet_engine *engine = lease->engine;
     g_mutex_lock(&lease->engines->lock);
     g_autofree char *service = g_strdup(engine->entry.service);
-    count_read(lease);
+    remove_unread_tokens(lease);
     count_events(lease, now_ms);
     engine->memory_tokens_used -= MIN(engine->memory_tokens_used, lease->memory_tokens);
     if (lease->work == HS_WORK_ONLINE)
@@ -423,18 +423,18 @@
     else
         engine->batch--;
     g_ptr_array_remove(engine->batch_leases, lease);
-    end_trial(lease);
-    judge(lease, end, now_ms);
-    bool kept = note_carried(lease) && keep(lease, connection, now_ms);
-    engine->left_ms = now_ms;
+    end_probe(lease);
+    apply_attempt_end(lease, end, now_ms);
+    bool kept = note_carried(lease) && keep_connection(lease, connection, now_ms);
+    engine->last_release_ms = now_ms;
     hs_engine_use use = hs_fleet_engine_use(lease->engines, engine);
     hs_fleet_engine_unref(engine);
     g_mutex_unlock(&lease->engines->lock);
     if (!kept)
         hs_client_connection_close(connection);
-    hs_fleet_engines_tell(lease->engines, &use, false);
+    hs_fleet_engines_notify_use(lease->engines, &use, false);
     if (end == HS_ATTEMPT_SERVED)
-        hs_fleet_engines_tell_place(lease->engines, service);
+        hs_fleet_engines_notify_free_slot(lease->engines, service);
     g_free(lease->tenant);
     g_free(lease);
 }
@@ -443,7 +443,7 @@
     guint count = g_queue_get_length(&engine->idle);
     for (guint index = 0; index < count; index++) {
         hs_idle_connection *idle = g_queue_pop_head(&engine->idle);
-        if (is_fresh(idle, now_ms)) {
+        if (is_connection_usable(idle, now_ms)) {
             g_queue_push_tail(&engine->idle, idle);
             continue;
         }
@@ -457,7 +457,7 @@
     gpointer value = NULL;
     g_mutex_lock(&engines->lock);
     hs_fleet_engines_sum_peers(engines, now_ms);
-    hs_fleet_engines_drop_doubted(engines, now_ms);
+    hs_fleet_engines_remove_unlisted(engines, now_ms);
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         prune_engine(value, now_ms);
--- a/src/fleet/engine_peers.c
+++ b/src/fleet/engine_peers.c
@@ -10,20 +10,20 @@
 #include <math.h>
 
 /** What other daemons told counts for this long. */
-#define PEER_VALID_MS 2000
+#define PEER_REPORT_VALID_MS 2000
 /** Sums over daemons are made anew at most this often. */
 #define SUM_INTERVAL_MS 50
 /**
  * An engine's arbiter asks items aside within a few ms; where more than its slots are believed
  * taken for longer than this, the arbiter is silent and daemons act by what they told each other.
  */
-#define EXCESS_LEAST_MS 300
+#define MIN_EXCESS_MS 300
 /** Time until what stepped aside on an engine is known to all daemons. */
-#define YIELD_SETTLE_MS 450
+#define PREEMPTION_SETTLE_MS 450
 #define PERMILLE 1000.0
 
 typedef struct {
-    uint64_t told_ms;
+    uint64_t reported_at_ms;
     uint64_t batch_work_ms;
     bool runs_batch; /**< It owns partitions of jobs; only such daemons have batch items. */
     GArray *shares;  /**< of hs_engine_share */
@@ -41,7 +41,7 @@
 typedef struct {
     double any;
     double batch;
-} unheard_ratios;
+} missing_peer_ratios;
 
 void hs_fleet_engines_free_peer(gpointer data) {
     peer_load *peer = data;
@@ -72,12 +72,12 @@
 }
 
 /** Whether more than an engine's slots were believed taken for a while; notes since when. */
-static bool is_in_excess(hs_fleet_engine *engine, double excess, uint64_t now_ms) {
+static bool is_excess_sustained(hs_fleet_engine *engine, double excess, uint64_t now_ms) {
     if (excess <= 0)
         engine->excess_since_ms = 0;
     else if (engine->excess_since_ms == 0)
         engine->excess_since_ms = now_ms;
-    return excess > 0 && now_ms >= engine->excess_since_ms + EXCESS_LEAST_MS;
+    return excess > 0 && now_ms >= engine->excess_since_ms + MIN_EXCESS_MS;
 }
 
 uint32_t hs_fleet_engines_yield(hs_fleet_engines *engines) {
@@ -92,20 +92,20 @@
         hs_fleet_engine *engine = value;
         double batch = engine->batch + hs_fleet_engine_others_batch(engine, now_ms);
         double excess = hs_fleet_engine_running(engine, now_ms) - engine->entry.slots;
-        bool waits = is_in_excess(engine, excess, now_ms);
-        if (engine->batch == 0 || !waits || now_ms < engine->no_yield_until_ms ||
+        bool waits = is_excess_sustained(engine, excess, now_ms);
+        if (engine->batch == 0 || !waits || now_ms < engine->no_preemption_until_ms ||
             engine->online + hs_fleet_engine_others_online(engine, now_ms) <= 0)
             continue;
-        asked += hs_fleet_engine_yield(engine,
+        asked += hs_fleet_engine_preempt(engine,
                                        (uint32_t)ceil(fmin(excess, batch) * engine->batch / batch));
-        engine->no_yield_until_ms = now_ms + YIELD_SETTLE_MS;
+        engine->no_preemption_until_ms = now_ms + PREEMPTION_SETTLE_MS;
     }
     g_mutex_unlock(&engines->lock);
     return asked;
 }
 
 static uint32_t permille(const hs_fleet_engine *engine, double count, uint64_t now_ms) {
-    return (uint32_t)(hs_fleet_engine_faded(engine, count, now_ms) * PERMILLE);
+    return (uint32_t)(hs_fleet_engine_decayed_count(engine, count, now_ms) * PERMILLE);
 }
 
 GArray *hs_fleet_engines_own_shares(hs_fleet_engines *engines) {
@@ -118,15 +118,15 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
         bool suspected =
-            now_ms < engine->suspect_until_ms || hs_fleet_engine_is_silent(engine, now_ms);
-        if (engine->online + engine->batch == 0 && !suspected && engine->failed <= 0)
+            now_ms < engine->suspected_until_ms || hs_fleet_engine_is_silent(engine, now_ms);
+        if (engine->online + engine->batch == 0 && !suspected && engine->decayed_failed <= 0)
             continue;
         hs_engine_share share = {.engine_hash = engine->hash,
                                  .online = engine->online,
                                  .batch = engine->batch,
                                  .queued_tokens = (uint32_t)engine->queued_tokens,
-                                 .ended_permille = permille(engine, engine->ended, now_ms),
-                                 .failed_permille = permille(engine, engine->failed, now_ms),
+                                 .ended_permille = permille(engine, engine->decayed_ended, now_ms),
+                                 .failed_permille = permille(engine, engine->decayed_failed, now_ms),
                                  .suspected = suspected};
         if (share.online + share.batch > 0 || suspected || share.failed_permille > 0)
             g_array_append_val(shares, share);
@@ -190,7 +190,7 @@
  * Daemons that were not heard lately have as much as the others, spread evenly over a service's
  * engines: to scale up each engine's own word would make one heard request look like many.
  */
-static void add_unheard(hs_fleet_engines *engines, const unheard_ratios *unheard) {
+static void add_missing_peers(hs_fleet_engines *engines, const missing_peer_ratios *unheard) {
     g_autoptr(GHashTable) sums = sum_services(engines);
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -209,7 +209,7 @@
 }
 
 /** How many daemons were not heard; drops words that are too old. */
-static unheard_ratios count_unheard(hs_fleet_engines *engines, uint64_t now_ms) {
+static missing_peer_ratios count_missing_peers(hs_fleet_engines *engines, uint64_t now_ms) {
     uint32_t heard = 0;
     uint32_t heard_batch = 0;
     GHashTableIter iterator;
@@ -217,14 +217,14 @@
     g_hash_table_iter_init(&iterator, engines->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const peer_load *peer = value;
-        if (now_ms > peer->told_ms + PEER_VALID_MS) {
+        if (now_ms > peer->reported_at_ms + PEER_REPORT_VALID_MS) {
             g_hash_table_iter_remove(&iterator);
             continue;
         }
         heard++;
         heard_batch += peer->runs_batch;
     }
-    return (unheard_ratios){.any = ratio_of(engines->peer_count, heard),
+    return (missing_peer_ratios){.any = ratio_of(engines->peer_count, heard),
                             .batch = ratio_of(engines->batch_peer_count, heard_batch)};
 }
 
@@ -233,15 +233,15 @@
         return;
     engines->summed_ms = now_ms;
     clear_sums(engines);
-    unheard_ratios unheard = count_unheard(engines, now_ms);
+    missing_peer_ratios unheard = count_missing_peers(engines, now_ms);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, engines->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         add_shares(engines, value);
     if (unheard.any > 0 || unheard.batch > 0)
-        add_unheard(engines, &unheard);
-    hs_fleet_engines_mean_words(engines, now_ms);
+        add_missing_peers(engines, &unheard);
+    hs_fleet_engines_update_mean_loads(engines, now_ms);
 }
 
 void hs_fleet_engines_set_peers(hs_fleet_engines *engines, uint32_t peers, uint32_t batch_peers) {
@@ -254,7 +254,7 @@
 void hs_fleet_engines_put_peer(hs_fleet_engines *engines, const char *peer,
                                const hs_peer_word *word, uint64_t now_ms) {
     peer_load *load = g_new0(peer_load, 1);
-    load->told_ms = now_ms;
+    load->reported_at_ms = now_ms;
     load->batch_work_ms = word->batch_work_ms;
     load->runs_batch = word->runs_batch;
     load->shares = g_array_copy((GArray *)word->shares);
@@ -286,7 +286,7 @@
     g_hash_table_iter_init(&iterator, engines->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         work_ms += (double)((const peer_load *)value)->batch_work_ms;
-    double unheard = count_unheard(engines, hs_clock_monotonic_ms()).batch;
+    double unheard = count_missing_peers(engines, hs_clock_monotonic_ms()).batch;
     g_mutex_unlock(&engines->lock);
     return work_ms * (1 + unheard);
 }
--- a/src/fleet/engine_selection.c
+++ b/src/fleet/engine_selection.c
@@ -24,7 +24,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         hs_fleet_engine *engine = value;
         if (strcmp(engine->entry.service, query->service) == 0 && !engine->entry.draining &&
-            !engine->misplaced && !hs_fleet_engine_is_doubt_over(engine, now_ms) &&
+            !engine->has_address_mismatch && !hs_fleet_engine_is_removal_due(engine, now_ms) &&
             engine->online + engine->batch + 1.0 <= most && !is_excluded(query, engine->entry.id))
             g_ptr_array_add(found, engine);
     }
@@ -32,7 +32,7 @@
 }
 
 /** Whether the service has an engine that nobody suspects, however crowded, tried or not. */
-static bool has_sound(const hs_fleet_engines *engines, const char *service, uint64_t now_ms) {
+static bool has_healthy(const hs_fleet_engines *engines, const char *service, uint64_t now_ms) {
     GHashTableIter iterator;
     gpointer value = NULL;
     bool is_found = false;
@@ -40,7 +40,7 @@
     while (!is_found && g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
         is_found = strcmp(engine->entry.service, service) == 0 && !engine->entry.draining &&
-                   !engine->misplaced && !hs_fleet_engine_is_doubt_over(engine, now_ms) &&
+                   !engine->has_address_mismatch && !hs_fleet_engine_is_removal_due(engine, now_ms) &&
                    !hs_fleet_engine_is_suspected(engine, now_ms);
     }
     return is_found;
@@ -49,17 +49,17 @@
 void hs_engine_selection_drop_suspected(const hs_fleet_engines *engines, GPtrArray *found,
                                         const hs_engine_query *query, uint64_t now_ms) {
     bool can_wait = query->work == HS_WORK_ONLINE && query->has_wait_limit;
-    if (!can_wait || !has_sound(engines, query->service, now_ms))
+    if (!can_wait || !has_healthy(engines, query->service, now_ms))
         return;
     for (guint index = found->len; index > 0; index--) {
         const hs_fleet_engine *engine = found->pdata[index - 1];
         if (hs_fleet_engine_is_suspected(engine, now_ms) &&
-            !hs_fleet_engine_is_to_be_tried(engine, now_ms))
+            !hs_fleet_engine_is_probe_due(engine, now_ms))
             g_ptr_array_remove_index(found, index - 1);
     }
 }
 
-void hs_engine_selection_credit_home(const GPtrArray *found, const hs_engine_query *query,
+void hs_engine_selection_credit_shared_prefix(const GPtrArray *found, const hs_engine_query *query,
                                      hs_engine_candidate *candidates) {
     uint64_t shared = query->size != NULL ? hs_prompt_shared_hash(query->size) : 0;
     if (shared == 0)
@@ -79,7 +79,7 @@
     candidates[home].uncached_tokens = fmin(candidates[home].uncached_tokens, fmax(rest, 0.0));
 }
 
-void hs_engine_selection_keep_quick(GPtrArray *found, const hs_engine_query *query,
+void hs_engine_selection_keep_within_wait_limit(GPtrArray *found, const hs_engine_query *query,
                                     hs_engine_candidate *candidates, const hs_engine_speed *speed) {
     guint kept = 0;
     for (guint index = 0; index < found->len; index++) {
--- a/src/fleet/engine_selection.h
+++ b/src/fleet/engine_selection.h
@@ -22,11 +22,11 @@
  * The shared beginning of a prompt has a home, the same at all daemons without a message: the
  * engine that ranks first by rendezvous. It is taken to have the beginning cached.
  */
-void hs_engine_selection_credit_home(const GPtrArray *found, const hs_engine_query *query,
+void hs_engine_selection_credit_shared_prefix(const GPtrArray *found, const hs_engine_query *query,
                                      hs_engine_candidate *candidates);
 
 /** Drop engines at which the request would wait longer than it may, with their @p candidates. */
-void hs_engine_selection_keep_quick(GPtrArray *found, const hs_engine_query *query,
+void hs_engine_selection_keep_within_wait_limit(GPtrArray *found, const hs_engine_query *query,
                                     hs_engine_candidate *candidates, const hs_engine_speed *speed);
 
 #endif
--- a/src/fleet/engine_uses.c
+++ b/src/fleet/engine_uses.c
@@ -13,13 +13,13 @@
  * Others' prompts that take longer than this to be read are a reason to look at another engine:
  * some fifth of the time in which first tokens are wanted.
  */
-#define QUEUE_LOOK_MS 80.0
+#define MAX_QUEUED_READ_MS 80.0
 /** An engine stays among the uses for this long after its last request, so that lost words mend. */
-#define LEFT_LATELY_MS 1500
+#define RECENT_USE_MS 1500
 
 /** An item's rank falls while it runs: both the time it has and the time it needs become less. */
-static int32_t rank_now(const hs_engine_lease *lease, uint64_t now_ms) {
-    int64_t rank_ms = lease->rank_ms - 2 * (int64_t)(now_ms - lease->taken_ms);
+static int32_t current_rank(const hs_engine_lease *lease, uint64_t now_ms) {
+    int64_t rank_ms = lease->rank_ms - 2 * (int64_t)(now_ms - lease->acquired_ms);
     return (int32_t)MAX(rank_ms, 0);
 }
 
@@ -27,7 +27,7 @@
     int32_t highest = 0;
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (guint index = 0; index < engine->batch_leases->len; index++)
-        highest = MAX(highest, rank_now(engine->batch_leases->pdata[index], now_ms));
+        highest = MAX(highest, current_rank(engine->batch_leases->pdata[index], now_ms));
     return highest;
 }
 
@@ -57,17 +57,17 @@
                            .slowdown_age_ms = slowdown_age_ms(engine)};
 }
 
-void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_teller teller,
+void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_observer use_observer,
                                  void *user_data) {
     g_mutex_lock(&engines->lock);
-    engines->teller = teller;
-    engines->teller_data = user_data;
+    engines->use_observer = use_observer;
+    engines->use_observer_data = user_data;
     g_mutex_unlock(&engines->lock);
 }
 
-void hs_fleet_engines_tell(hs_fleet_engines *engines, const hs_engine_use *use, bool started) {
-    if (engines->teller != NULL)
-        engines->teller(use, started, engines->teller_data);
+void hs_fleet_engines_notify_use(hs_fleet_engines *engines, const hs_engine_use *use, bool started) {
+    if (engines->use_observer != NULL)
+        engines->use_observer(use, started, engines->use_observer_data);
 }
 
 GArray *hs_fleet_engines_own_uses(hs_fleet_engines *engines) {
@@ -80,7 +80,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
         bool is_used = engine->online + engine->batch > 0 ||
-                       (engine->left_ms != 0 && now_ms < engine->left_ms + LEFT_LATELY_MS);
+                       (engine->last_release_ms != 0 && now_ms < engine->last_release_ms + RECENT_USE_MS);
         if (!is_used)
             continue;
         hs_engine_use use = hs_fleet_engine_use(engines, engine);
@@ -91,26 +91,26 @@
 }
 
 /** Own online requests there of those now there that a word said at @p said_ms can count. */
-static uint32_t online_before(const hs_fleet_engine *engine, uint64_t said_ms) {
+static uint32_t online_before(const hs_fleet_engine *engine, uint64_t reported_at_ms) {
     uint32_t later = 0;
-    for (uint32_t index = 0; index < HS_STARTS_KEPT; index++)
-        later += engine->starts_ms[index] > said_ms;
+    for (uint32_t index = 0; index < HS_MAX_RECENT_STARTS; index++)
+        later += engine->recent_starts_ms[index] > reported_at_ms;
     return engine->online - MIN(later, engine->online);
 }
 
 /** What others have there is what all have less what this daemon had (@p own_online). */
-static void take_word(hs_fleet_engine *engine, const hs_engine_total *total, uint64_t said_ms,
+static void apply_report(hs_fleet_engine *engine, const hs_engine_total *total, uint64_t reported_at_ms,
                       uint32_t own_online) {
-    engine->told_online = total->online > own_online ? total->online - own_online : 0;
-    engine->told_batch = total->batch > engine->batch ? total->batch - engine->batch : 0;
-    engine->told_queued = fmax((double)total->queued_tokens - (double)engine->queued_tokens, 0);
-    engine->told_ms = said_ms;
-    engine->told_total = *total;
-    engine->told_failing_ms = total->is_failing ? said_ms : 0;
+    engine->reported_online = total->online > own_online ? total->online - own_online : 0;
+    engine->reported_batch = total->batch > engine->batch ? total->batch - engine->batch : 0;
+    engine->reported_queued = fmax((double)total->queued_tokens - (double)engine->queued_tokens, 0);
+    engine->reported_at_ms = reported_at_ms;
+    engine->last_report = *total;
+    engine->reported_failing_at_ms = total->is_failing ? reported_at_ms : 0;
 }
 
 /** Take what the arbiter says of the engine's pace; its own word is as old as it says. */
-static void put_pace(hs_fleet_engine *engine, const hs_engine_total *total, uint64_t now_ms) {
+static void apply_pace(hs_fleet_engine *engine, const hs_engine_total *total, uint64_t now_ms) {
     hs_engine_pace_put_event_us(&engine->pace, total->event_us, now_ms);
     hs_engine_pace_note_word(&engine->pace, total->slowdown_percent,
                              (uint64_t)total->slowdown_age_ms + total->age_ms, now_ms);
@@ -121,39 +121,39 @@
     g_mutex_lock(&engines->lock);
     hs_fleet_engine *engine = hs_fleet_engines_find(engines, total->engine_hash);
     if (engine != NULL) {
-        take_word(engine, total, hs_clock_monotonic_ms(), engine->online);
-        engine->told_count++;
-        engines->words.answered++;
-        put_pace(engine, total, engine->told_ms);
-        g_cond_broadcast(&engines->totals_told);
+        apply_report(engine, total, hs_clock_monotonic_ms(), engine->online);
+        engine->response_count++;
+        engines->reports.received++;
+        apply_pace(engine, total, engine->reported_at_ms);
+        g_cond_broadcast(&engines->reports_changed);
         if (total->online < engine->entry.slots && !total->is_failing)
             freed = g_strdup(engine->entry.service);
     }
     g_mutex_unlock(&engines->lock);
     if (freed != NULL)
-        hs_fleet_engines_tell_place(engines, freed);
+        hs_fleet_engines_notify_free_slot(engines, freed);
 }
 
 void hs_fleet_engines_put_passed_on(hs_fleet_engines *engines, const hs_engine_total *total) {
     g_autofree char *freed = NULL; /* The service that has a place by this word. */
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint64_t said_ms = now_ms - MIN(now_ms, total->age_ms);
+    uint64_t reported_at_ms = now_ms - MIN(now_ms, total->age_ms);
     g_mutex_lock(&engines->lock);
     hs_fleet_engine *engine = hs_fleet_engines_find(engines, total->engine_hash);
-    bool is_fresher = engine != NULL && said_ms > engine->told_ms;
+    bool is_fresher = engine != NULL && reported_at_ms > engine->reported_at_ms;
     if (is_fresher) {
-        take_word(engine, total, said_ms, online_before(engine, said_ms));
-        put_pace(engine, total, now_ms);
-        engines->words.taken++;
-        engines->passed_on_ms = now_ms;
+        apply_report(engine, total, reported_at_ms, online_before(engine, reported_at_ms));
+        apply_pace(engine, total, now_ms);
+        engines->reports.accepted++;
+        engines->relayed_at_ms = now_ms;
         if (total->online < engine->entry.slots && !total->is_failing)
             freed = g_strdup(engine->entry.service);
     } else if (engine != NULL) {
-        engines->words.stale++;
+        engines->reports.stale++;
     }
     g_mutex_unlock(&engines->lock);
     if (freed != NULL)
-        hs_fleet_engines_tell_place(engines, freed);
+        hs_fleet_engines_notify_free_slot(engines, freed);
 }
 
 bool hs_fleet_engines_passes_words(hs_fleet_engines *engines) {
@@ -172,10 +172,10 @@
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
-        uint64_t age_ms = hs_fleet_engine_word_age_ms(engine, now_ms);
+        uint64_t age_ms = hs_fleet_engine_report_age_ms(engine, now_ms);
         if (age_ms == UINT64_MAX)
             continue;
-        hs_engine_total word = engine->told_total;
+        hs_engine_total word = engine->last_report;
         word.age_ms = (uint32_t)age_ms;
         g_array_append_val(words, word);
     }
@@ -185,28 +185,28 @@
 
 void hs_fleet_engines_note_passed_on(hs_fleet_engines *engines, size_t words, size_t bytes) {
     g_mutex_lock(&engines->lock);
-    engines->words.passed_on += words;
-    engines->words.passed_on_bytes += bytes;
+    engines->reports.relayed += words;
+    engines->reports.relayed_bytes += bytes;
     g_mutex_unlock(&engines->lock);
 }
 
 /** The item of the highest rank that was not asked yet; of equal ones the newest. NULL: none. */
-static hs_engine_lease *next_to_yield(const hs_fleet_engine *engine) {
+static hs_engine_lease *next_to_preempt(const hs_fleet_engine *engine) {
     hs_engine_lease *next = NULL;
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (guint index = 0; index < engine->batch_leases->len; index++) {
         hs_engine_lease *lease = engine->batch_leases->pdata[index];
         if (lease->yield != NULL && hs_interrupt_get(lease->yield) == HS_INTERRUPT_NONE &&
-            (next == NULL || rank_now(lease, now_ms) >= rank_now(next, now_ms)))
+            (next == NULL || current_rank(lease, now_ms) >= current_rank(next, now_ms)))
             next = lease;
     }
     return next;
 }
 
-uint32_t hs_fleet_engine_yield(hs_fleet_engine *engine, uint32_t wanted) {
+uint32_t hs_fleet_engine_preempt(hs_fleet_engine *engine, uint32_t wanted) {
     uint32_t asked = 0;
     while (asked < wanted) {
-        hs_engine_lease *lease = next_to_yield(engine);
+        hs_engine_lease *lease = next_to_preempt(engine);
         if (lease == NULL || !hs_interrupt_raise(lease->yield, HS_INTERRUPT_YIELD))
             break;
         asked++;
@@ -218,23 +218,23 @@
                                      uint32_t count) {
     g_mutex_lock(&engines->lock);
     hs_fleet_engine *engine = hs_fleet_engines_find(engines, engine_hash);
-    uint32_t asked = engine != NULL ? hs_fleet_engine_yield(engine, count) : 0;
-    g_cond_broadcast(&engines->totals_told);
+    uint32_t asked = engine != NULL ? hs_fleet_engine_preempt(engine, count) : 0;
+    g_cond_broadcast(&engines->reports_changed);
     g_mutex_unlock(&engines->lock);
     return asked;
 }
 
-static bool is_asked_aside(const hs_engine_lease *lease) {
+static bool is_preempted(const hs_engine_lease *lease) {
     return lease->yield != NULL && hs_interrupt_get(lease->yield) != HS_INTERRUPT_NONE;
 }
 
 /** Wait until the arbiter has told of the lease, or asked its item aside. */
-static bool wait_for_word(hs_engine_lease *lease, uint32_t limit_ms) {
+static bool wait_for_report(hs_engine_lease *lease, uint32_t limit_ms) {
     hs_fleet_engines *engines = lease->engines;
     hs_pause pause = hs_clock_pause_begin(limit_ms);
-    bool is_waiting = engines->teller != NULL;
-    while (is_waiting && lease->engine->told_count == lease->told_before && !is_asked_aside(lease))
-        is_waiting = hs_clock_pause_wait(&pause, &engines->totals_told, &engines->lock);
+    bool is_waiting = engines->use_observer != NULL;
+    while (is_waiting && lease->engine->response_count == lease->responses_before && !is_preempted(lease))
+        is_waiting = hs_clock_pause_wait(&pause, &engines->reports_changed, &engines->lock);
     return is_waiting;
 }
 
@@ -245,7 +245,7 @@
     hs_engine_speed speed = hs_fleet_engine_speed(lease->engines, engine, now_ms);
     double queued = hs_fleet_engine_others_queued(engine, now_ms) + (double)engine->queued_tokens -
                     lease->unread_tokens;
-    return online > engine->entry.slots || queued > speed.tokens_per_ms * QUEUE_LOOK_MS;
+    return online > engine->entry.slots || queued > speed.tokens_per_ms * MAX_QUEUED_READ_MS;
 }
 
 hs_lease_prospect hs_engine_lease_prospect(hs_engine_lease *lease, const hs_engine_query *query,
@@ -275,11 +275,11 @@
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&lease->engines->lock);
     const hs_fleet_engine *engine = lease->engine;
-    if (wait_for_word(lease, limit_ms))
+    if (wait_for_report(lease, limit_ms))
         word = HS_LEASE_FITS;
-    if (word == HS_LEASE_FITS && engine->told_failing_ms != 0)
+    if (word == HS_LEASE_FITS && engine->reported_failing_at_ms != 0)
         word = HS_LEASE_FAILING;
-    else if (is_asked_aside(lease) ||
+    else if (is_preempted(lease) ||
              (word == HS_LEASE_FITS && lease->work == HS_WORK_ONLINE && would_wait(lease, now_ms)))
         word = HS_LEASE_CROWDED;
     g_mutex_unlock(&lease->engines->lock);
--- a/src/fleet/fleet_engine.h
+++ b/src/fleet/fleet_engine.h
@@ -1,4 +1,8 @@
-/** @file fleet_engine.h  One engine's state inside the table; for fleet_engines*.c only. */
+/**
+ * @file fleet_engine.h
+ * Internal state of the engine table, shared by the files that implement fleet_engines.h. Callers
+ * of the functions below hold the table's lock, except where a comment says otherwise.
+ */
 #ifndef HS_FLEET_FLEET_ENGINE_H
 #define HS_FLEET_FLEET_ENGINE_H
 
@@ -8,119 +12,118 @@
 #include "fleet/prefix_index.h"
 #include "tenants/tenant_runs.h"
 
-/** Own starts that are kept to know which of them a word on an engine counts. */
-#define HS_STARTS_KEPT 8
+/** Start times of own requests kept per engine, to tell which of them a load report includes. */
+#define HS_MAX_RECENT_STARTS 8
 
+/** One engine. Counts are of this daemon's requests unless a comment says otherwise. */
 typedef struct {
     hs_engine_entry entry;
     uint64_t hash;
-    gint references; /**< The table's and one a lease. */
+    gint references; /**< One of the table and one per lease. */
     bool listed;
-    bool is_reborn;            /**< It has ended: another start has its id now. */
-    uint64_t doubted_until_ms; /**< Dropped then unless it is listed again; 0: not doubted. */
-    bool misplaced;            /**< Another engine answered at its address. */
+    bool has_restarted;     /**< Another start has taken over the engine's id. */
+    uint64_t removal_at_ms; /**< The engine is unlisted and removed at this time unless it is
+                                 listed again; 0: no removal is pending. */
+    bool has_address_mismatch; /**< Another engine answered at this address. */
     uint64_t listed_ms;
     uint32_t online;
     uint32_t batch;
     uint64_t queued_tokens;
     uint64_t memory_tokens_used;
-    uint32_t silent_limit_ms;
-    uint64_t heard_ms; /**< Last byte, or when the first request after an idle time went. */
-    uint64_t suspect_until_ms;
-    bool is_on_trial; /**< Suspected, and one request has gone to find out whether it is sound. */
+    uint32_t silence_limit_ms;
+    uint64_t last_received_ms; /**< Last byte, or start of the first request after idleness. */
+    uint64_t suspected_until_ms;
+    bool is_probing; /**< A probe request is in flight to a suspected engine. */
     uint64_t full_until_ms;
-    uint64_t no_yield_until_ms; /**< Until all daemons know of the items that stepped aside. */
+    uint64_t no_preemption_until_ms; /**< Until all daemons know of the items preempted last. */
     uint32_t failures;
-    double ended;  /**< Requests of this daemon that ended there, fading, as of ended_ms. */
-    double failed; /**< Those of them that failed. */
-    uint64_t ended_ms;
+    double decayed_ended;  /**< Requests that ended, decayed to decayed_at_ms. */
+    double decayed_failed; /**< Those of decayed_ended that failed. */
+    uint64_t decayed_at_ms;
     double peers_ended;
     double peers_failed;
-    hs_engine_load load;
+    hs_engine_load load; /**< Load that came with the engine's last answer. */
     uint64_t load_ms;
-    double load_own; /**< Own requests there when the load was told. */
+    double load_own_requests; /**< Own requests on the engine at load_ms. */
     double peers_online;
     double peers_batch;
     double peers_queued;
     uint32_t peers_suspecting;
-    double told_online; /**< Of other daemons, as the engine's arbiter told at told_ms. */
-    double told_batch;
-    double told_queued;
-    uint64_t told_ms;
-    uint32_t told_count;        /**< How often it answered this daemon; wraps. */
-    hs_engine_total told_total; /**< The word itself. */
-    bool has_mean;      /**< Of the service's fresh words; it stands in for a word that is old. */
-    double mean_online; /**< Of other daemons. */
+    double reported_online; /**< Load of other daemons by the last load report. */
+    double reported_batch;
+    double reported_queued;
+    uint64_t reported_at_ms;         /**< When the arbiter made the last report; 0: no report. */
+    uint32_t response_count;         /**< Arbiter's responses to this daemon; wraps. */
+    hs_engine_total last_report;     /**< As received, own requests included. */
+    bool has_mean;                   /**< The mean loads below replace an outdated report. */
+    double mean_online;              /**< Mean load of other daemons by recent reports. */
     double mean_batch;
     double mean_queued;
-    uint64_t starts_ms[HS_STARTS_KEPT]; /**< Of own online requests: the last ones, in a ring. */
-    uint32_t start_count;               /**< Wraps. */
-    uint64_t
-        told_failing_ms;   /**< When the arbiter said last that it fails; 0: it says it's sound. */
-    uint32_t served_count; /**< Requests of this daemon that ended well there. */
-    uint32_t failed_count; /**< The same that failed. */
-    uint64_t run_events;   /**< Events of its runs there, after the first of each, */
-    uint64_t run_ms;       /**< and the time they took. */
-    uint64_t left_ms;      /**< When the last request of this daemon ended there; 0: never. */
-    uint64_t excess_since_ms; /**< More than its slots are believed taken since; 0: not. */
+    uint64_t recent_starts_ms[HS_MAX_RECENT_STARTS]; /**< Ring: starts of online requests. */
+    uint32_t start_count;                            /**< Wraps. */
+    uint64_t reported_failing_at_ms; /**< Time of the last report if it says that the engine fails;
+                                          0: it says that the engine is healthy. */
+    uint32_t served_count;
+    uint32_t failed_count;
+    uint64_t run_events; /**< Events of runs after the first of each run. */
+    uint64_t run_ms;     /**< Time that run_events took. */
+    uint64_t last_release_ms; /**< When the last request ended; 0: never. */
+    uint64_t excess_since_ms; /**< Since when requests exceed the slots; 0: they don't. */
     hs_engine_pace pace;
     hs_prefix_index *prefixes;
     GPtrArray *batch_leases; /**< of hs_engine_lease*, the newest last. */
-    GQueue idle;             /**< of idle_connection*; the latest used last. */
+    GQueue idle;             /**< of hs_idle_connection*, the most recently used last. */
 } hs_fleet_engine;
 
-/** Words of arbiters so far. */
+/** Counters of load reports. */
 typedef struct {
-    uint64_t answered;  /**< Heard from arbiters themselves. */
-    uint64_t taken;     /**< Passed on by others or known as the arbiter, and news. */
-    uint64_t stale;     /**< The same, and no news. */
-    uint64_t passed_on; /**< To others. */
-    uint64_t passed_on_bytes;
-} hs_words_counters;
+    uint64_t received; /**< Responses of arbiters to this daemon. */
+    uint64_t accepted; /**< Relayed or own reports newer than the last known report. */
+    uint64_t stale;    /**< Relayed or own reports that were not newer. */
+    uint64_t relayed;  /**< Reports sent on to other daemons. */
+    uint64_t relayed_bytes;
+} hs_report_counters;
 
 struct hs_fleet_engines {
     GMutex lock;
     GHashTable *by_id;   /**< id -> hs_fleet_engine* */
-    GHashTable *by_hash; /**< hash -> hs_fleet_engine*, of by_id; NULL: to be made anew. */
+    GHashTable *by_hash; /**< hash -> hs_fleet_engine*, of by_id; NULL: to be rebuilt. */
     GHashTable *peers;   /**< peer -> peer_load* */
     char *zone;
     GHashTable *speeds;        /**< service -> hs_engine_speed* */
     GHashTable *absences;      /**< service -> hs_engine_absence* */
-    GHashTable *pressures;     /**< service -> hs_kept_pressure* */
+    GHashTable *pressures;     /**< service -> hs_cached_pressure* */
     bool is_list_known;        /**< The store's list was read to its end. */
-    uint32_t peer_count;       /**< Other daemons there are. */
-    uint32_t batch_peer_count; /**< Those of them that run batch items. */
-    uint64_t summed_ms;        /**< When peers' words were summed last; 0: they changed. */
+    uint32_t peer_count;       /**< Other daemons in the fleet. */
+    uint32_t batch_peer_count; /**< Other daemons that run batch items. */
+    uint64_t summed_ms;        /**< When peers' loads were summed last; 0: they changed since. */
     uint64_t turn;
     uint64_t connects;
-    uint64_t misplaced;          /**< See hs_fleet_engines_misplaced. */
-    uint64_t slowdowns_rejected; /**< Words on their own pace that no engine can mean. */
+    uint64_t resume_mismatches;
+    uint64_t slowdowns_rejected; /**< Slowdowns out of the valid range, sent by engines. */
     uint64_t use_sequence;
-    uint64_t passed_on_ms;       /**< When a passed-on word was taken last; 0: never. */
-    hs_words_counters words;     /**< See hs_fleet_engines_describe. */
-    uint64_t batch_work_ms;      /**< Own; see hs_fleet_engines_set_batch_work. */
-    GCond totals_told;           /**< An arbiter told what all daemons have on an engine. */
-    hs_engine_use_teller teller; /**< NULL: nobody is told. */
-    void *teller_data;
-    hs_engine_place_watch place_watch; /**< NULL: nobody is told. */
-    void *place_watch_data;
-    hs_crash_watch *crash_watch; /**< NULL: none. */
+    uint64_t relayed_at_ms; /**< When a relayed report was accepted last; 0: never. */
+    hs_report_counters reports;
+    uint64_t batch_work_ms; /**< Own; see hs_fleet_engines_set_batch_work. */
+    GCond reports_changed;  /**< Signals a response of an arbiter, or preempted items. */
+    hs_engine_use_observer use_observer; /**< May be NULL. */
+    void *use_observer_data;
+    hs_engine_place_watch slot_observer; /**< May be NULL. */
+    void *slot_observer_data;
+    hs_crash_watch *crash_watch; /**< May be NULL. */
     hs_tenant_runs *tenant_runs;
 };
 
-/**
- * Requests that one connection carries, at most; then it is closed. A new connection each so many
- * requests costs an engine some 16 us a request (1 ms each); to look through them costs less.
- */
-#define HS_CARRIED_MOST 64
+/** Requests that one connection carries before it is closed. */
+#define HS_MAX_CARRIED_REQUESTS 64
 
 /**
- * Requests that a connection carried, by the hashes of their ids. All of them, however they ended:
- * an item that was done is tried again where its result could not be stored, and a surplus answer
- * may come after answers to other requests.
+ * Hashes of the ids of all requests that a connection carried, whatever their outcome. A finished
+ * item runs again if its result could not be stored, and a surplus answer may arrive after the
+ * answers to later requests.
  */
 typedef struct {
-    uint64_t hashes[HS_CARRIED_MOST];
+    uint64_t hashes[HS_MAX_CARRIED_REQUESTS];
     uint32_t count;
 } hs_carried_requests;
 
@@ -128,104 +131,108 @@
     hs_fleet_engines *engines;
     hs_fleet_engine *engine;
     hs_work_class work;
-    char *tenant; /**< Whose runs it counts with; NULL: nobody's. */
-    uint64_t taken_ms;
-    uint64_t first_ms;       /**< When its first event came; 0: none has. */
-    uint64_t first_events;   /**< Events of its stream when the first of the run had come, */
-    uint64_t last_events;    /**< and as of last_event_ms. */
-    uint64_t first_event_ms; /**< 0: no event of the run has come. */
+    char *tenant; /**< NULL: the run is not counted for a tenant. */
+    uint64_t acquired_ms;
+    uint64_t first_token_ms; /**< 0: no token has arrived. */
+    uint64_t first_events;   /**< Events of the stream at first_event_ms. */
+    uint64_t last_events;    /**< Events of the stream at last_event_ms. */
+    uint64_t first_event_ms; /**< 0: no event of the run has arrived. */
     uint64_t last_event_ms;
-    uint32_t unread_tokens; /**< Counted in the engine's queued tokens until the first token. */
+    uint32_t unread_tokens; /**< Part of the engine's queued tokens until the first token. */
     uint32_t memory_tokens;
-    double connection_share; /**< See hs_fleet_engines_connection_share. */
-    hs_interrupt *yield;     /**< See hs_engine_query; NULL: none. */
-    int32_t rank_ms;         /**< Likewise, when it was taken. */
-    uint32_t told_before;    /**< The engine's told_count when it was taken. */
+    double connection_share;   /**< See hs_fleet_engines_connection_share. */
+    hs_interrupt *yield;       /**< See hs_engine_query; may be NULL. */
+    int32_t rank_ms;           /**< See hs_engine_query; at acquired_ms. */
+    uint32_t responses_before; /**< The engine's response_count at acquired_ms. */
     hs_engine_reasons reasons;
-    bool is_trial;         /**< It is the one that sees whether a suspected engine is sound. */
-    bool was_alone;        /**< No prompt was being read there when it was taken. */
-    uint64_t request_hash; /**< Of the request's id; 0: it has none. */
+    bool is_probe;               /**< The request probes a suspected engine. */
+    bool had_empty_queue;        /**< The engine was reading no own prompt at acquired_ms. */
+    uint64_t request_hash;       /**< Hash of the request's id; 0: the request has none. */
     hs_carried_requests carried; /**< By the connection in use, before this request. */
 };
 
-/** An idle kept connection. */
+/** An idle connection, kept for reuse. */
 typedef struct {
     hs_client_connection *connection;
     uint64_t idle_since_ms;
     hs_carried_requests carried;
 } hs_idle_connection;
 
-/** Close it and free it: a GDestroyNotify. */
+/** Closes the connection and frees the record; a GDestroyNotify. */
 void hs_idle_connection_free(gpointer data);
 
-/** Times in which a service had no engine, as requests met them. */
+/** Periods in which a service had no engine. */
 typedef struct {
-    uint64_t since_ms; /**< 0: it has engines. */
-    uint64_t last_ms;  /**< How long the one before was; 0: none was seen. */
+    uint64_t since_ms; /**< 0: the service has engines. */
+    uint64_t last_ms;  /**< Length of the previous period; 0: none. */
 } hs_engine_absence;
 
-/** A service's pressure, kept for all who ask within some ms. */
 typedef struct {
     hs_service_pressure pressure;
     hs_pressure_trend trend;
-    uint64_t made_ms;
-} hs_kept_pressure;
+    uint64_t computed_ms;
+} hs_cached_pressure;
 
-/** Note whether a service has an engine now. The caller holds the lock, as for all below but tell.
- */
+/** Records whether a service has an engine now, and returns its absence. */
 hs_engine_absence hs_fleet_engines_note_presence(hs_fleet_engines *engines, const char *service,
                                                  bool is_present, uint64_t now_ms);
 void hs_fleet_engine_unref(hs_fleet_engine *engine);
-/** The store said that it is gone and was given the time to take that back: nothing goes there,
- * also before it is dropped. */
-bool hs_fleet_engine_is_doubt_over(const hs_fleet_engine *engine, uint64_t now_ms);
+/** Whether the engine's pending removal is due. No request goes to it, even before removal. */
+bool hs_fleet_engine_is_removal_due(const hs_fleet_engine *engine, uint64_t now_ms);
+/** Whether the engine has requests and has sent no byte for longer than its silence limit. */
 bool hs_fleet_engine_is_silent(const hs_fleet_engine *engine, uint64_t now_ms);
-/** What other daemons have there. */
+/** Estimated load of other daemons on the engine. */
 double hs_fleet_engine_others_online(const hs_fleet_engine *engine, uint64_t now_ms);
 double hs_fleet_engine_others_batch(const hs_fleet_engine *engine, uint64_t now_ms);
 double hs_fleet_engine_others_queued(const hs_fleet_engine *engine, uint64_t now_ms);
-/** Age in ms of the arbiter's word on the engine; UINT64_MAX: there is none that is valid. */
-uint64_t hs_fleet_engine_word_age_ms(const hs_fleet_engine *engine, uint64_t now_ms);
-/** Whether words passed on by others decide what is believed. */
-bool hs_fleet_engines_hear_words(const hs_fleet_engines *engines, uint64_t now_ms);
-/** Make the means anew that stand in for old words. */
-void hs_fleet_engines_mean_words(hs_fleet_engines *engines, uint64_t now_ms);
-/** This daemon's use of the engine now. */
+/** Age of the engine's last load report; UINT64_MAX: there is no valid report. */
+uint64_t hs_fleet_engine_report_age_ms(const hs_fleet_engine *engine, uint64_t now_ms);
+/** Whether a relayed report was accepted recently, so that estimates rely on relayed reports. */
+bool hs_fleet_engines_has_relayed_reports(const hs_fleet_engines *engines, uint64_t now_ms);
+/** Recomputes the mean loads that replace outdated reports. */
+void hs_fleet_engines_update_mean_loads(hs_fleet_engines *engines, uint64_t now_ms);
+/** Returns this daemon's current use of the engine, with a new sequence number. */
 hs_engine_use hs_fleet_engine_use(hs_fleet_engines *engines, const hs_fleet_engine *engine);
-/** Ask the batch items there of the highest rank to step aside; how many were asked. */
-uint32_t hs_fleet_engine_yield(hs_fleet_engine *engine, uint32_t wanted);
-/** Tell that a place may be free in a service; without the lock. */
-void hs_fleet_engines_tell_place(hs_fleet_engines *engines, const char *service);
-/** Tell a use; without the lock. */
-void hs_fleet_engines_tell(hs_fleet_engines *engines, const hs_engine_use *use, bool started);
+/** Preempts up to @p wanted batch items, highest rank first. Returns how many. */
+uint32_t hs_fleet_engine_preempt(hs_fleet_engine *engine, uint32_t wanted);
+/** Calls the slot observer. The caller doesn't hold the lock. */
+void hs_fleet_engines_notify_free_slot(hs_fleet_engines *engines, const char *service);
+/** Calls the use observer. The caller doesn't hold the lock. */
+void hs_fleet_engines_notify_use(hs_fleet_engines *engines, const hs_engine_use *use, bool started);
+/** Estimated requests of all daemons on the engine, batch items included. */
 double hs_fleet_engine_running(const hs_fleet_engine *engine, uint64_t now_ms);
-double hs_fleet_engine_faded(const hs_fleet_engine *engine, double count, uint64_t now_ms);
+/** Returns @p count, which was valid at the engine's decayed_at_ms, decayed to @p now_ms. */
+double hs_fleet_engine_decayed_count(const hs_fleet_engine *engine, double count, uint64_t now_ms);
+/** Share of recent requests of all daemons that failed on the engine, 0 to 1. */
 double hs_fleet_engine_failure_rate(const hs_fleet_engine *engine, uint64_t now_ms);
 bool hs_fleet_engine_is_suspected(const hs_fleet_engine *engine, uint64_t now_ms);
 /**
- * Whether the next request there sees whether the engine is sound: it is suspected by no more than
- * other daemons' word, whose way there may be the bad one, or the time of its suspicion is over.
+ * Whether the next request to the engine is a probe: the suspicion has run out, or only other
+ * daemons suspect the engine, whose network path to it may be at fault.
  */
-bool hs_fleet_engine_is_to_be_tried(const hs_fleet_engine *engine, uint64_t now_ms);
-/** See hs_engine_pace_factor; by the service's mean time of an event. */
+bool hs_fleet_engine_is_probe_due(const hs_fleet_engine *engine, uint64_t now_ms);
+/** See hs_engine_pace_factor; relative to the service's mean time of an event. */
 double hs_fleet_engine_pace(const hs_fleet_engines *engines, const hs_fleet_engine *engine,
                             uint64_t now_ms);
-/** Speeds at the engine: the service's at the engine's pace. */
+/** Speeds of the service, scaled by the engine's pace. */
 hs_engine_speed hs_fleet_engine_speed(hs_fleet_engines *engines, const hs_fleet_engine *engine,
                                       uint64_t now_ms);
 hs_engine_candidate hs_fleet_engine_candidate(const hs_fleet_engines *engines,
                                               const hs_fleet_engine *engine,
                                               const hs_engine_query *query, uint64_t now_ms);
 /**
- * Connections to one engine that are this daemon's, of the @p max_connections of all daemons. Under
- * one: fewer than there are daemons. Infinite where the limit is not known.
+ * This daemon's share of the @p max_connections that all daemons together may open to one engine.
+ * Below 1 if there are more daemons than connections; infinite if @p max_connections is 0.
  */
 double hs_fleet_engines_connection_share(const hs_fleet_engines *engines, uint32_t max_connections);
-/** Engine by the hash of its id; NULL when it is not known here. */
+/** Returns the engine with this hash, or NULL if the table has none. */
 hs_fleet_engine *hs_fleet_engines_find(hs_fleet_engines *engines, uint64_t engine_hash);
+/** Sums the loads that peers reported, unless they were summed a moment ago. */
 void hs_fleet_engines_sum_peers(hs_fleet_engines *engines, uint64_t now_ms);
-void hs_fleet_engines_drop_doubted(hs_fleet_engines *engines, uint64_t now_ms);
+/** Removes the engines whose pending removal is due. */
+void hs_fleet_engines_remove_unlisted(hs_fleet_engines *engines, uint64_t now_ms);
 void hs_fleet_engines_free_peer(gpointer data);
+/** Returns the speeds of a service, with initial values if none were observed. */
 hs_engine_speed *hs_fleet_engines_speed(hs_fleet_engines *engines, const char *service);
 
 #endif
--- a/src/fleet/fleet_engines.c
+++ b/src/fleet/fleet_engines.c
@@ -11,13 +11,13 @@
 #include <math.h>
 #include <string.h>
 
-#define FIRST_TOKENS_PER_MS 40.0
-#define FIRST_RUN_MS 300.0
+#define INITIAL_TOKENS_PER_MS 40.0
+#define INITIAL_RUN_MS 300.0
 /** Until the configuration tells an engine's memory. */
-#define UNKNOWN_CACHE_TOKENS 100000
+#define DEFAULT_CACHE_TOKENS 100000
 /** Silence on an engine with requests of ours, in mean run times, before it is suspected. */
-#define SILENT_RUNS 3.0
-#define SILENT_LEAST_MS 700
+#define SILENCE_LIMIT_RUNS 3.0
+#define MIN_SILENCE_LIMIT_MS 700
 
 void hs_idle_connection_free(gpointer data) {
     hs_idle_connection *idle = data;
@@ -35,15 +35,15 @@
     g_free(engine);
 }
 
-static void release_listed(gpointer data) {
+static void unref_listed(gpointer data) {
     hs_fleet_engine_unref(data);
 }
 
 hs_fleet_engines *hs_fleet_engines_new(const char *zone) {
     hs_fleet_engines *engines = g_new0(hs_fleet_engines, 1);
     g_mutex_init(&engines->lock);
-    g_cond_init(&engines->totals_told);
-    engines->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, release_listed);
+    g_cond_init(&engines->reports_changed);
+    engines->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, unref_listed);
     engines->peers =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, hs_fleet_engines_free_peer);
     engines->speeds = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -64,7 +64,7 @@
 }
 
 /** The set of engines changes: by_hash must not outlive one of them. The caller holds the lock. */
-static void forget_hashes(hs_fleet_engines *engines) {
+static void clear_hash_index(hs_fleet_engines *engines) {
     if (engines->by_hash != NULL)
         g_hash_table_destroy(engines->by_hash);
     engines->by_hash = NULL;
@@ -85,7 +85,7 @@
 void hs_fleet_engines_free(hs_fleet_engines *engines) {
     if (engines == NULL)
         return;
-    forget_hashes(engines);
+    clear_hash_index(engines);
     g_hash_table_destroy(engines->by_id);
     g_hash_table_destroy(engines->peers);
     g_hash_table_destroy(engines->speeds);
@@ -93,7 +93,7 @@
     g_hash_table_destroy(engines->pressures);
     hs_tenant_runs_free(engines->tenant_runs);
     g_mutex_clear(&engines->lock);
-    g_cond_clear(&engines->totals_told);
+    g_cond_clear(&engines->reports_changed);
     g_free(engines->zone);
     g_free(engines);
 }
@@ -107,7 +107,7 @@
  * What tells an engine's start from all others. Two starts under one id have nothing in common:
  * what is believed, counted and told of the one says nothing of the other.
  */
-static uint64_t identity_of(const hs_engine_entry *entry) {
+static uint64_t start_identity(const hs_engine_entry *entry) {
     uint64_t id = hs_hash_bytes(entry->id, strlen(entry->id));
     uint64_t start[2] = {id, entry->born_ms};
     return entry->born_ms == 0 ? id : hs_hash_bytes(start, sizeof start);
@@ -116,18 +116,18 @@
 static hs_fleet_engine *add_engine(hs_fleet_engines *engines, const hs_engine_entry *entry) {
     hs_fleet_engine *engine = g_new0(hs_fleet_engine, 1);
     engine->references = 1;
-    engine->hash = identity_of(entry);
-    engine->prefixes = hs_prefix_index_new(UNKNOWN_CACHE_TOKENS);
+    engine->hash = start_identity(entry);
+    engine->prefixes = hs_prefix_index_new(DEFAULT_CACHE_TOKENS);
     engine->batch_leases = g_ptr_array_new();
     g_queue_init(&engine->idle);
-    forget_hashes(engines);
+    clear_hash_index(engines);
     g_hash_table_insert(engines->by_id, g_strdup(entry->id), engine);
     log_entry("engine_listed", entry);
     return engine;
 }
 
 /** The engine ended, and another start has its id: whoever still has a request there keeps it. */
-static void end_engine(hs_fleet_engines *engines, hs_fleet_engine *engine,
+static void retire_engine(hs_fleet_engines *engines, hs_fleet_engine *engine,
                        const hs_engine_entry *entry) {
     hs_log_info("engine_reborn",
                 "engine=%s born_ms=%" G_GUINT64_FORMAT " before_ms=%" G_GUINT64_FORMAT
@@ -135,9 +135,9 @@
                 entry->id, (guint64)entry->born_ms, (guint64)engine->entry.born_ms, engine->online,
                 engine->batch);
     engine->listed = false;
-    engine->is_reborn = true;
+    engine->has_restarted = true;
     g_queue_clear_full(&engine->idle, hs_idle_connection_free);
-    forget_hashes(engines);
+    clear_hash_index(engines);
     g_hash_table_remove(engines->by_id, entry->id);
 }
 
@@ -154,7 +154,7 @@
     bool is_new = engine == NULL;
     if (engine != NULL && is_another_start(engine, entry)) {
         ended = engine->entry.draining ? 0 : engine->hash;
-        end_engine(engines, engine, entry);
+        retire_engine(engines, engine, entry);
         engine = NULL;
     }
     if (engine == NULL)
@@ -163,24 +163,24 @@
         log_entry("engine_changed", entry);
     if (engine->entry.address != entry->address || engine->entry.port != entry->port) {
         g_queue_clear_full(&engine->idle, hs_idle_connection_free);
-        engine->misplaced = false;
+        engine->has_address_mismatch = false;
     }
     if (entry->born_ms == 0)
         entry->born_ms = engine->entry.born_ms;
     hs_engine_entry_clear(&engine->entry);
     engine->entry = *entry;
     engine->listed = true;
-    engine->doubted_until_ms = 0;
+    engine->removal_at_ms = 0;
     engine->listed_ms = now_ms;
     g_mutex_unlock(&engines->lock);
     memset(entry, 0, sizeof *entry);
     if (is_new || ended != 0)
-        hs_fleet_engines_tell_place(engines, service);
+        hs_fleet_engines_notify_free_slot(engines, service);
     if (ended != 0 && engines->crash_watch != NULL)
         hs_crash_watch_note_crashed(engines->crash_watch, ended);
 }
 
-static gboolean unlist(gpointer key, gpointer value, gpointer listed) {
+static gboolean remove_unless_listed(gpointer key, gpointer value, gpointer listed) {
     hs_fleet_engine *engine = value;
     if (listed != NULL && g_hash_table_contains(listed, key))
         return FALSE;
@@ -205,17 +205,17 @@
     g_mutex_lock(&engines->lock);
     hs_fleet_engine *engine = g_hash_table_lookup(engines->by_id, id);
     if (engine != NULL) {
-        unlist(engine->entry.id, engine, NULL);
-        forget_hashes(engines);
+        remove_unless_listed(engine->entry.id, engine, NULL);
+        clear_hash_index(engines);
         g_hash_table_remove(engines->by_id, id);
     }
     g_mutex_unlock(&engines->lock);
 }
 
-static void doubt(hs_fleet_engine *engine, uint64_t until_ms) {
-    if (engine->doubted_until_ms != 0)
+static void mark_unlisted(hs_fleet_engine *engine, uint64_t until_ms) {
+    if (engine->removal_at_ms != 0)
         return;
-    engine->doubted_until_ms = until_ms;
+    engine->removal_at_ms = until_ms;
     log_entry("engine_doubted", &engine->entry);
 }
 
@@ -223,7 +223,7 @@
     g_mutex_lock(&engines->lock);
     hs_fleet_engine *engine = g_hash_table_lookup(engines->by_id, id);
     if (engine != NULL)
-        doubt(engine, until_ms);
+        mark_unlisted(engine, until_ms);
     g_mutex_unlock(&engines->lock);
 }
 
@@ -234,28 +234,28 @@
     g_mutex_lock(&engines->lock);
     engines->is_list_known = true;
     if (until_ms <= hs_clock_monotonic_ms() &&
-        g_hash_table_foreach_remove(engines->by_id, unlist, listed) > 0)
-        forget_hashes(engines);
+        g_hash_table_foreach_remove(engines->by_id, remove_unless_listed, listed) > 0)
+        clear_hash_index(engines);
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, &key, &value))
         if (!g_hash_table_contains(listed, key))
-            doubt(value, until_ms);
+            mark_unlisted(value, until_ms);
     g_mutex_unlock(&engines->lock);
 }
 
-bool hs_fleet_engine_is_doubt_over(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return engine->doubted_until_ms != 0 && engine->doubted_until_ms <= now_ms;
+bool hs_fleet_engine_is_removal_due(const hs_fleet_engine *engine, uint64_t now_ms) {
+    return engine->removal_at_ms != 0 && engine->removal_at_ms <= now_ms;
 }
 
-static gboolean unlist_if_due(gpointer key, gpointer value, gpointer now_ms) {
-    if (!hs_fleet_engine_is_doubt_over(value, *(const uint64_t *)now_ms))
+static gboolean remove_if_due(gpointer key, gpointer value, gpointer now_ms) {
+    if (!hs_fleet_engine_is_removal_due(value, *(const uint64_t *)now_ms))
         return FALSE;
-    return unlist(key, value, NULL);
+    return remove_unless_listed(key, value, NULL);
 }
 
-void hs_fleet_engines_drop_doubted(hs_fleet_engines *engines, uint64_t now_ms) {
-    if (g_hash_table_foreach_remove(engines->by_id, unlist_if_due, &now_ms) > 0)
-        forget_hashes(engines);
+void hs_fleet_engines_remove_unlisted(hs_fleet_engines *engines, uint64_t now_ms) {
+    if (g_hash_table_foreach_remove(engines->by_id, remove_if_due, &now_ms) > 0)
+        clear_hash_index(engines);
 }
 
 hs_engine_speed *hs_fleet_engines_speed(hs_fleet_engines *engines, const char *service) {
@@ -263,8 +263,8 @@
     if (speed != NULL)
         return speed;
     speed = g_new0(hs_engine_speed, 1);
-    speed->tokens_per_ms = FIRST_TOKENS_PER_MS;
-    speed->run_ms = FIRST_RUN_MS;
+    speed->tokens_per_ms = INITIAL_TOKENS_PER_MS;
+    speed->run_ms = INITIAL_RUN_MS;
     g_hash_table_insert(engines->speeds, g_strdup(service), speed);
     return speed;
 }
@@ -283,11 +283,11 @@
     lease->engines = engines;
     lease->engine = engine;
     lease->work = query->work;
-    lease->told_before = engine->told_count;
-    lease->taken_ms = now_ms;
-    lease->was_alone = engine->queued_tokens == 0;
-    lease->is_trial = hs_fleet_engine_is_to_be_tried(engine, now_ms);
-    engine->is_on_trial |= lease->is_trial;
+    lease->responses_before = engine->response_count;
+    lease->acquired_ms = now_ms;
+    lease->had_empty_queue = engine->queued_tokens == 0;
+    lease->is_probe = hs_fleet_engine_is_probe_due(engine, now_ms);
+    engine->is_probing |= lease->is_probe;
     lease->connection_share = hs_fleet_engines_connection_share(engines, query->max_connections);
     if (query->size != NULL) {
         lease->unread_tokens = (uint32_t)uncached;
@@ -297,16 +297,16 @@
         hs_prefix_index_note(engine->prefixes, query->size, now_ms);
     }
     if (engine->online + engine->batch == 0)
-        engine->heard_ms = now_ms;
+        engine->last_received_ms = now_ms;
     double run_ms = hs_fleet_engines_speed(engines, query->service)->run_ms;
     double pace = hs_fleet_engine_pace(engines, engine, now_ms);
-    engine->silent_limit_ms = (uint32_t)fmax(SILENT_LEAST_MS, run_ms * SILENT_RUNS * fmax(pace, 1));
+    engine->silence_limit_ms = (uint32_t)fmax(MIN_SILENCE_LIMIT_MS, run_ms * SILENCE_LIMIT_RUNS * fmax(pace, 1));
     engine->references++;
     engine->queued_tokens += lease->unread_tokens;
     engine->memory_tokens_used += lease->memory_tokens;
     if (query->work == HS_WORK_ONLINE) {
         engine->online++;
-        engine->starts_ms[engine->start_count++ % HS_STARTS_KEPT] = now_ms;
+        engine->recent_starts_ms[engine->start_count++ % HS_MAX_RECENT_STARTS] = now_ms;
         lease->tenant = g_strdup(query->tenant);
     } else {
         engine->batch++;
@@ -337,9 +337,9 @@
     g_autofree hs_engine_candidate *candidates = g_new0(hs_engine_candidate, found->len + 1);
     for (guint index = 0; index < found->len; index++)
         candidates[index] = hs_fleet_engine_candidate(engines, found->pdata[index], query, now_ms);
-    hs_engine_selection_credit_home(found, query, candidates);
+    hs_engine_selection_credit_shared_prefix(found, query, candidates);
     const hs_engine_speed *speed = hs_fleet_engines_speed(engines, query->service);
-    hs_engine_selection_keep_quick(found, query, candidates, speed);
+    hs_engine_selection_keep_within_wait_limit(found, query, candidates, speed);
     size_t first = found->len > 0 ? engines->turn++ % found->len : 0;
     hs_engine_turn turn = {.draw = g_random_double(), .first = first};
     int picked = query->work == HS_WORK_ONLINE
@@ -364,13 +364,13 @@
     }
     g_mutex_unlock(&engines->lock);
     if (lease != NULL)
-        hs_fleet_engines_tell(engines, &use, true);
+        hs_fleet_engines_notify_use(engines, &use, true);
     return lease;
 }
 
 uint64_t hs_fleet_engines_misplaced(hs_fleet_engines *engines) {
     g_mutex_lock(&engines->lock);
-    uint64_t misplaced = engines->misplaced;
+    uint64_t misplaced = engines->resume_mismatches;
     g_mutex_unlock(&engines->lock);
     return misplaced;
 }
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -1,7 +1,11 @@
 /**
  * @file fleet_engines.h
- * The engines this daemon knows: what the store says of them, what this daemon has there, what it
- * has seen of them, and kept connections. Requests take an engine as a lease and give it back.
+ * Table of the engines known to this daemon: their entries in the store, their load, their health
+ * as observed, and idle connections to them. A request acquires an engine as a lease and releases
+ * it when done.
+ *
+ * All functions are thread-safe. A lease belongs to one request and keeps its engine alive, also
+ * after the engine was removed from the table.
  */
 #ifndef HS_FLEET_FLEET_ENGINES_H
 #define HS_FLEET_FLEET_ENGINES_H
@@ -16,340 +20,372 @@
 typedef struct hs_fleet_engines hs_fleet_engines;
 typedef struct hs_engine_lease hs_engine_lease;
 
-/** Whose work it is: online requests go first. */
+/** Online requests take precedence over batch items. */
 typedef enum { HS_WORK_ONLINE, HS_WORK_BATCH } hs_work_class;
 
-/** How an attempt on an engine ended, as far as the engine's health goes. */
+/** How an attempt on an engine ended, as far as it concerns the engine's health. */
 typedef enum {
     HS_ATTEMPT_SERVED,
-    HS_ATTEMPT_FAILED,       /**< A whole answer that says the engine failed. */
-    HS_ATTEMPT_REFUSED,      /**< Full: it promised that it did not run the request. */
-    HS_ATTEMPT_WRONG_ENGINE, /**< Another engine has the address. */
-    HS_ATTEMPT_UNREACHABLE,  /**< No connection. */
-    HS_ATTEMPT_BROKEN,       /**< Cut, or bytes that are no answer. */
-    HS_ATTEMPT_SILENT,       /**< No byte for too long. */
-    HS_ATTEMPT_DROPPED,      /**< Given up on this side; says nothing of the engine. */
+    HS_ATTEMPT_FAILED,       /**< A complete answer that reports a failure of the engine. */
+    HS_ATTEMPT_REFUSED,      /**< The engine is full and states that it did not run the request. */
+    HS_ATTEMPT_WRONG_ENGINE, /**< Another engine answered at the address. */
+    HS_ATTEMPT_UNREACHABLE,  /**< The connection could not be established. */
+    HS_ATTEMPT_BROKEN,       /**< The connection was cut, or the answer is malformed. */
+    HS_ATTEMPT_SILENT,       /**< No byte arrived for too long. */
+    HS_ATTEMPT_DROPPED,      /**< Abandoned by this daemon; says nothing about the engine. */
 } hs_attempt_end;
 
 /** Name of an attempt's end, for logs. */
 const char *hs_attempt_end_name(hs_attempt_end end);
 
-/** What decided the choice of an engine, for logs. */
+/** Figures behind the choice of an engine, for logs. */
 typedef struct {
-    uint32_t candidates; /**< Engines there were to choose from. */
+    uint32_t candidates; /**< Engines that could be chosen. */
     uint32_t slots;
-    double running;         /**< Believed there, of all daemons. */
+    double running;         /**< Estimated requests of all daemons on the engine. */
     double uncached_tokens; /**< Of the prompt. */
-    double failure_rate;    /**< Of late. */
+    double failure_rate;    /**< Of recent requests, 0 to 1. */
     double pace;            /**< See hs_engine_pace_factor. */
     bool suspected;
-    uint64_t listed_age_ms; /**< Since the store's last word on the engine. */
-    double word_age_ms;     /**< Of the arbiter's word that decided; 0: none was passed on. */
-    bool is_any_free;       /**< One of them at least was believed to have a free slot. */
+    uint64_t listed_age_ms; /**< Since the store last listed the engine. */
+    double word_age_ms;     /**< Age of the load report used; 0: no relayed reports are used. */
+    bool is_any_free;       /**< At least one candidate was estimated to have a free slot. */
 } hs_engine_reasons;
 
-/** What an engine is wanted for. All borrowed. */
+/** Request for an engine. Pointers are borrowed. */
 typedef struct {
     const char *service;
-    const char *tenant; /**< Online: whose runs it counts with; NULL: nobody's. */
+    const char *tenant; /**< Online: tenant that the run counts for; NULL: none. */
     const hs_request_size *size;
     hs_work_class work;
-    const GPtrArray *excluded; /**< of const char*: engines tried before; may be NULL. */
-    hs_interrupt *yield;       /**< Batch: raised when the item is to step aside. */
-    int32_t rank_ms;           /**< Batch: of two items the one with the higher rank steps aside. */
-    uint64_t memory_tokens;    /**< An engine's memory by the configuration; 0: unknown. */
+    const GPtrArray *excluded; /**< of const char*: ids of engines to skip; may be NULL. */
+    hs_interrupt *yield;       /**< Batch: raised to preempt the item; may be NULL. */
+    int32_t rank_ms;           /**< Batch: preemption rank; the highest is preempted first. */
+    uint64_t memory_tokens;    /**< Configured memory of an engine; 0: unknown. */
     uint32_t max_connections;  /**< To one engine from all daemons; 0: unknown. */
-    bool has_wait_limit;       /**< Online: engines only that begin with it in wait_most_ms. */
+    bool has_wait_limit;       /**< Online: skip engines that can't start it in wait_most_ms. */
     uint64_t wait_most_ms;     /**< See hs_engine_choice_is_quick. */
 } hs_engine_query;
 
-/** One engine's load as a daemon tells it to others. */
+/** This daemon's share of one engine's load, as announced to other daemons. */
 typedef struct {
     uint64_t engine_hash;
     uint32_t online;
     uint32_t batch;
     uint32_t queued_tokens;
-    uint32_t ended_permille;  /**< Requests of late that ended there, in thousandths; fades. */
-    uint32_t failed_permille; /**< Those of them that failed. */
+    uint32_t ended_permille;  /**< Requests that ended, in thousandths; decays over time. */
+    uint32_t failed_permille; /**< Those of ended_permille that failed. */
     bool suspected;
 } hs_engine_share;
 
-/** What this daemon has on one engine, at one moment. */
+/** This daemon's use of one engine, as sent to the engine's arbiter. */
 typedef struct {
     uint64_t engine_hash;
-    uint64_t sequence; /**< Grows with the moments. */
-    uint32_t slots;    /**< The engine's. */
+    uint64_t sequence; /**< Increases with each use, over all engines. */
+    uint32_t slots;    /**< Of the engine. */
     uint32_t online;
     uint32_t batch;
-    int32_t rank_ms;           /**< Highest of its batch items there; see hs_engine_query. */
-    uint32_t served;           /**< Requests that ended well there so far. */
-    uint32_t failed;           /**< The same that failed. */
-    uint32_t queued_tokens;    /**< Of prompts there that are not read yet. */
-    uint64_t run_events;       /**< That its runs there made so far, after the first of each, */
-    uint64_t run_ms;           /**< and the time they took. */
-    uint32_t slowdown_percent; /**< See hs_engine_load; the engine's latest word. 0: none. */
+    int32_t rank_ms;           /**< Highest preemption rank of the batch items on the engine. */
+    uint32_t served;           /**< Requests served so far; wraps. */
+    uint32_t failed;           /**< Requests failed so far; wraps. */
+    uint32_t queued_tokens;    /**< Of prompts that the engine has not read yet. */
+    uint64_t run_events;       /**< Events of runs so far, after the first of each run. */
+    uint64_t run_ms;           /**< Time that run_events took. */
+    uint32_t slowdown_percent; /**< The engine's last own figure, see hs_engine_load; 0: none. */
     uint32_t slowdown_age_ms;
 } hs_engine_use;
 
-/** Called without a lock when a use changed; @p started: by a request that begins. */
-typedef void (*hs_engine_use_teller)(const hs_engine_use *use, bool started, void *user_data);
+/**
+ * Called without the table's lock when this daemon's use of an engine changes; @p started: a
+ * request starts.
+ */
+typedef void (*hs_engine_use_observer)(const hs_engine_use *use, bool started, void *user_data);
 
-/** Called without a lock when an engine of the service may have a place that was not there. */
+/** Called without the table's lock when an engine of the service may have a free slot. */
 typedef void (*hs_engine_place_watch)(const char *service, void *user_data);
 
 /** @p zone: of this daemon. */
 hs_fleet_engines *hs_fleet_engines_new(const char *zone);
+
+/** Frees the table. No lease may be left. NULL is allowed. */
 void hs_fleet_engines_free(hs_fleet_engines *engines);
 
-/** Whom ends of runs are told; NULL: nobody. Borrowed; before the first request. */
+/**
+ * Sets the watch that is notified of ends of runs; NULL: none. Borrowed. To be called before the
+ * first request.
+ */
 void hs_fleet_engines_set_crash_watch(hs_fleet_engines *engines, hs_crash_watch *watch);
 hs_crash_watch *hs_fleet_engines_crash_watch(hs_fleet_engines *engines);
 
-/** Take an entry from the store; the entry's strings become the table's. */
+/** Adds or updates an engine. Takes ownership of the strings of @p entry and clears it. */
 void hs_fleet_engines_put(hs_fleet_engines *engines, hs_engine_entry *entry, uint64_t now_ms);
 
 /**
- * The engine's entry is gone, and the store was not away: an engine that had not said that it
- * leaves has crashed, where runs were cut there of late.
+ * Removes an engine whose entry expired while the store was available. Unless the engine was
+ * draining, the crash watch is notified that it crashed.
  */
 void hs_fleet_engines_lapse(hs_fleet_engines *engines, const char *id);
 
-/** The store lists the engine no longer. */
+/** Removes an engine. */
 void hs_fleet_engines_drop(hs_fleet_engines *engines, const char *id);
 
 /**
- * Drop all engines whose ids are not keys of @p listed; at once, or, where @p until_ms is in the
- * future, unless they are listed again by then.
+ * Removes all engines whose ids are not keys of @p listed. If @p until_ms is in the future, they
+ * are marked as unlisted and removed at that time unless they are listed again.
  */
 void hs_fleet_engines_keep_only(hs_fleet_engines *engines, GHashTable *listed, uint64_t until_ms);
 
-/** The store lists the engine no longer, but may be wrong: drop it unless it is listed again. */
+/** Marks an engine as unlisted; it is removed at @p until_ms unless it is listed again. */
 void hs_fleet_engines_doubt(hs_fleet_engines *engines, const char *id, uint64_t until_ms);
 
-/** Choose an engine and count the request there; NULL when none fits. */
+/**
+ * Chooses an engine and counts the request on it. Returns NULL if no engine fits; otherwise the
+ * lease is to be released with hs_engine_lease_release.
+ */
 hs_engine_lease *hs_fleet_engines_take(hs_fleet_engines *engines, const hs_engine_query *query);
 
-/** The engine's id; valid as long as the lease. */
+/** The engine's id; valid until the lease is released. */
 const char *hs_engine_lease_id(const hs_engine_lease *lease);
 
-/** Why the engine was chosen. */
+/** Figures behind the choice of the lease's engine. */
 hs_engine_reasons hs_engine_lease_reasons(const hs_engine_lease *lease);
 
-/** What an engine's arbiter says of a lease. */
+/** Response of the engine's arbiter to a new lease. */
 typedef enum {
-    HS_LEASE_FITS, /**< There is a slot, or a batch item leaves one. */
-    /** A batch item is to step aside; an online request would wait for others' slots or prompts. */
+    HS_LEASE_FITS, /**< The engine has a free slot, or a batch item is preempted to free one. */
+    /** The batch item is to be preempted; an online request would wait for slots or prompts. */
     HS_LEASE_CROWDED,
-    HS_LEASE_FAILING, /**< Requests of all daemons fail there of late. */
-    HS_LEASE_UNHEARD, /**< The arbiter said nothing in time. */
+    HS_LEASE_FAILING, /**< Recent requests of all daemons to the engine fail. */
+    HS_LEASE_UNHEARD, /**< The arbiter did not respond in time. */
 } hs_lease_word;
 
-/** What an online request that holds a lease can expect of its engine. */
+/** Expected service of an online request by the engine of its lease, at the engine's pace. */
 typedef struct {
-    bool is_quick;    /**< See hs_engine_query; true where it has no limit. */
-    bool is_hopeless; /**< Its wait and the least that any engine needs end after its deadline. */
-    double wait_ms;   /**< Expected until the engine begins with it. */
-    double need_ms;   /**< Shortest time to a first byte of late; 0: not known. */
-    double online;    /**< Requests there of all daemons, this one included. */
-    double queued_tokens; /**< Of others' prompts there that are not read yet. */
+    bool is_quick;    /**< The engine starts the request within the query's limit, if any. */
+    bool is_hopeless; /**< See hs_engine_choice_is_hopeless. */
+    double wait_ms;   /**< Until the engine starts the request. */
+    double need_ms;   /**< Shortest recent time to a first byte; 0: unknown. */
+    double online;    /**< Requests of all daemons, this one included. */
+    double queued_tokens; /**< Of others' prompts that the engine has not read yet. */
     uint32_t slots;
-    double pace; /**< Of the engine; the times are at it. */
+    double pace; /**< Of the engine. */
 } hs_lease_prospect;
 
-/** The prospect of a request whose deadline is @p left_ms from now; after the arbiter's word. */
+/**
+ * Estimates how a request whose deadline is @p left_ms from now will be served. More accurate after
+ * hs_engine_lease_confirm.
+ */
 hs_lease_prospect hs_engine_lease_prospect(hs_engine_lease *lease, const hs_engine_query *query,
                                            uint64_t left_ms);
 
-/** Wait until the engine's arbiter has heard of the lease, before anything is sent. */
+/**
+ * Waits up to @p limit_ms for the response of the engine's arbiter to the lease. To be called
+ * before the request is sent.
+ */
 hs_lease_word hs_engine_lease_confirm(hs_engine_lease *lease, uint32_t limit_ms);
 
 /**
- * A kept connection that was idle for less than @p idle_most_ms (0: none), or a new one; NULL with
- * @p step when there is none. No kept connection that carried the request @p request_id (may be
- * NULL) before: a surplus answer to the earlier try would be taken for the answer to this one,
- * since both carry the request's id.
+ * Returns a connection that was idle for less than @p idle_most_ms (0: none is reused), or a new
+ * one; NULL with @p step on failure. Never returns a connection that carried @p request_id (may be
+ * NULL) before: a surplus answer to the earlier attempt has the same request id and would be taken
+ * for the answer to this one.
  */
 hs_client_connection *hs_engine_lease_connect(hs_engine_lease *lease, const char *request_id,
                                               const hs_wait *wait, uint32_t idle_most_ms,
                                               hs_step *step);
 
-/** The engine's answer did not go on where the request asked it to. */
+/** Counts an answer that did not resume the run at the event that the request asked for. */
 void hs_engine_lease_note_misplaced(hs_engine_lease *lease);
 
-/** Close all idle connections to the engine: one to it was lost, and they are as old. */
+/** Closes all idle connections to the engine. */
 void hs_engine_lease_drop_idle(hs_engine_lease *lease);
 
 /**
- * Time in ms above the usual for the head of an answer there, to a prompt of @p prompt_tokens; 0:
- * not known, or more than half of the slots are taken, so that the answer may wait. All of the
- * prompt counts: what is believed to be in the engine's memory may not be, and a live answer that
- * is cut is late (6 to 11 requests with long prompts a day were cut for it, 1 to 3 so).
+ * Returns the longest expected time to the head of an answer to a prompt of @p prompt_tokens, in
+ * ms. Returns 0 if too few answers were observed, or if more than half of the slots were taken, so
+ * that the request may have to wait. Assumes that nothing of the prompt is cached.
  */
 uint32_t hs_engine_lease_head_limit_ms(hs_engine_lease *lease, uint64_t prompt_tokens);
 
-/** The head of an answer came. */
+/** Records the arrival of an answer's head. */
 void hs_engine_lease_head_came(hs_engine_lease *lease);
 
-/** Bytes came from the engine. */
+/** Records the arrival of bytes from the engine. */
 void hs_engine_lease_heard(hs_engine_lease *lease);
 
-/** The engine has read the prompt: its first token came. */
+/** Records the arrival of the first token: the engine has read the prompt. */
 void hs_engine_lease_first_token(hs_engine_lease *lease);
 
-/** The lease's run has made @p events by now, those of earlier runs not counted. */
+/** Records that the lease's run has made @p events so far, without those of earlier runs. */
 void hs_engine_lease_note_events(hs_engine_lease *lease, uint64_t events);
 
-/** Load that came with an answer. */
+/** Records the load that came with an answer. */
 void hs_engine_lease_note_load(hs_engine_lease *lease, const hs_engine_load *load);
 
 /**
- * A run of the content at the lease's engine ended so. A whole answer shows that the engine
- * survived it; a run that was cut is looked into, unless the engine was leaving anyway.
+ * Notifies the crash watch of the end of a run of @p content. A complete answer shows that the
+ * engine survived the run; a cut run is investigated, unless the engine was leaving.
  */
 void hs_engine_lease_note_run_end(hs_engine_lease *lease, uint64_t content, hs_attempt_end end);
 
-/** Give the engine back; a reusable @p connection (may be NULL) is kept, others are closed. */
+/**
+ * Releases the engine and frees the lease. Takes ownership of @p connection (may be NULL): it is
+ * kept idle if it is reusable, and closed otherwise.
+ */
 void hs_engine_lease_release(hs_engine_lease *lease, hs_client_connection *connection,
                              hs_attempt_end end);
 
-/** Engines of a service that may be sent to, and requests of this daemon on them. */
+/** Slots of a service's eligible engines, and estimated requests of all daemons on them. */
 typedef struct {
-    uint32_t ready;
+    uint32_t ready; /**< Eligible engines that are not suspected. */
     uint32_t slots;
-    double online; /**< Believed running, of all daemons. */
-    double batch;  /**< Believed running, of all daemons. */
+    double online;
+    double batch;
 } hs_service_room;
 
-/** What is known of a service when no engine took a request. */
+/** State of a service, for deciding on a request that no engine took. */
 typedef struct {
     bool is_known;      /**< The store's list was read to its end since the start. */
-    uint32_t engines;   /**< That may be sent to by the store's word. */
-    uint32_t sound;     /**< Of them, that nobody suspects. */
-    uint32_t slots;     /**< Of the sound ones. */
-    double running;     /**< Believed there, of all daemons; batch items count, they hold places. */
-    double waiting;     /**< Online requests of them beyond their engine's slots. */
-    double run_ms;      /**< Mean time of an online run of late. */
-    uint64_t need_ms;   /**< Shortest time to a first byte of late; 0: not known. */
-    uint64_t return_ms; /**< Until the first suspected engine is tried again. */
-    uint64_t absent_ms; /**< How long there has been no engine; 0: there is one. */
-    uint64_t last_absence_ms; /**< How long the last such time was; 0: none was seen. */
-    uint64_t listed_age_ms;   /**< Since the store's last word on any of its engines. */
+    uint32_t engines;   /**< Engines listed and not draining. */
+    uint32_t sound;     /**< Those of them that are not suspected. */
+    uint32_t slots;     /**< Of the engines that are not suspected. */
+    double running;     /**< Estimated requests of all daemons on them, batch items included. */
+    double waiting;     /**< Online requests beyond their engine's slots. */
+    double run_ms;      /**< Mean time of recent online runs. */
+    uint64_t need_ms;   /**< Shortest recent time to a first byte; 0: unknown. */
+    uint64_t return_ms; /**< Until this daemon's first suspicion runs out; 0: one engine has none. */
+    uint64_t absent_ms; /**< How long the service has had no engine; 0: it has one. */
+    uint64_t last_absence_ms; /**< Length of the previous time without an engine; 0: none. */
+    uint64_t listed_age_ms;   /**< Since the store last listed any of the engines. */
     hs_service_pressure pressure;
 } hs_service_outlook;
 
 hs_service_outlook hs_fleet_engines_outlook(hs_fleet_engines *engines, const char *service);
 
-/** Pressure of a service by what was heard of late; worked out anew after some ms only. */
+/** Pressure of a service by recent load reports; cached for some ms. */
 hs_service_pressure hs_fleet_engines_pressure(hs_fleet_engines *engines, const char *service);
 
-/** Pressures as they were worked out last, one service a line, for metrics. Free with g_free. */
+/** Metrics of the cached pressures of all services. Free with g_free. */
 char *hs_fleet_engines_describe_pressures(hs_fleet_engines *engines);
 
-/** Shortest time to a first byte of a service of late, in ms; 0: not known. */
+/** Shortest recent time to a first byte of a service; 0: unknown. */
 uint64_t hs_fleet_engines_need_ms(hs_fleet_engines *engines, const char *service);
 
-/** Who is told of places; NULL: nobody. To be set before the first request, or after the last. */
+/**
+ * Sets the observer of free slots; NULL: none. To be called before the first request or after the
+ * last.
+ */
 void hs_fleet_engines_set_place_watch(hs_fleet_engines *engines, hs_engine_place_watch watch,
                                       void *user_data);
 
 hs_service_room hs_fleet_engines_room(hs_fleet_engines *engines, const char *service);
 
 /**
- * An online request of the tenant came to this daemon. Answers the service's part of what the
- * tenant asks for here of late; see hs_tenant_runs_note_ask.
+ * Counts an online request of the tenant that arrived at this daemon. Returns the service's share,
+ * 0 to 1, of what the tenant requested recently; see hs_tenant_runs_note_ask.
  */
 double hs_fleet_engines_note_tenant_ask(hs_fleet_engines *engines, const char *service,
                                         const char *tenant);
 
-/** Time in ms of slots that this daemon's online requests of the tenant have asked for. */
+/** Slot time in ms that the tenant's online requests to this daemon have requested so far. */
 uint64_t hs_fleet_engines_tenant_asked_ms(hs_fleet_engines *engines, const char *tenant);
 
 /**
- * Ask batch items of this daemon to step aside where all daemons' requests together need more
- * slots than the engine has. Each daemon does its part by its share of the engine's batch items.
- * Returns how many were asked.
+ * Preempts batch items of this daemon on engines whose requests have exceeded their slots for a
+ * while, in proportion to this daemon's share of the engine's batch items. A fallback for arbiters
+ * that do not respond. Returns how many items were preempted.
  */
 uint32_t hs_fleet_engines_yield(hs_fleet_engines *engines);
 
-/** This daemon's own load on all engines: of hs_engine_share. */
+/** This daemon's load on all engines: of hs_engine_share. Free with g_array_free. */
 GArray *hs_fleet_engines_own_shares(hs_fleet_engines *engines);
 
-/** What another daemon tells of itself. */
+/** Load of another daemon, as announced by it. */
 typedef struct {
-    const GArray *shares;   /**< Its load: of hs_engine_share; borrowed. */
+    const GArray *shares;   /**< of hs_engine_share; borrowed. */
     uint64_t batch_work_ms; /**< See hs_fleet_engines_set_batch_work. */
-    bool runs_batch;        /**< It owns partitions of jobs. */
+    bool runs_batch;        /**< The daemon owns partitions of jobs. */
 } hs_peer_word;
 
-/** Take another daemon's word, in place of what it told before. */
+/** Stores another daemon's load in place of the previous one. */
 void hs_fleet_engines_put_peer(hs_fleet_engines *engines, const char *peer,
                                const hs_peer_word *word, uint64_t now_ms);
 
-/** Work of a daemon's batch items that are to end in time, in ms of a slot: own, and told. */
+/** Sets the slot time in ms that this daemon's batch items with a completion target need. */
 void hs_fleet_engines_set_batch_work(hs_fleet_engines *engines, uint64_t work_ms);
 uint64_t hs_fleet_engines_batch_work(hs_fleet_engines *engines);
 
-/** The same of all other daemons together. */
+/** Sum of the batch work of all other daemons, estimated for those that sent no recent load. */
 double hs_fleet_engines_peers_batch_work(hs_fleet_engines *engines);
 
-/** Whom changes of uses are told; NULL: nobody. Before the first request, or after the last. */
-void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_teller teller,
+/**
+ * Sets the observer of this daemon's uses of engines; NULL: none. To be called before the first
+ * request or after the last.
+ */
+void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_observer use_observer,
                                  void *user_data);
 
-/** What this daemon has on all engines: of hs_engine_use. Engines that it left lately are in it. */
+/**
+ * This daemon's uses of all engines that have its requests or had them recently: of hs_engine_use.
+ * Free with g_array_free.
+ */
 GArray *hs_fleet_engines_own_uses(hs_fleet_engines *engines);
 
-/** An arbiter's word on an engine. */
+/** Load report of an engine's arbiter: the load of all daemons on the engine, and its health. */
 typedef struct {
     uint64_t engine_hash;
-    uint32_t online; /**< Requests of all daemons, this one included. */
+    uint32_t online; /**< Requests of all daemons, the receiver included. */
     uint32_t batch;
-    uint32_t queued_tokens; /**< Of prompts that are not read yet. */
-    bool is_failing;        /**< The receiver's request should go elsewhere; see engine_health.h. */
-    uint32_t event_us; /**< Time that an event takes there, by all daemons' runs; 0: unknown. */
-    uint32_t slowdown_percent; /**< See hs_engine_load; the engine's latest word. 0: none. */
+    uint32_t queued_tokens; /**< Of prompts that the engine has not read yet. */
+    bool is_failing;        /**< Requests should avoid the engine; see engine_health.h. */
+    uint32_t event_us;      /**< Mean time of an event in all daemons' runs; 0: unknown. */
+    uint32_t slowdown_percent; /**< The engine's last own figure, see hs_engine_load; 0: none. */
     uint32_t slowdown_age_ms;
-    uint32_t age_ms; /**< Since the arbiter said it; above 0 where another daemon passed it on. */
+    uint32_t age_ms; /**< Since the arbiter made the report; above 0 only if it was relayed. */
 } hs_engine_total;
 
-/** Take an arbiter's answer to this daemon: what waits for its word goes on. */
+/** Stores an arbiter's response to this daemon, and wakes hs_engine_lease_confirm. */
 void hs_fleet_engines_put_total(hs_fleet_engines *engines, const hs_engine_total *total);
 
 /**
- * Take a word that was passed on, or that this daemon as the arbiter knows itself. It counts where
- * it is fresher than what is known, and answers nobody's question.
+ * Stores a report that another daemon relayed, or that this daemon made as the arbiter, if it is
+ * newer than the last known one. Does not count as a response to this daemon.
  */
 void hs_fleet_engines_put_passed_on(hs_fleet_engines *engines, const hs_engine_total *total);
 
-/** Whether the fleet is so large that words are passed on; see engine_words.h. */
+/** Whether the fleet is large enough for load reports to be relayed; see engine_words.h. */
 bool hs_fleet_engines_passes_words(hs_fleet_engines *engines);
 
-/** Words of arbiters that are still valid, each with its age: of hs_engine_total. */
+/** Load reports that are still valid, with their ages: of hs_engine_total. Free: g_array_free. */
 GArray *hs_fleet_engines_words(hs_fleet_engines *engines);
 
-/** Count words that were passed on with an answer, and their bytes. */
+/** Counts reports that this daemon relayed, and their bytes. */
 void hs_fleet_engines_note_passed_on(hs_fleet_engines *engines, size_t words, size_t bytes);
 
-/** Ask the batch items of this daemon on an engine of the highest rank to leave it; how many. */
+/**
+ * Preempts up to @p count batch items of this daemon on an engine, highest rank first. Returns how
+ * many were preempted.
+ */
 uint32_t hs_fleet_engines_step_aside(hs_fleet_engines *engines, uint64_t engine_hash,
                                      uint32_t count);
 
 /**
- * How many other daemons there are, and how many of them run batch items; of those that told
- * nothing lately the mean is assumed.
+ * Sets the number of other daemons, and how many of them run batch items. Daemons that sent no
+ * recent load are assumed to have the mean load.
  */
 void hs_fleet_engines_set_peers(hs_fleet_engines *engines, uint32_t peers, uint32_t batch_peers);
 
-/** Close connections that engines have closed or are about to. */
+/** Closes idle connections that engines have closed or are about to, and removes unlisted engines
+ * that are due. */
 void hs_fleet_engines_prune(hs_fleet_engines *engines);
 
-/** Text for operators, one line an engine. Free with g_free. */
+/** Metrics of all engines. Free with g_free. */
 char *hs_fleet_engines_describe(hs_fleet_engines *engines);
 
-/** New connections opened so far. */
+/** Connections to engines opened so far. */
 uint64_t hs_fleet_engines_connects(hs_fleet_engines *engines);
 
-/** Answers so far that did not go on where their request asked to. */
+/** Answers so far that did not resume the run at the event that the request asked for. */
 uint64_t hs_fleet_engines_misplaced(hs_fleet_engines *engines);
 
 #endif
--- a/src/fleet/service_outlook.c
+++ b/src/fleet/service_outlook.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 /** A pressure is worked out at most this often, in ms: it changes little meanwhile. */
-#define PRESSURE_KEPT_MS 25
+#define PRESSURE_CACHE_MS 25
 
 hs_engine_absence hs_fleet_engines_note_presence(hs_fleet_engines *engines, const char *service,
                                                  bool is_present, uint64_t now_ms) {
@@ -28,11 +28,11 @@
 }
 
 /** Until requests are sent to a suspected engine again without another reason. */
-static uint64_t return_ms(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return engine->suspect_until_ms > now_ms ? engine->suspect_until_ms - now_ms : 0;
+static uint64_t next_probe_ms(const hs_fleet_engine *engine, uint64_t now_ms) {
+    return engine->suspected_until_ms > now_ms ? engine->suspected_until_ms - now_ms : 0;
 }
 
-static void add_sound(hs_service_outlook *outlook, const hs_fleet_engine *engine, uint64_t now_ms) {
+static void add_healthy(hs_service_outlook *outlook, const hs_fleet_engine *engine, uint64_t now_ms) {
     double online = engine->online + hs_fleet_engine_others_online(engine, now_ms);
     outlook->sound++;
     outlook->slots += engine->entry.slots;
@@ -45,19 +45,19 @@
                                     uint64_t now_ms) {
     return (hs_pressure_sample){
         .slots = engine->entry.slots,
-        .online = engine->online + engine->told_online,
-        .batch = engine->batch + engine->told_batch,
+        .online = engine->online + engine->reported_online,
+        .batch = engine->batch + engine->reported_batch,
         .pace = hs_fleet_engine_pace(engines, engine, now_ms),
-        .age_ms = hs_fleet_engine_word_age_ms(engine, now_ms),
+        .age_ms = hs_fleet_engine_report_age_ms(engine, now_ms),
     };
 }
 
-static bool is_sent_to(const hs_fleet_engine *engine, const char *service) {
+static bool is_eligible(const hs_fleet_engine *engine, const char *service) {
     return strcmp(engine->entry.service, service) == 0 && !engine->entry.draining &&
-           !engine->misplaced;
+           !engine->has_address_mismatch;
 }
 
-static hs_service_pressure make_pressure(hs_fleet_engines *engines, const char *service,
+static hs_service_pressure compute_pressure(hs_fleet_engines *engines, const char *service,
                                          uint64_t now_ms) {
     g_autoptr(GArray) samples = g_array_new(FALSE, FALSE, sizeof(hs_pressure_sample));
     GHashTableIter iterator;
@@ -65,7 +65,7 @@
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
-        if (!is_sent_to(engine, service) || hs_fleet_engine_is_suspected(engine, now_ms))
+        if (!is_eligible(engine, service) || hs_fleet_engine_is_suspected(engine, now_ms))
             continue;
         hs_pressure_sample sample = sample_of(engines, engine, now_ms);
         g_array_append_val(samples, sample);
@@ -78,15 +78,15 @@
 /** The caller holds the lock. */
 static hs_service_pressure pressure_of(hs_fleet_engines *engines, const char *service,
                                        uint64_t now_ms) {
-    hs_kept_pressure *kept = g_hash_table_lookup(engines->pressures, service);
+    hs_cached_pressure *kept = g_hash_table_lookup(engines->pressures, service);
     if (kept == NULL) {
-        kept = g_new0(hs_kept_pressure, 1);
+        kept = g_new0(hs_cached_pressure, 1);
         g_hash_table_insert(engines->pressures, g_strdup(service), kept);
     }
-    if (kept->made_ms == 0 || now_ms >= kept->made_ms + PRESSURE_KEPT_MS) {
-        kept->pressure = make_pressure(engines, service, now_ms);
+    if (kept->computed_ms == 0 || now_ms >= kept->computed_ms + PRESSURE_CACHE_MS) {
+        kept->pressure = compute_pressure(engines, service, now_ms);
         hs_service_pressure_project(&kept->pressure, &kept->trend, now_ms);
-        kept->made_ms = now_ms;
+        kept->computed_ms = now_ms;
     }
     return kept->pressure;
 }
@@ -106,7 +106,7 @@
     g_mutex_lock(&engines->lock);
     g_hash_table_iter_init(&iterator, engines->pressures);
     while (g_hash_table_iter_next(&iterator, &service, &value)) {
-        const hs_service_pressure *pressure = &((const hs_kept_pressure *)value)->pressure;
+        const hs_service_pressure *pressure = &((const hs_cached_pressure *)value)->pressure;
         const char *name = service;
         g_string_append_printf(text,
                                "heathsail_service_engines_heard{service=\"%s\"} %u\n"
@@ -130,25 +130,25 @@
 void hs_fleet_engines_set_place_watch(hs_fleet_engines *engines, hs_engine_place_watch watch,
                                       void *user_data) {
     g_mutex_lock(&engines->lock);
-    engines->place_watch = watch;
-    engines->place_watch_data = user_data;
+    engines->slot_observer = watch;
+    engines->slot_observer_data = user_data;
     g_mutex_unlock(&engines->lock);
 }
 
-void hs_fleet_engines_tell_place(hs_fleet_engines *engines, const char *service) {
-    if (engines->place_watch != NULL)
-        engines->place_watch(service, engines->place_watch_data);
+void hs_fleet_engines_notify_free_slot(hs_fleet_engines *engines, const char *service) {
+    if (engines->slot_observer != NULL)
+        engines->slot_observer(service, engines->slot_observer_data);
 }
 
 static void add_engine(hs_service_outlook *outlook, const hs_fleet_engine *engine,
                        uint64_t now_ms) {
-    uint64_t back_ms = return_ms(engine, now_ms);
+    uint64_t back_ms = next_probe_ms(engine, now_ms);
     uint64_t age_ms = now_ms - engine->listed_ms;
     bool is_first = outlook->engines++ == 0;
     outlook->return_ms = is_first ? back_ms : MIN(outlook->return_ms, back_ms);
     outlook->listed_age_ms = is_first ? age_ms : MIN(outlook->listed_age_ms, age_ms);
     if (!hs_fleet_engine_is_suspected(engine, now_ms))
-        add_sound(outlook, engine, now_ms);
+        add_healthy(outlook, engine, now_ms);
 }
 
 hs_service_outlook hs_fleet_engines_outlook(hs_fleet_engines *engines, const char *service) {
@@ -162,7 +162,7 @@
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
-        if (is_sent_to(engine, service))
+        if (is_eligible(engine, service))
             add_engine(&outlook, engine, now_ms);
     }
     const hs_engine_speed *speed = hs_fleet_engines_speed(engines, service);
--- a/tests/unit/test_words.c
+++ b/tests/unit/test_words.c
@@ -48,7 +48,7 @@
 
 static double others_on(hs_fleet_engines *engines, const char *id) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    hs_fleet_engines_mean_words(engines, now_ms);
+    hs_fleet_engines_update_mean_loads(engines, now_ms);
     return hs_fleet_engine_others_online(g_hash_table_lookup(engines->by_id, id), now_ms);
 }
 
@@ -59,14 +59,14 @@
     hs_engine_total word = word_on("e0", 5, 100);
     hs_fleet_engines_put_passed_on(engines, &word);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 5);
-    CU_ASSERT_EQUAL(engine->told_count, 0);
+    CU_ASSERT_EQUAL(engine->response_count, 0);
     word = word_on("e0", 7, 200);
     hs_fleet_engines_put_passed_on(engines, &word);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 5);
     word = word_on("e0", 3, 0);
     hs_fleet_engines_put_total(engines, &word);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 3);
-    CU_ASSERT_EQUAL(engine->told_count, 1);
+    CU_ASSERT_EQUAL(engine->response_count, 1);
     word = word_on("e0", 9, 50);
     hs_fleet_engines_put_passed_on(engines, &word);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 3);
--- a/tests/unit/test_words_travel.c
+++ b/tests/unit/test_words_travel.c
@@ -110,14 +110,14 @@
     CU_ASSERT_EQUAL_FATAL(totals->n_passed_on, HS_ENGINE_WORDS_MOST);
     CU_ASSERT(length < DATAGRAM_MOST);
     hs_slot_arbiter_handle(hearer.arbiter, answer, NULL);
-    uint32_t believed = 0;
+    uint32_t estimate_load = 0;
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (int index = 0; index < ENGINES; index++) {
         const hs_fleet_engine *engine = hs_fleet_engines_find(hearer.engines, hash_of(index));
-        believed += hs_fleet_engine_others_online(engine, now_ms) == 5;
-        CU_ASSERT_EQUAL(engine->told_count, index == 0); /* The others answer no question. */
+        estimate_load += hs_fleet_engine_others_online(engine, now_ms) == 5;
+        CU_ASSERT_EQUAL(engine->response_count, index == 0); /* The others answer no question. */
     }
-    CU_ASSERT_EQUAL(believed, HS_ENGINE_WORDS_MOST + 1);
+    CU_ASSERT_EQUAL(estimate_load, HS_ENGINE_WORDS_MOST + 1);
     hs__peer_message__free_unpacked(answer, NULL);
     free_member(&hearer);
     free_member(&arbiter);
@@ -132,7 +132,7 @@
     if (answer == NULL)
         return;
     CU_ASSERT_EQUAL(answer->engine_totals->n_passed_on, 0);
-    CU_ASSERT_EQUAL(arbiter.engines->words.taken, 0);
+    CU_ASSERT_EQUAL(arbiter.engines->reports.accepted, 0);
     hs__peer_message__free_unpacked(answer, NULL);
     free_member(&arbiter);
 }
