--- a/src/fleet/engine_estimates.c
+++ b/src/fleet/engine_estimates.c
@@ -1,4 +1,4 @@
-/** @file engine_beliefs.c  What is believed of one engine; see fleet_engine.h. */
+/** @file engine_estimates.c  Estimates of engines' load and health; see fleet_engine.h. */
 #include "fleet/fleet_engine.h"
 
 #include "base/clock.h"
@@ -7,15 +7,15 @@
 #include <math.h>
 #include <string.h>
 
-/** A load told with an answer counts for this long, fading. */
+/** Time over which the load sent with an answer decays to no weight. */
 #define LOAD_VALID_MS 1000.0
-/** Fresh words on engines of a service from which on their mean says something of the others. */
+/** Recent reports on a service's engines from which their mean is used for its other engines. */
 #define MIN_MEAN_REPORTS 3
-/** An arbiter's word that an engine fails counts for this long; then it is asked again. */
+/** Time for which an arbiter's report that an engine fails is valid. */
 #define FAILING_VALID_MS 1000
-/** Failures fade to half in this time, so that an engine is tried again. */
+/** Half-life of the counts of ended and failed requests. */
 #define FAILURE_HALF_MS 3000.0
-/** Ends without a failure that each engine is given at first, so that one failure says little. */
+/** Assumed earlier requests without a failure, so that one failure weighs little. */
 #define FAILURE_PRIOR 8.0
 
 bool hs_fleet_engine_is_silent(const hs_fleet_engine *engine, uint64_t now_ms) {
@@ -29,15 +29,18 @@
 }
 
 double hs_fleet_engine_failure_rate(const hs_fleet_engine *engine, uint64_t now_ms) {
-    double failed = hs_fleet_engine_decayed_count(engine, engine->decayed_failed, now_ms) + engine->peers_failed;
-    double ended = hs_fleet_engine_decayed_count(engine, engine->decayed_ended, now_ms) + engine->peers_ended;
+    double failed = hs_fleet_engine_decayed_count(engine, engine->decayed_failed, now_ms) +
+                    engine->peers_failed;
+    double ended =
+        hs_fleet_engine_decayed_count(engine, engine->decayed_ended, now_ms) + engine->peers_ended;
     return failed / (ended + FAILURE_PRIOR);
 }
 
-/** Suspected now by what this daemon has seen, or by the word of the engine's arbiter. */
+/** Whether this daemon's own observations or the arbiter's report advise against the engine. */
 static bool is_avoided(const hs_fleet_engine *engine, uint64_t now_ms) {
     return now_ms < engine->suspected_until_ms || hs_fleet_engine_is_silent(engine, now_ms) ||
-           (engine->reported_failing_at_ms != 0 && now_ms < engine->reported_failing_at_ms + FAILING_VALID_MS);
+           (engine->reported_failing_at_ms != 0 &&
+            now_ms < engine->reported_failing_at_ms + FAILING_VALID_MS);
 }
 
 bool hs_fleet_engine_is_suspected(const hs_fleet_engine *engine, uint64_t now_ms) {
@@ -55,42 +58,46 @@
 }
 
 /**
- * The arbiter's word is fresher than what daemons tell each other at intervals, for a while. Where
- * they tell each other nothing the mean of the service's words takes its place, little by little.
+ * Load of other daemons. A recent report is used as it is. An older one is replaced by the sum of
+ * what peers announced or, if there is a mean of the service's reports, blended with the mean by
+ * age.
  */
-static double estimate_load(const hs_fleet_engine *engine, double told, double mean, double peers,
-                       uint64_t now_ms) {
+static double estimate_load(const hs_fleet_engine *engine, double reported, double mean,
+                            double peers, uint64_t now_ms) {
     uint64_t age_ms = hs_fleet_engine_report_age_ms(engine, now_ms);
     if (age_ms < HS_ENGINE_WORD_FRESH_MS)
-        return told;
+        return reported;
     if (!engine->has_mean)
         return peers;
     double weight = hs_engine_word_weight(age_ms);
-    return told * weight + mean * (1 - weight);
+    return reported * weight + mean * (1 - weight);
 }
 
 double hs_fleet_engine_others_online(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return estimate_load(engine, engine->reported_online, engine->mean_online, engine->peers_online, now_ms);
+    return estimate_load(engine, engine->reported_online, engine->mean_online, engine->peers_online,
+                         now_ms);
 }
 
 double hs_fleet_engine_others_batch(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return estimate_load(engine, engine->reported_batch, engine->mean_batch, engine->peers_batch, now_ms);
+    return estimate_load(engine, engine->reported_batch, engine->mean_batch, engine->peers_batch,
+                         now_ms);
 }
 
 double hs_fleet_engine_others_queued(const hs_fleet_engine *engine, uint64_t now_ms) {
-    return estimate_load(engine, engine->reported_queued, engine->mean_queued, engine->peers_queued, now_ms);
+    return estimate_load(engine, engine->reported_queued, engine->mean_queued, engine->peers_queued,
+                         now_ms);
 }
 
-/** Sums over the fresh words on the engines of one service that nobody suspects. */
+/** Sums over the recent reports on the engines of one service that are not suspected. */
 typedef struct {
     double online;
     double batch;
     double queued;
     double slots;
-    uint32_t words;
+    uint32_t reports;
 } report_sum;
 
-/** Sums by service: name -> word_sum*. Free with g_hash_table_destroy. */
+/** Sums by service: name -> report_sum*, names borrowed. Free with g_hash_table_destroy. */
 static GHashTable *sum_reports(hs_fleet_engines *engines, uint64_t now_ms) {
     GHashTable *sums = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     GHashTableIter iterator;
@@ -110,7 +117,7 @@
         sum->batch += engine->reported_batch;
         sum->queued += engine->reported_queued;
         sum->slots += engine->entry.slots;
-        sum->words++;
+        sum->reports++;
     }
     return sums;
 }
@@ -120,8 +127,8 @@
 }
 
 void hs_fleet_engines_update_mean_loads(hs_fleet_engines *engines, uint64_t now_ms) {
-    bool is_needed =
-        hs_fleet_engines_has_relayed_reports(engines, now_ms) && g_hash_table_size(engines->peers) == 0;
+    bool is_needed = hs_fleet_engines_has_relayed_reports(engines, now_ms) &&
+                     g_hash_table_size(engines->peers) == 0;
     g_autoptr(GHashTable) sums = sum_reports(engines, now_ms);
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -129,26 +136,27 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         hs_fleet_engine *engine = value;
         const report_sum *sum = g_hash_table_lookup(sums, engine->entry.service);
-        engine->has_mean = is_needed && sum != NULL && sum->words >= MIN_MEAN_REPORTS;
+        engine->has_mean = is_needed && sum != NULL && sum->reports >= MIN_MEAN_REPORTS;
         if (!engine->has_mean)
             continue;
-        double part = engine->entry.slots / fmax(sum->slots, 1);
-        engine->mean_online = sum->online * part;
-        engine->mean_batch = sum->batch * part;
-        engine->mean_queued = sum->queued * part;
+        double share = engine->entry.slots / fmax(sum->slots, 1);
+        engine->mean_online = sum->online * share;
+        engine->mean_batch = sum->batch * share;
+        engine->mean_queued = sum->queued * share;
     }
 }
 
-/** Requests there of all daemons: own, told by peers, or seen in an answer's load. */
+/** Own requests plus the larger of two estimates of the others': reports, and answers' load. */
 double hs_fleet_engine_running(const hs_fleet_engine *engine, uint64_t now_ms) {
     double own = (double)engine->online + engine->batch;
     double others = hs_fleet_engine_others_online(engine, now_ms) +
                     hs_fleet_engine_others_batch(engine, now_ms);
     double age_ms = (double)(now_ms - engine->load_ms);
     if (engine->load.present && age_ms < LOAD_VALID_MS) {
-        double told = (double)engine->load.running + engine->load.waiting - engine->load_own_requests;
-        double fresh = 1.0 - age_ms / LOAD_VALID_MS;
-        others = fmax(others, others * (1.0 - fresh) + fmax(told, 0.0) * fresh);
+        double loaded =
+            (double)engine->load.running + engine->load.waiting - engine->load_own_requests;
+        double weight = 1.0 - age_ms / LOAD_VALID_MS;
+        others = fmax(others, others * (1.0 - weight) + fmax(loaded, 0.0) * weight);
     }
     double running = own + others;
     if (now_ms < engine->full_until_ms)
@@ -229,8 +237,9 @@
                            "heathsail_engine_words{kind=\"stale\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_engine_words{kind=\"passed_on\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_engine_words_sent_bytes %" G_GUINT64_FORMAT "\n",
-                           (guint64)counters->received, (guint64)counters->accepted, (guint64)counters->stale,
-                           (guint64)counters->relayed, (guint64)counters->relayed_bytes);
+                           (guint64)counters->received, (guint64)counters->accepted,
+                           (guint64)counters->stale, (guint64)counters->relayed,
+                           (guint64)counters->relayed_bytes);
     g_string_append_printf(text, "heathsail_engine_slowdowns_rejected %" G_GUINT64_FORMAT "\n",
                            (guint64)engines->slowdowns_rejected);
     g_mutex_unlock(&engines->lock);
--- a/src/fleet/engine_lease.c
+++ b/src/fleet/engine_lease.c
@@ -1,5 +1,4 @@
-/** @file engine_lease.c  One request's hold on an engine, and kept connections; see
- * fleet_engines.h. */
+/** @file engine_lease.c  Leases of engines, and idle connections; see fleet_engines.h. */
 #include "fleet/fleet_engine.h"
 
 #include "base/clock.h"
@@ -10,33 +9,32 @@
 #include <string.h>
 
 #define MAX_IDLE_PER_ENGINE 16
-#define DEFAULT_KEEP_ALIVE_MS 4000  /* Kept this long where the engine names no time. */
-#define KEEP_ALIVE_SHARE 0.7 /* Of the engine's own time, so that no close crosses a request. */
+#define DEFAULT_KEEP_ALIVE_MS 4000 /* If the engine announces no keep-alive time. */
+#define KEEP_ALIVE_SHARE 0.7       /* Of the announced time: the engine must not close first. */
 #define MIN_SUSPICION_MS 400
 #define MAX_SUSPICION_MS 5000
 #define FULL_BACKOFF_MS 40
 #define BROKEN_BEFORE_SUSPICION 3
 #define SPEED_SMOOTHING 0.1
-/** The shortest time to a first byte grows by this with each one, so that old ones are forgotten.
- */
+/** Growth of the shortest time to a first byte with each sample, so that old samples expire. */
 #define FIRST_BYTE_GROWTH 1.01
 #define MIN_RATE_SAMPLE_TOKENS 1000
-/** The arbiter hears at once that a prompt of this length is read; of others with the next word. */
+/** Length of a prompt from which the arbiter is notified at once that the engine has read it. */
 #define MIN_NOTIFIED_PROMPT_TOKENS 2000
 /**
- * Longest wait for a connection to an engine, in ms: a hundred times the way. An engine that went
- * dark must be left in time for another to answer within the shortest objective, half a second.
+ * Short enough for another engine to answer within the shortest latency objective if this one is
+ * unreachable.
  */
 #define CONNECT_TIMEOUT_MS 300
-/** Answers' heads after which their usual time is known. */
+/** Samples needed before the time to an answer's head is estimated. */
 #define MIN_HEAD_SAMPLES 10
-/** Mean deviations above the mean that a head may take, as in TCP's retransmission time-out. */
+/** Mean deviations added to the mean time to a head, as in TCP's retransmission timeout. */
 #define HEAD_DEVIATIONS 4
-/** An engine may read a prompt so many times slower than usual before its answer counts as late. */
+/** Allowed time for reading a prompt, as a multiple of the usual time. */
 #define PROMPT_READ_FACTOR 2
-/** An event of a run counts as this many times the service's mean at most. */
+/** Upper bound of a run's mean time of an event, as a multiple of the service's mean. */
 #define MAX_EVENT_TIME_FACTOR 4
-/** Above it in ms an estimate is of no use: other time-outs end sooner. */
+/** Other timeouts end sooner than this. */
 #define MAX_HEAD_LIMIT_MS 60000
 
 const char *hs_engine_lease_id(const hs_engine_lease *lease) {
@@ -62,9 +60,11 @@
 }
 
 static bool is_connection_usable(const hs_idle_connection *idle, uint64_t now_ms) {
-    uint64_t told = hs_client_connection_keep_alive_ms(idle->connection);
-    uint64_t limit = told > 0 ? (uint64_t)((double)told * KEEP_ALIVE_SHARE) : DEFAULT_KEEP_ALIVE_MS;
-    return now_ms < idle->idle_since_ms + limit && hs_client_connection_is_quiet(idle->connection);
+    uint64_t announced_ms = hs_client_connection_keep_alive_ms(idle->connection);
+    uint64_t limit_ms = announced_ms > 0 ? (uint64_t)((double)announced_ms * KEEP_ALIVE_SHARE)
+                                         : DEFAULT_KEEP_ALIVE_MS;
+    return now_ms < idle->idle_since_ms + limit_ms &&
+           hs_client_connection_is_quiet(idle->connection);
 }
 
 static bool has_carried(const hs_carried_requests *carried, uint64_t request_hash) {
@@ -75,9 +75,9 @@
 }
 
 /**
- * The connection used last that can be used now. Those that ended are closed; one that carried the
- * request before stays for others, as do those that were idle for @p idle_most_ms and longer. They
- * are looked at when others need one, and by hs_fleet_engines_prune.
+ * Returns the most recently used idle connection that is usable, or NULL, and closes unusable ones
+ * on the way. Skips, but keeps, connections that carried the request before or were idle for
+ * @p max_idle_ms or longer.
  */
 static hs_client_connection *take_idle(hs_engine_lease *lease, uint32_t max_idle_ms) {
     hs_client_connection *connection = NULL;
@@ -144,7 +144,7 @@
     double limit_ms = speed->head_ms + HEAD_DEVIATIONS * speed->head_deviation_ms;
     if (speed->tokens_per_ms > 0)
         limit_ms += PROMPT_READ_FACTOR * (double)prompt_tokens / speed->tokens_per_ms;
-    limit_ms *= fmax(pace, 1); /* A slow engine is not silent. */
+    limit_ms *= fmax(pace, 1); /* A faster pace does not shorten the limit. */
     g_mutex_unlock(&lease->engines->lock);
     return is_known ? (uint32_t)fmax(fmin(limit_ms, MAX_HEAD_LIMIT_MS), 1) : 0;
 }
@@ -162,7 +162,7 @@
     g_mutex_unlock(&lease->engines->lock);
 }
 
-/** A trial is over: the next request may try the engine. The caller holds the lock. */
+/** Ends the lease's probe, if any; the next request may probe. The caller holds the lock. */
 static void end_probe(hs_engine_lease *lease) {
     if (lease->is_probe)
         lease->engine->is_probing = false;
@@ -178,13 +178,12 @@
     g_mutex_unlock(&lease->engines->lock);
 }
 
-/** A time to a first byte was seen. */
 static void note_first_byte(hs_engine_speed *speed, double took_ms) {
     double shortest_ms = speed->first_byte_ms * FIRST_BYTE_GROWTH;
     speed->first_byte_ms = speed->first_byte_ms > 0 ? fmin(shortest_ms, took_ms) : took_ms;
 }
 
-/** The caller holds the lock. */
+/** Removes the lease's prompt from the engine's queued tokens. The caller holds the lock. */
 static void remove_unread_tokens(hs_engine_lease *lease) {
     lease->engine->queued_tokens -= MIN(lease->engine->queued_tokens, lease->unread_tokens);
     lease->unread_tokens = 0;
@@ -200,16 +199,17 @@
                         (double)(now_ms - lease->acquired_ms));
     if (lease->had_empty_queue && lease->unread_tokens >= MIN_RATE_SAMPLE_TOKENS) {
         double took_ms = fmax((double)(now_ms - lease->acquired_ms), 1.0);
-        update_average(&hs_fleet_engines_speed(lease->engines, lease->engine->entry.service)->tokens_per_ms,
-              lease->unread_tokens / took_ms);
+        update_average(
+            &hs_fleet_engines_speed(lease->engines, lease->engine->entry.service)->tokens_per_ms,
+            lease->unread_tokens / took_ms);
     }
-    bool is_news = lease->unread_tokens >= MIN_NOTIFIED_PROMPT_TOKENS;
+    bool is_notified = lease->unread_tokens >= MIN_NOTIFIED_PROMPT_TOKENS;
     remove_unread_tokens(lease);
     hs_engine_use use = {0};
-    if (is_news)
+    if (is_notified)
         use = hs_fleet_engine_use(lease->engines, lease->engine);
     g_mutex_unlock(&lease->engines->lock);
-    if (is_news)
+    if (is_notified)
         hs_fleet_engines_notify_use(lease->engines, &use, false);
 }
 
@@ -225,8 +225,8 @@
 }
 
 /**
- * The run is over: what its events took says how fast the engine is. A caller that reads slowly
- * holds a stream up, which must not make the engine slow. The caller holds the lock.
+ * Adds the run's events to the engine's and the service's mean time of an event. The time is
+ * bounded, since a caller that reads slowly delays the stream. The caller holds the lock.
  */
 static void count_events(const hs_engine_lease *lease, uint64_t now_ms) {
     uint64_t events = lease->last_events - lease->first_events;
@@ -260,12 +260,12 @@
 static void mark_suspected(hs_fleet_engine *engine, uint64_t now_ms, const char *cause) {
     bool is_new = now_ms >= engine->suspected_until_ms;
     uint32_t doublings = MIN(engine->failures, 8);
-    uint64_t time_ms = MIN((uint64_t)MIN_SUSPICION_MS << doublings, MAX_SUSPICION_MS);
+    uint64_t duration_ms = MIN((uint64_t)MIN_SUSPICION_MS << doublings, MAX_SUSPICION_MS);
     engine->failures++;
-    engine->suspected_until_ms = now_ms + time_ms;
+    engine->suspected_until_ms = now_ms + duration_ms;
     if (is_new)
         hs_log_warning("engine_suspected", "engine=%s cause=%s failures=%u for_ms=%u",
-                       engine->entry.id, cause, engine->failures, (unsigned)time_ms);
+                       engine->entry.id, cause, engine->failures, (unsigned)duration_ms);
 }
 
 void hs_engine_lease_note_misplaced(hs_engine_lease *lease) {
@@ -274,20 +274,22 @@
     g_mutex_unlock(&lease->engines->lock);
 }
 
-/** Count a request's end and, where it failed, its failure. */
+/** Counts a request that ended and, if @p failed, its failure. */
 static void note_end(hs_fleet_engine *engine, bool failed, uint64_t now_ms) {
-    engine->decayed_ended = hs_fleet_engine_decayed_count(engine, engine->decayed_ended, now_ms) + 1;
-    engine->decayed_failed = hs_fleet_engine_decayed_count(engine, engine->decayed_failed, now_ms) + (failed ? 1 : 0);
+    engine->decayed_ended =
+        hs_fleet_engine_decayed_count(engine, engine->decayed_ended, now_ms) + 1;
+    engine->decayed_failed =
+        hs_fleet_engine_decayed_count(engine, engine->decayed_failed, now_ms) + (failed ? 1 : 0);
     engine->decayed_at_ms = now_ms;
 }
 
-/** Ends that are told to the engine's arbiter as failures. */
+/** Whether an attempt's end counts as a failure in the use sent to the engine's arbiter. */
 static bool is_failure(hs_attempt_end end) {
     return end == HS_ATTEMPT_FAILED || end == HS_ATTEMPT_UNREACHABLE || end == HS_ATTEMPT_SILENT ||
            end == HS_ATTEMPT_BROKEN;
 }
 
-/** A run ended well. The caller holds the lock. */
+/** Records the time of a served run. The caller holds the lock. */
 static void note_run(const hs_engine_lease *lease, double took_ms) {
     hs_engine_speed *speed = hs_fleet_engines_speed(lease->engines, lease->engine->entry.service);
     update_average(&speed->run_ms, took_ms);
@@ -301,7 +303,7 @@
                                 lease->engine->entry.service, took_ms);
 }
 
-/** What an attempt's end says of the engine. The caller holds the lock. */
+/** Updates the engine's health by an attempt's end. The caller holds the lock. */
 static void apply_attempt_end(hs_engine_lease *lease, hs_attempt_end end, uint64_t now_ms) {
     hs_fleet_engine *engine = lease->engine;
     engine->served_count += end == HS_ATTEMPT_SERVED;
@@ -339,7 +341,10 @@
     }
 }
 
-/** Remember the request with its connection. False: there is no room; it is not kept. */
+/**
+ * Records the request as carried by its connection. Returns false if the connection has reached its
+ * limit and is to be closed.
+ */
 static bool note_carried(hs_engine_lease *lease) {
     if (lease->request_hash == 0)
         return true;
@@ -347,25 +352,26 @@
     return lease->carried.count < HS_MAX_CARRIED_REQUESTS;
 }
 
-/** Connections to the engine that are this daemon's, with one more idle one. */
+/** This daemon's connections to the engine if one more were kept idle. */
 static double connections_with_one_more(const hs_fleet_engine *engine) {
     return (double)engine->online + engine->batch + engine->idle.length + 1;
 }
 
 /**
- * Room for one more idle connection: the one unused for longest goes. It has carried most of the
- * requests that come back, so that the newest is worth more: ten items that one engine refused
- * forty times needed 256 connections while the oldest stayed, and 40 at least.
+ * Closes the least recently used idle connections until one more may be kept; false if none may.
+ * Recently used ones carried fewer of the requests that are attempted again on the engine.
  */
 static bool evict_idle(hs_engine_lease *lease) {
     hs_fleet_engine *engine = lease->engine;
-    while (!g_queue_is_empty(&engine->idle) && (engine->idle.length >= MAX_IDLE_PER_ENGINE ||
-                                                connections_with_one_more(engine) > lease->connection_share))
+    while (!g_queue_is_empty(&engine->idle) &&
+           (engine->idle.length >= MAX_IDLE_PER_ENGINE ||
+            connections_with_one_more(engine) > lease->connection_share))
         hs_idle_connection_free(g_queue_pop_head(&engine->idle));
     return connections_with_one_more(engine) <= lease->connection_share;
 }
 
-static bool keep_connection(hs_engine_lease *lease, hs_client_connection *connection, uint64_t now_ms) {
+static bool keep_connection(hs_engine_lease *lease, hs_client_connection *connection,
+                            uint64_t now_ms) {
     hs_fleet_engine *engine = lease->engine;
     if (connection == NULL || !hs_client_connection_is_reusable(connection) || !engine->listed ||
         engine->entry.draining || !evict_idle(lease))
@@ -378,7 +384,7 @@
     return true;
 }
 
-/** An engine that leaves ends its last runs with it, which is no crash. */
+/** Whether the engine is shutting down: a run that is cut then indicates no crash. */
 static bool is_leaving(const hs_fleet_engine *engine) {
     return engine->entry.draining || (!engine->listed && !engine->has_restarted);
 }
@@ -425,12 +431,12 @@
     g_ptr_array_remove(engine->batch_leases, lease);
     end_probe(lease);
     apply_attempt_end(lease, end, now_ms);
-    bool kept = note_carried(lease) && keep_connection(lease, connection, now_ms);
+    bool is_kept = note_carried(lease) && keep_connection(lease, connection, now_ms);
     engine->last_release_ms = now_ms;
     hs_engine_use use = hs_fleet_engine_use(lease->engines, engine);
     hs_fleet_engine_unref(engine);
     g_mutex_unlock(&lease->engines->lock);
-    if (!kept)
+    if (!is_kept)
         hs_client_connection_close(connection);
     hs_fleet_engines_notify_use(lease->engines, &use, false);
     if (end == HS_ATTEMPT_SERVED)
--- a/src/fleet/engine_peers.c
+++ b/src/fleet/engine_peers.c
@@ -1,6 +1,7 @@
 /**
- * @file engine_peers.c  Loads that daemons tell each other, and what follows from them: room for
- * batch items and which of them step aside; see fleet_engines.h.
+ * @file engine_peers.c
+ * Loads that daemons announce to each other, and the free capacity and preemptions that follow from
+ * them; see fleet_engines.h.
  */
 #include "fleet/fleet_engine.h"
 
@@ -9,27 +10,27 @@
 
 #include <math.h>
 
-/** What other daemons told counts for this long. */
+/** Time for which another daemon's announced load is valid. */
 #define PEER_REPORT_VALID_MS 2000
-/** Sums over daemons are made anew at most this often. */
+/** Shortest time between two sums over daemons. */
 #define SUM_INTERVAL_MS 50
 /**
- * An engine's arbiter asks items aside within a few ms; where more than its slots are believed
- * taken for longer than this, the arbiter is silent and daemons act by what they told each other.
+ * Time for which requests exceed an engine's slots before a daemon preempts items by itself. The
+ * engine's arbiter, if it responds, preempts items much sooner.
  */
 #define MIN_EXCESS_MS 300
-/** Time until what stepped aside on an engine is known to all daemons. */
+/** Time until all daemons know of preempted items. */
 #define PREEMPTION_SETTLE_MS 450
 #define PERMILLE 1000.0
 
 typedef struct {
     uint64_t reported_at_ms;
     uint64_t batch_work_ms;
-    bool runs_batch; /**< It owns partitions of jobs; only such daemons have batch items. */
+    bool runs_batch; /**< The daemon owns partitions of jobs; others have no batch items. */
     GArray *shares;  /**< of hs_engine_share */
 } peer_load;
 
-/** What heard daemons have on all engines of one service. */
+/** Load that peers announced on all engines of one service. */
 typedef struct {
     double online;
     double batch;
@@ -37,7 +38,7 @@
     uint32_t engines;
 } service_sum;
 
-/** For each daemon that was heard so many were not: any daemon, and those that run batch items. */
+/** Daemons without a valid load per daemon with one: of all, and of those that run batch items. */
 typedef struct {
     double any;
     double batch;
@@ -52,7 +53,7 @@
 hs_service_room hs_fleet_engines_room(hs_fleet_engines *engines, const char *service) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     hs_engine_query query = {.service = service};
-    hs_service_room room = {0};
+    hs_service_room capacity = {0};
     g_mutex_lock(&engines->lock);
     hs_fleet_engines_sum_peers(engines, now_ms);
     g_autoptr(GPtrArray) found = hs_engine_selection_collect(engines, &query);
@@ -60,18 +61,18 @@
         const hs_fleet_engine *engine = found->pdata[index];
         if (hs_fleet_engine_is_suspected(engine, now_ms))
             continue;
-        /* Sums of what daemons tell. An answer's load counts batch items too, and the higher of two
-         * guesses at each of hundreds of engines would add up to far more than there is. */
-        room.ready++;
-        room.slots += engine->entry.slots;
-        room.batch += engine->batch + hs_fleet_engine_others_batch(engine, now_ms);
-        room.online += engine->online + hs_fleet_engine_others_online(engine, now_ms);
+        /* The load that came with an answer is not used: it includes batch items, and the larger of
+         * two estimates on each of many engines adds up to an overestimate. */
+        capacity.ready++;
+        capacity.slots += engine->entry.slots;
+        capacity.batch += engine->batch + hs_fleet_engine_others_batch(engine, now_ms);
+        capacity.online += engine->online + hs_fleet_engine_others_online(engine, now_ms);
     }
     g_mutex_unlock(&engines->lock);
-    return room;
+    return capacity;
 }
 
-/** Whether more than an engine's slots were believed taken for a while; notes since when. */
+/** Whether requests have exceeded the engine's slots for a while. Updates excess_since_ms. */
 static bool is_excess_sustained(hs_fleet_engine *engine, double excess, uint64_t now_ms) {
     if (excess <= 0)
         engine->excess_since_ms = 0;
@@ -82,7 +83,7 @@
 
 uint32_t hs_fleet_engines_yield(hs_fleet_engines *engines) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint32_t asked = 0;
+    uint32_t preempted = 0;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_mutex_lock(&engines->lock);
@@ -92,16 +93,16 @@
         hs_fleet_engine *engine = value;
         double batch = engine->batch + hs_fleet_engine_others_batch(engine, now_ms);
         double excess = hs_fleet_engine_running(engine, now_ms) - engine->entry.slots;
-        bool waits = is_excess_sustained(engine, excess, now_ms);
-        if (engine->batch == 0 || !waits || now_ms < engine->no_preemption_until_ms ||
+        bool is_sustained = is_excess_sustained(engine, excess, now_ms);
+        if (engine->batch == 0 || !is_sustained || now_ms < engine->no_preemption_until_ms ||
             engine->online + hs_fleet_engine_others_online(engine, now_ms) <= 0)
             continue;
-        asked += hs_fleet_engine_preempt(engine,
-                                       (uint32_t)ceil(fmin(excess, batch) * engine->batch / batch));
+        preempted += hs_fleet_engine_preempt(
+            engine, (uint32_t)ceil(fmin(excess, batch) * engine->batch / batch));
         engine->no_preemption_until_ms = now_ms + PREEMPTION_SETTLE_MS;
     }
     g_mutex_unlock(&engines->lock);
-    return asked;
+    return preempted;
 }
 
 static uint32_t permille(const hs_fleet_engine *engine, double count, uint64_t now_ms) {
@@ -126,7 +127,8 @@
                                  .batch = engine->batch,
                                  .queued_tokens = (uint32_t)engine->queued_tokens,
                                  .ended_permille = permille(engine, engine->decayed_ended, now_ms),
-                                 .failed_permille = permille(engine, engine->decayed_failed, now_ms),
+                                 .failed_permille =
+                                     permille(engine, engine->decayed_failed, now_ms),
                                  .suspected = suspected};
         if (share.online + share.batch > 0 || suspected || share.failed_permille > 0)
             g_array_append_val(shares, share);
@@ -165,7 +167,7 @@
     }
 }
 
-/** Sums by service: name -> service_sum*. Free with g_hash_table_destroy. */
+/** Sums by service: name -> service_sum*, names borrowed. Free with g_hash_table_destroy. */
 static GHashTable *sum_services(hs_fleet_engines *engines) {
     GHashTable *sums = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     GHashTableIter iterator;
@@ -187,10 +189,11 @@
 }
 
 /**
- * Daemons that were not heard lately have as much as the others, spread evenly over a service's
- * engines: to scale up each engine's own word would make one heard request look like many.
+ * Adds the load of daemons without a valid load. They are assumed to have the mean load of the
+ * others, spread evenly over the service's engines: scaling up the load of each engine would turn
+ * one announced request into many on the same engine.
  */
-static void add_missing_peers(hs_fleet_engines *engines, const missing_peer_ratios *unheard) {
+static void add_missing_peers(hs_fleet_engines *engines, const missing_peer_ratios *missing) {
     g_autoptr(GHashTable) sums = sum_services(engines);
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -198,20 +201,20 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         hs_fleet_engine *engine = value;
         const service_sum *sum = g_hash_table_lookup(sums, engine->entry.service);
-        engine->peers_online += sum->online * unheard->any / sum->engines;
-        engine->peers_batch += sum->batch * unheard->batch / sum->engines;
-        engine->peers_queued += sum->queued * unheard->any / sum->engines;
+        engine->peers_online += sum->online * missing->any / sum->engines;
+        engine->peers_batch += sum->batch * missing->batch / sum->engines;
+        engine->peers_queued += sum->queued * missing->any / sum->engines;
     }
 }
 
-static double ratio_of(uint32_t all, uint32_t heard) {
-    return heard > 0 && all > heard ? (double)(all - heard) / heard : 0;
+static double missing_ratio(uint32_t all, uint32_t known) {
+    return known > 0 && all > known ? (double)(all - known) / known : 0;
 }
 
-/** How many daemons were not heard; drops words that are too old. */
+/** Counts daemons without a valid load, and drops loads that have expired. */
 static missing_peer_ratios count_missing_peers(hs_fleet_engines *engines, uint64_t now_ms) {
-    uint32_t heard = 0;
-    uint32_t heard_batch = 0;
+    uint32_t known = 0;
+    uint32_t known_batch = 0;
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, engines->peers);
@@ -221,11 +224,11 @@
             g_hash_table_iter_remove(&iterator);
             continue;
         }
-        heard++;
-        heard_batch += peer->runs_batch;
+        known++;
+        known_batch += peer->runs_batch;
     }
-    return (missing_peer_ratios){.any = ratio_of(engines->peer_count, heard),
-                            .batch = ratio_of(engines->batch_peer_count, heard_batch)};
+    return (missing_peer_ratios){.any = missing_ratio(engines->peer_count, known),
+                                 .batch = missing_ratio(engines->batch_peer_count, known_batch)};
 }
 
 void hs_fleet_engines_sum_peers(hs_fleet_engines *engines, uint64_t now_ms) {
@@ -233,14 +236,14 @@
         return;
     engines->summed_ms = now_ms;
     clear_sums(engines);
-    missing_peer_ratios unheard = count_missing_peers(engines, now_ms);
+    missing_peer_ratios missing = count_missing_peers(engines, now_ms);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, engines->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         add_shares(engines, value);
-    if (unheard.any > 0 || unheard.batch > 0)
-        add_missing_peers(engines, &unheard);
+    if (missing.any > 0 || missing.batch > 0)
+        add_missing_peers(engines, &missing);
     hs_fleet_engines_update_mean_loads(engines, now_ms);
 }
 
@@ -252,12 +255,12 @@
 }
 
 void hs_fleet_engines_put_peer(hs_fleet_engines *engines, const char *peer,
-                               const hs_peer_word *word, uint64_t now_ms) {
+                               const hs_peer_word *report, uint64_t now_ms) {
     peer_load *load = g_new0(peer_load, 1);
     load->reported_at_ms = now_ms;
-    load->batch_work_ms = word->batch_work_ms;
-    load->runs_batch = word->runs_batch;
-    load->shares = g_array_copy((GArray *)word->shares);
+    load->batch_work_ms = report->batch_work_ms;
+    load->runs_batch = report->runs_batch;
+    load->shares = g_array_copy((GArray *)report->shares);
     g_mutex_lock(&engines->lock);
     g_hash_table_replace(engines->peers, g_strdup(peer), load);
     engines->summed_ms = 0;
@@ -286,7 +289,7 @@
     g_hash_table_iter_init(&iterator, engines->peers);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
         work_ms += (double)((const peer_load *)value)->batch_work_ms;
-    double unheard = count_missing_peers(engines, hs_clock_monotonic_ms()).batch;
+    double missing = count_missing_peers(engines, hs_clock_monotonic_ms()).batch;
     g_mutex_unlock(&engines->lock);
-    return work_ms * (1 + unheard);
+    return work_ms * (1 + missing);
 }
--- a/src/fleet/engine_selection.c
+++ b/src/fleet/engine_selection.c
@@ -1,4 +1,4 @@
-/** @file engine_selection.c  See engine_selection.h. */
+/** @file engine_selection.c  Candidates for a request; see engine_selection.h. */
 #include "fleet/engine_selection.h"
 
 #include "base/clock.h"
@@ -17,7 +17,8 @@
 GPtrArray *hs_engine_selection_collect(hs_fleet_engines *engines, const hs_engine_query *query) {
     GPtrArray *found = g_ptr_array_new();
     uint64_t now_ms = hs_clock_monotonic_ms();
-    double most = fmax(hs_fleet_engines_connection_share(engines, query->max_connections), 1.0);
+    double max_requests =
+        fmax(hs_fleet_engines_connection_share(engines, query->max_connections), 1.0);
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, engines->by_id);
@@ -25,13 +26,14 @@
         hs_fleet_engine *engine = value;
         if (strcmp(engine->entry.service, query->service) == 0 && !engine->entry.draining &&
             !engine->has_address_mismatch && !hs_fleet_engine_is_removal_due(engine, now_ms) &&
-            engine->online + engine->batch + 1.0 <= most && !is_excluded(query, engine->entry.id))
+            engine->online + engine->batch + 1.0 <= max_requests &&
+            !is_excluded(query, engine->entry.id))
             g_ptr_array_add(found, engine);
     }
     return found;
 }
 
-/** Whether the service has an engine that nobody suspects, however crowded, tried or not. */
+/** Whether the service has an engine that is not suspected, whether excluded or full or not. */
 static bool has_healthy(const hs_fleet_engines *engines, const char *service, uint64_t now_ms) {
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -40,7 +42,8 @@
     while (!is_found && g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
         is_found = strcmp(engine->entry.service, service) == 0 && !engine->entry.draining &&
-                   !engine->has_address_mismatch && !hs_fleet_engine_is_removal_due(engine, now_ms) &&
+                   !engine->has_address_mismatch &&
+                   !hs_fleet_engine_is_removal_due(engine, now_ms) &&
                    !hs_fleet_engine_is_suspected(engine, now_ms);
     }
     return is_found;
@@ -60,35 +63,38 @@
 }
 
 void hs_engine_selection_credit_shared_prefix(const GPtrArray *found, const hs_engine_query *query,
-                                     hs_engine_candidate *candidates) {
+                                              hs_engine_candidate *candidates) {
     uint64_t shared = query->size != NULL ? hs_prompt_shared_hash(query->size) : 0;
     if (shared == 0)
         return;
     uint64_t best_rank = 0;
-    guint home = 0;
+    guint preferred = 0;
     for (guint index = 0; index < found->len; index++) {
         const hs_fleet_engine *engine = found->pdata[index];
         uint64_t pair[2] = {shared, engine->hash};
         uint64_t rank = hs_hash_bytes(pair, sizeof pair);
         if (rank >= best_rank) {
             best_rank = rank;
-            home = index;
+            preferred = index;
         }
     }
-    double rest = (double)query->size->prompt_tokens - hs_prompt_shared_tokens(query->size);
-    candidates[home].uncached_tokens = fmin(candidates[home].uncached_tokens, fmax(rest, 0.0));
+    double unshared = (double)query->size->prompt_tokens - hs_prompt_shared_tokens(query->size);
+    candidates[preferred].uncached_tokens =
+        fmin(candidates[preferred].uncached_tokens, fmax(unshared, 0.0));
 }
 
 void hs_engine_selection_keep_within_wait_limit(GPtrArray *found, const hs_engine_query *query,
-                                    hs_engine_candidate *candidates, const hs_engine_speed *speed) {
+                                                hs_engine_candidate *candidates,
+                                                const hs_engine_speed *speed) {
     guint kept = 0;
     for (guint index = 0; index < found->len; index++) {
         const hs_engine_candidate *candidate = &candidates[index];
         double online = fmax(candidate->running - candidate->batch, 0) + 1;
-        hs_engine_speed own = hs_engine_speed_at(speed, candidate->pace);
-        double wait_ms =
-            hs_engine_choice_wait_ms(online, candidate->slots, candidate->queued_tokens, &own);
-        if (query->has_wait_limit && !hs_engine_choice_is_quick(wait_ms, &own, query->wait_most_ms))
+        hs_engine_speed engine_speed = hs_engine_speed_at(speed, candidate->pace);
+        double wait_ms = hs_engine_choice_wait_ms(online, candidate->slots,
+                                                  candidate->queued_tokens, &engine_speed);
+        if (query->has_wait_limit &&
+            !hs_engine_choice_is_quick(wait_ms, &engine_speed, query->wait_most_ms))
             continue;
         found->pdata[kept] = found->pdata[index];
         candidates[kept++] = *candidate;
--- a/src/fleet/engine_selection.h
+++ b/src/fleet/engine_selection.h
@@ -1,32 +1,37 @@
 /**
  * @file engine_selection.h
- * Which engines of a service one request may go to, before the choice between them. The caller
- * holds the table's lock.
+ * Selects the candidates for a request among a service's engines, before one of them is chosen.
+ * The caller holds the table's lock.
  */
 #ifndef HS_FLEET_ENGINE_SELECTION_H
 #define HS_FLEET_ENGINE_SELECTION_H
 
 #include "fleet/fleet_engine.h"
 
-/** Engines of the query's service that may be sent to: of hs_fleet_engine*; free it. */
+/**
+ * Returns the eligible engines of the query's service: of hs_fleet_engine*, borrowed. Free with
+ * g_ptr_array_free.
+ */
 GPtrArray *hs_engine_selection_collect(hs_fleet_engines *engines, const hs_engine_query *query);
 
 /**
- * Drop suspected engines, but for those whose turn to be tried has come. A request that found the
- * sound ones crowded can wait for one, and loses more by what each dead engine costs it.
+ * Removes suspected engines from @p found, except those due for a probe, if the request can wait
+ * and the service has a healthy engine. Waiting for a healthy engine costs less time than attempts
+ * on dead ones.
  */
 void hs_engine_selection_drop_suspected(const hs_fleet_engines *engines, GPtrArray *found,
                                         const hs_engine_query *query, uint64_t now_ms);
 
 /**
- * The shared beginning of a prompt has a home, the same at all daemons without a message: the
- * engine that ranks first by rendezvous. It is taken to have the beginning cached.
+ * Assumes that the shared prefix of the request's prompt is cached by the engine that ranks first
+ * for it by rendezvous hashing, so that all daemons prefer the same engine without coordination.
  */
 void hs_engine_selection_credit_shared_prefix(const GPtrArray *found, const hs_engine_query *query,
-                                     hs_engine_candidate *candidates);
+                                              hs_engine_candidate *candidates);
 
-/** Drop engines at which the request would wait longer than it may, with their @p candidates. */
+/** Removes engines, and their @p candidates, on which the wait would exceed the query's limit. */
 void hs_engine_selection_keep_within_wait_limit(GPtrArray *found, const hs_engine_query *query,
-                                    hs_engine_candidate *candidates, const hs_engine_speed *speed);
+                                                hs_engine_candidate *candidates,
+                                                const hs_engine_speed *speed);
 
 #endif
--- a/src/fleet/engine_uses.c
+++ b/src/fleet/engine_uses.c
@@ -1,6 +1,7 @@
 /**
- * @file engine_uses.c  What this daemon has on engines, told at each change to the engine's
- * arbiter, and the arbiter's words; see fleet_engines.h.
+ * @file engine_uses.c
+ * This daemon's uses of engines, which are sent to the engines' arbiters, the arbiters' load
+ * reports, and preemption of batch items; see fleet_engines.h.
  */
 #include "fleet/fleet_engine.h"
 
@@ -9,15 +10,12 @@
 
 #include <math.h>
 
-/**
- * Others' prompts that take longer than this to be read are a reason to look at another engine:
- * some fifth of the time in which first tokens are wanted.
- */
+/** Time to read the prompts queued by others from which a request prefers another engine. */
 #define MAX_QUEUED_READ_MS 80.0
-/** An engine stays among the uses for this long after its last request, so that lost words mend. */
+/** Time for which an engine's use is still sent after its last request, in case of message loss. */
 #define RECENT_USE_MS 1500
 
-/** An item's rank falls while it runs: both the time it has and the time it needs become less. */
+/** Current preemption rank. It falls as the item runs: the time left and the time needed shrink. */
 static int32_t current_rank(const hs_engine_lease *lease, uint64_t now_ms) {
     int64_t rank_ms = lease->rank_ms - 2 * (int64_t)(now_ms - lease->acquired_ms);
     return (int32_t)MAX(rank_ms, 0);
@@ -32,8 +30,9 @@
 }
 
 /**
- * Age in ms of the engine's latest word of its own pace that came here; 0: none did. Words that the
- * arbiter told aren't told to it again: with the time on each way they would grow younger.
+ * Age of the last slowdown that the engine sent to this daemon; 0: none. Slowdowns from the
+ * arbiter's reports are not sent back, since transit time is not included and they would appear
+ * younger each time.
  */
 static uint32_t slowdown_age_ms(const hs_fleet_engine *engine) {
     if (engine->load.slowdown_percent == 0)
@@ -57,15 +56,16 @@
                            .slowdown_age_ms = slowdown_age_ms(engine)};
 }
 
-void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_observer use_observer,
+void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_observer observer,
                                  void *user_data) {
     g_mutex_lock(&engines->lock);
-    engines->use_observer = use_observer;
+    engines->use_observer = observer;
     engines->use_observer_data = user_data;
     g_mutex_unlock(&engines->lock);
 }
 
-void hs_fleet_engines_notify_use(hs_fleet_engines *engines, const hs_engine_use *use, bool started) {
+void hs_fleet_engines_notify_use(hs_fleet_engines *engines, const hs_engine_use *use,
+                                 bool started) {
     if (engines->use_observer != NULL)
         engines->use_observer(use, started, engines->use_observer_data);
 }
@@ -79,8 +79,9 @@
     g_hash_table_iter_init(&iterator, engines->by_id);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const hs_fleet_engine *engine = value;
-        bool is_used = engine->online + engine->batch > 0 ||
-                       (engine->last_release_ms != 0 && now_ms < engine->last_release_ms + RECENT_USE_MS);
+        bool is_used =
+            engine->online + engine->batch > 0 ||
+            (engine->last_release_ms != 0 && now_ms < engine->last_release_ms + RECENT_USE_MS);
         if (!is_used)
             continue;
         hs_engine_use use = hs_fleet_engine_use(engines, engine);
@@ -90,7 +91,7 @@
     return uses;
 }
 
-/** Own online requests there of those now there that a word said at @p said_ms can count. */
+/** Own online requests in flight that a report made at @p reported_at_ms may include. */
 static uint32_t online_before(const hs_fleet_engine *engine, uint64_t reported_at_ms) {
     uint32_t later = 0;
     for (uint32_t index = 0; index < HS_MAX_RECENT_STARTS; index++)
@@ -98,62 +99,63 @@
     return engine->online - MIN(later, engine->online);
 }
 
-/** What others have there is what all have less what this daemon had (@p own_online). */
-static void apply_report(hs_fleet_engine *engine, const hs_engine_total *total, uint64_t reported_at_ms,
-                      uint32_t own_online) {
-    engine->reported_online = total->online > own_online ? total->online - own_online : 0;
-    engine->reported_batch = total->batch > engine->batch ? total->batch - engine->batch : 0;
-    engine->reported_queued = fmax((double)total->queued_tokens - (double)engine->queued_tokens, 0);
+/** Stores a report. The load of others is the total less this daemon's part (@p own_online). */
+static void apply_report(hs_fleet_engine *engine, const hs_engine_total *report,
+                         uint64_t reported_at_ms, uint32_t own_online) {
+    engine->reported_online = report->online > own_online ? report->online - own_online : 0;
+    engine->reported_batch = report->batch > engine->batch ? report->batch - engine->batch : 0;
+    engine->reported_queued =
+        fmax((double)report->queued_tokens - (double)engine->queued_tokens, 0);
     engine->reported_at_ms = reported_at_ms;
-    engine->last_report = *total;
-    engine->reported_failing_at_ms = total->is_failing ? reported_at_ms : 0;
+    engine->last_report = *report;
+    engine->reported_failing_at_ms = report->is_failing ? reported_at_ms : 0;
 }
 
-/** Take what the arbiter says of the engine's pace; its own word is as old as it says. */
-static void apply_pace(hs_fleet_engine *engine, const hs_engine_total *total, uint64_t now_ms) {
-    hs_engine_pace_put_event_us(&engine->pace, total->event_us, now_ms);
-    hs_engine_pace_note_word(&engine->pace, total->slowdown_percent,
-                             (uint64_t)total->slowdown_age_ms + total->age_ms, now_ms);
+/** Applies the report's event time and slowdown, which is as old as the report and its own age. */
+static void apply_pace(hs_fleet_engine *engine, const hs_engine_total *report, uint64_t now_ms) {
+    hs_engine_pace_put_event_us(&engine->pace, report->event_us, now_ms);
+    hs_engine_pace_note_word(&engine->pace, report->slowdown_percent,
+                             (uint64_t)report->slowdown_age_ms + report->age_ms, now_ms);
 }
 
-void hs_fleet_engines_put_total(hs_fleet_engines *engines, const hs_engine_total *total) {
-    g_autofree char *freed = NULL; /* The service that has a place by this word. */
+void hs_fleet_engines_put_total(hs_fleet_engines *engines, const hs_engine_total *report) {
+    g_autofree char *free_service = NULL; /* Service with a free slot by this report. */
     g_mutex_lock(&engines->lock);
-    hs_fleet_engine *engine = hs_fleet_engines_find(engines, total->engine_hash);
+    hs_fleet_engine *engine = hs_fleet_engines_find(engines, report->engine_hash);
     if (engine != NULL) {
-        apply_report(engine, total, hs_clock_monotonic_ms(), engine->online);
+        apply_report(engine, report, hs_clock_monotonic_ms(), engine->online);
         engine->response_count++;
         engines->reports.received++;
-        apply_pace(engine, total, engine->reported_at_ms);
+        apply_pace(engine, report, engine->reported_at_ms);
         g_cond_broadcast(&engines->reports_changed);
-        if (total->online < engine->entry.slots && !total->is_failing)
-            freed = g_strdup(engine->entry.service);
+        if (report->online < engine->entry.slots && !report->is_failing)
+            free_service = g_strdup(engine->entry.service);
     }
     g_mutex_unlock(&engines->lock);
-    if (freed != NULL)
-        hs_fleet_engines_notify_free_slot(engines, freed);
+    if (free_service != NULL)
+        hs_fleet_engines_notify_free_slot(engines, free_service);
 }
 
-void hs_fleet_engines_put_passed_on(hs_fleet_engines *engines, const hs_engine_total *total) {
-    g_autofree char *freed = NULL; /* The service that has a place by this word. */
+void hs_fleet_engines_put_passed_on(hs_fleet_engines *engines, const hs_engine_total *report) {
+    g_autofree char *free_service = NULL; /* Service with a free slot by this report. */
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint64_t reported_at_ms = now_ms - MIN(now_ms, total->age_ms);
+    uint64_t reported_at_ms = now_ms - MIN(now_ms, report->age_ms);
     g_mutex_lock(&engines->lock);
-    hs_fleet_engine *engine = hs_fleet_engines_find(engines, total->engine_hash);
-    bool is_fresher = engine != NULL && reported_at_ms > engine->reported_at_ms;
-    if (is_fresher) {
-        apply_report(engine, total, reported_at_ms, online_before(engine, reported_at_ms));
-        apply_pace(engine, total, now_ms);
+    hs_fleet_engine *engine = hs_fleet_engines_find(engines, report->engine_hash);
+    bool is_newer = engine != NULL && reported_at_ms > engine->reported_at_ms;
+    if (is_newer) {
+        apply_report(engine, report, reported_at_ms, online_before(engine, reported_at_ms));
+        apply_pace(engine, report, now_ms);
         engines->reports.accepted++;
         engines->relayed_at_ms = now_ms;
-        if (total->online < engine->entry.slots && !total->is_failing)
-            freed = g_strdup(engine->entry.service);
+        if (report->online < engine->entry.slots && !report->is_failing)
+            free_service = g_strdup(engine->entry.service);
     } else if (engine != NULL) {
         engines->reports.stale++;
     }
     g_mutex_unlock(&engines->lock);
-    if (freed != NULL)
-        hs_fleet_engines_notify_free_slot(engines, freed);
+    if (free_service != NULL)
+        hs_fleet_engines_notify_free_slot(engines, free_service);
 }
 
 bool hs_fleet_engines_passes_words(hs_fleet_engines *engines) {
@@ -164,7 +166,7 @@
 }
 
 GArray *hs_fleet_engines_words(hs_fleet_engines *engines) {
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(hs_engine_total));
+    GArray *reports = g_array_new(FALSE, FALSE, sizeof(hs_engine_total));
     uint64_t now_ms = hs_clock_monotonic_ms();
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -175,22 +177,22 @@
         uint64_t age_ms = hs_fleet_engine_report_age_ms(engine, now_ms);
         if (age_ms == UINT64_MAX)
             continue;
-        hs_engine_total word = engine->last_report;
-        word.age_ms = (uint32_t)age_ms;
-        g_array_append_val(words, word);
+        hs_engine_total report = engine->last_report;
+        report.age_ms = (uint32_t)age_ms;
+        g_array_append_val(reports, report);
     }
     g_mutex_unlock(&engines->lock);
-    return words;
+    return reports;
 }
 
-void hs_fleet_engines_note_passed_on(hs_fleet_engines *engines, size_t words, size_t bytes) {
+void hs_fleet_engines_note_passed_on(hs_fleet_engines *engines, size_t reports, size_t bytes) {
     g_mutex_lock(&engines->lock);
-    engines->reports.relayed += words;
+    engines->reports.relayed += reports;
     engines->reports.relayed_bytes += bytes;
     g_mutex_unlock(&engines->lock);
 }
 
-/** The item of the highest rank that was not asked yet; of equal ones the newest. NULL: none. */
+/** Item of the highest rank that is not preempted yet; the newest of equal ones; may be NULL. */
 static hs_engine_lease *next_to_preempt(const hs_fleet_engine *engine) {
     hs_engine_lease *next = NULL;
     uint64_t now_ms = hs_clock_monotonic_ms();
@@ -204,41 +206,45 @@
 }
 
 uint32_t hs_fleet_engine_preempt(hs_fleet_engine *engine, uint32_t wanted) {
-    uint32_t asked = 0;
-    while (asked < wanted) {
+    uint32_t preempted = 0;
+    while (preempted < wanted) {
         hs_engine_lease *lease = next_to_preempt(engine);
         if (lease == NULL || !hs_interrupt_raise(lease->yield, HS_INTERRUPT_YIELD))
             break;
-        asked++;
+        preempted++;
     }
-    return asked;
+    return preempted;
 }
 
 uint32_t hs_fleet_engines_step_aside(hs_fleet_engines *engines, uint64_t engine_hash,
                                      uint32_t count) {
     g_mutex_lock(&engines->lock);
     hs_fleet_engine *engine = hs_fleet_engines_find(engines, engine_hash);
-    uint32_t asked = engine != NULL ? hs_fleet_engine_preempt(engine, count) : 0;
+    uint32_t preempted = engine != NULL ? hs_fleet_engine_preempt(engine, count) : 0;
     g_cond_broadcast(&engines->reports_changed);
     g_mutex_unlock(&engines->lock);
-    return asked;
+    return preempted;
 }
 
 static bool is_preempted(const hs_engine_lease *lease) {
     return lease->yield != NULL && hs_interrupt_get(lease->yield) != HS_INTERRUPT_NONE;
 }
 
-/** Wait until the arbiter has told of the lease, or asked its item aside. */
+/**
+ * Waits for the arbiter's response, or until the lease's item is preempted; false: neither happened
+ * in time. The caller holds the lock.
+ */
 static bool wait_for_report(hs_engine_lease *lease, uint32_t limit_ms) {
     hs_fleet_engines *engines = lease->engines;
     hs_pause pause = hs_clock_pause_begin(limit_ms);
     bool is_waiting = engines->use_observer != NULL;
-    while (is_waiting && lease->engine->response_count == lease->responses_before && !is_preempted(lease))
+    while (is_waiting && lease->engine->response_count == lease->responses_before &&
+           !is_preempted(lease))
         is_waiting = hs_clock_pause_wait(&pause, &engines->reports_changed, &engines->lock);
     return is_waiting;
 }
 
-/** Whether an online request would wait for a slot, or for others' prompts to be read. */
+/** Whether an online request would wait for a slot or for prompts queued before its own. */
 static bool would_wait(const hs_engine_lease *lease, uint64_t now_ms) {
     const hs_fleet_engine *engine = lease->engine;
     double online = engine->online + hs_fleet_engine_others_online(engine, now_ms);
@@ -250,38 +256,38 @@
 
 hs_lease_prospect hs_engine_lease_prospect(hs_engine_lease *lease, const hs_engine_query *query,
                                            uint64_t left_ms) {
-    hs_lease_prospect prospect = {0};
+    hs_lease_prospect estimate = {0};
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&lease->engines->lock);
     const hs_fleet_engine *engine = lease->engine;
     hs_engine_speed speed = hs_fleet_engine_speed(lease->engines, engine, now_ms);
-    prospect.pace = hs_fleet_engine_pace(lease->engines, engine, now_ms);
-    prospect.online = engine->online + hs_fleet_engine_others_online(engine, now_ms);
-    prospect.queued_tokens = hs_fleet_engine_others_queued(engine, now_ms) +
+    estimate.pace = hs_fleet_engine_pace(lease->engines, engine, now_ms);
+    estimate.online = engine->online + hs_fleet_engine_others_online(engine, now_ms);
+    estimate.queued_tokens = hs_fleet_engine_others_queued(engine, now_ms) +
                              (double)engine->queued_tokens - lease->unread_tokens;
-    prospect.slots = engine->entry.slots;
-    prospect.need_ms = speed.first_byte_ms;
-    prospect.wait_ms = hs_engine_choice_wait_ms(prospect.online, prospect.slots,
-                                                fmax(prospect.queued_tokens, 0), &speed);
-    prospect.is_quick = !query->has_wait_limit ||
-                        hs_engine_choice_is_quick(prospect.wait_ms, &speed, query->wait_most_ms);
-    prospect.is_hopeless = hs_engine_choice_is_hopeless(prospect.wait_ms, &speed, left_ms);
+    estimate.slots = engine->entry.slots;
+    estimate.need_ms = speed.first_byte_ms;
+    estimate.wait_ms = hs_engine_choice_wait_ms(estimate.online, estimate.slots,
+                                                fmax(estimate.queued_tokens, 0), &speed);
+    estimate.is_quick = !query->has_wait_limit ||
+                        hs_engine_choice_is_quick(estimate.wait_ms, &speed, query->wait_most_ms);
+    estimate.is_hopeless = hs_engine_choice_is_hopeless(estimate.wait_ms, &speed, left_ms);
     g_mutex_unlock(&lease->engines->lock);
-    return prospect;
+    return estimate;
 }
 
 hs_lease_word hs_engine_lease_confirm(hs_engine_lease *lease, uint32_t limit_ms) {
-    hs_lease_word word = HS_LEASE_UNHEARD;
+    hs_lease_word confirmation = HS_LEASE_UNHEARD;
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&lease->engines->lock);
     const hs_fleet_engine *engine = lease->engine;
     if (wait_for_report(lease, limit_ms))
-        word = HS_LEASE_FITS;
-    if (word == HS_LEASE_FITS && engine->reported_failing_at_ms != 0)
-        word = HS_LEASE_FAILING;
-    else if (is_preempted(lease) ||
-             (word == HS_LEASE_FITS && lease->work == HS_WORK_ONLINE && would_wait(lease, now_ms)))
-        word = HS_LEASE_CROWDED;
+        confirmation = HS_LEASE_FITS;
+    if (confirmation == HS_LEASE_FITS && engine->reported_failing_at_ms != 0)
+        confirmation = HS_LEASE_FAILING;
+    else if (is_preempted(lease) || (confirmation == HS_LEASE_FITS &&
+                                     lease->work == HS_WORK_ONLINE && would_wait(lease, now_ms)))
+        confirmation = HS_LEASE_CROWDED;
     g_mutex_unlock(&lease->engines->lock);
-    return word;
+    return confirmation;
 }
--- a/src/fleet/fleet_engine.h
+++ b/src/fleet/fleet_engine.h
@@ -21,9 +21,9 @@
     uint64_t hash;
     gint references; /**< One of the table and one per lease. */
     bool listed;
-    bool has_restarted;     /**< Another start has taken over the engine's id. */
-    uint64_t removal_at_ms; /**< The engine is unlisted and removed at this time unless it is
-                                 listed again; 0: no removal is pending. */
+    bool has_restarted;        /**< Another start has taken over the engine's id. */
+    uint64_t removal_at_ms;    /**< The engine is unlisted and removed at this time unless it is
+                                    listed again; 0: no removal is pending. */
     bool has_address_mismatch; /**< Another engine answered at this address. */
     uint64_t listed_ms;
     uint32_t online;
@@ -52,11 +52,11 @@
     double reported_online; /**< Load of other daemons by the last load report. */
     double reported_batch;
     double reported_queued;
-    uint64_t reported_at_ms;         /**< When the arbiter made the last report; 0: no report. */
-    uint32_t response_count;         /**< Arbiter's responses to this daemon; wraps. */
-    hs_engine_total last_report;     /**< As received, own requests included. */
-    bool has_mean;                   /**< The mean loads below replace an outdated report. */
-    double mean_online;              /**< Mean load of other daemons by recent reports. */
+    uint64_t reported_at_ms;     /**< When the arbiter made the last report; 0: no report. */
+    uint32_t response_count;     /**< Arbiter's responses to this daemon; wraps. */
+    hs_engine_total last_report; /**< As received, own requests included. */
+    bool has_mean;               /**< The mean loads below replace an outdated report. */
+    double mean_online;          /**< Mean load of other daemons by recent reports. */
     double mean_batch;
     double mean_queued;
     uint64_t recent_starts_ms[HS_MAX_RECENT_STARTS]; /**< Ring: starts of online requests. */
@@ -65,8 +65,8 @@
                                           0: it says that the engine is healthy. */
     uint32_t served_count;
     uint32_t failed_count;
-    uint64_t run_events; /**< Events of runs after the first of each run. */
-    uint64_t run_ms;     /**< Time that run_events took. */
+    uint64_t run_events;      /**< Events of runs after the first of each run. */
+    uint64_t run_ms;          /**< Time that run_events took. */
     uint64_t last_release_ms; /**< When the last request ended; 0: never. */
     uint64_t excess_since_ms; /**< Since when requests exceed the slots; 0: they don't. */
     hs_engine_pace pace;
--- a/src/fleet/fleet_engines.c
+++ b/src/fleet/fleet_engines.c
@@ -1,5 +1,4 @@
-/** @file fleet_engines.c  The table of engines: entries, beliefs, the choice; see fleet_engines.h.
- */
+/** @file fleet_engines.c  Entries of the engine table and the choice of an engine. */
 #include "fleet/fleet_engine.h"
 
 #include "base/clock.h"
@@ -13,9 +12,9 @@
 
 #define INITIAL_TOKENS_PER_MS 40.0
 #define INITIAL_RUN_MS 300.0
-/** Until the configuration tells an engine's memory. */
+/** Assumed memory of an engine until a query names the configured one. */
 #define DEFAULT_CACHE_TOKENS 100000
-/** Silence on an engine with requests of ours, in mean run times, before it is suspected. */
+/** Longest silence of an engine that has requests of this daemon, in mean run times. */
 #define SILENCE_LIMIT_RUNS 3.0
 #define MIN_SILENCE_LIMIT_MS 700
 
@@ -63,7 +62,7 @@
     return engines->crash_watch;
 }
 
-/** The set of engines changes: by_hash must not outlive one of them. The caller holds the lock. */
+/** Drops by_hash, since the set of engines changes. The caller holds the lock. */
 static void clear_hash_index(hs_fleet_engines *engines) {
     if (engines->by_hash != NULL)
         g_hash_table_destroy(engines->by_hash);
@@ -104,8 +103,8 @@
 }
 
 /**
- * What tells an engine's start from all others. Two starts under one id have nothing in common:
- * what is believed, counted and told of the one says nothing of the other.
+ * Hash that identifies one start of an engine. Two starts under one id are separate engines: load
+ * and health of the one say nothing about the other.
  */
 static uint64_t start_identity(const hs_engine_entry *entry) {
     uint64_t id = hs_hash_bytes(entry->id, strlen(entry->id));
@@ -126,9 +125,9 @@
     return engine;
 }
 
-/** The engine ended, and another start has its id: whoever still has a request there keeps it. */
+/** Removes an engine whose id another start has taken over. Leases keep it alive. */
 static void retire_engine(hs_fleet_engines *engines, hs_fleet_engine *engine,
-                       const hs_engine_entry *entry) {
+                          const hs_engine_entry *entry) {
     hs_log_info("engine_reborn",
                 "engine=%s born_ms=%" G_GUINT64_FORMAT " before_ms=%" G_GUINT64_FORMAT
                 " online=%u batch=%u",
@@ -141,19 +140,19 @@
     g_hash_table_remove(engines->by_id, entry->id);
 }
 
-/** Whether an entry is of another start than the engine that is known under its id. */
+/** Whether an entry belongs to another start than the known engine of the same id. */
 static bool is_another_start(const hs_fleet_engine *engine, const hs_engine_entry *entry) {
     return entry->born_ms != 0 && entry->born_ms != engine->entry.born_ms;
 }
 
 void hs_fleet_engines_put(hs_fleet_engines *engines, hs_engine_entry *entry, uint64_t now_ms) {
-    uint64_t ended = 0;
+    uint64_t crashed = 0;
     g_autofree char *service = g_strdup(entry->service);
     g_mutex_lock(&engines->lock);
     hs_fleet_engine *engine = g_hash_table_lookup(engines->by_id, entry->id);
     bool is_new = engine == NULL;
     if (engine != NULL && is_another_start(engine, entry)) {
-        ended = engine->entry.draining ? 0 : engine->hash;
+        crashed = engine->entry.draining ? 0 : engine->hash;
         retire_engine(engines, engine, entry);
         engine = NULL;
     }
@@ -174,10 +173,10 @@
     engine->listed_ms = now_ms;
     g_mutex_unlock(&engines->lock);
     memset(entry, 0, sizeof *entry);
-    if (is_new || ended != 0)
+    if (is_new || crashed != 0)
         hs_fleet_engines_notify_free_slot(engines, service);
-    if (ended != 0 && engines->crash_watch != NULL)
-        hs_crash_watch_note_crashed(engines->crash_watch, ended);
+    if (crashed != 0 && engines->crash_watch != NULL)
+        hs_crash_watch_note_crashed(engines->crash_watch, crashed);
 }
 
 static gboolean remove_unless_listed(gpointer key, gpointer value, gpointer listed) {
@@ -300,7 +299,8 @@
         engine->last_received_ms = now_ms;
     double run_ms = hs_fleet_engines_speed(engines, query->service)->run_ms;
     double pace = hs_fleet_engine_pace(engines, engine, now_ms);
-    engine->silence_limit_ms = (uint32_t)fmax(MIN_SILENCE_LIMIT_MS, run_ms * SILENCE_LIMIT_RUNS * fmax(pace, 1));
+    engine->silence_limit_ms =
+        (uint32_t)fmax(MIN_SILENCE_LIMIT_MS, run_ms * SILENCE_LIMIT_RUNS * fmax(pace, 1));
     engine->references++;
     engine->queued_tokens += lease->unread_tokens;
     engine->memory_tokens_used += lease->memory_tokens;
@@ -370,14 +370,14 @@
 
 uint64_t hs_fleet_engines_misplaced(hs_fleet_engines *engines) {
     g_mutex_lock(&engines->lock);
-    uint64_t misplaced = engines->resume_mismatches;
+    uint64_t count = engines->resume_mismatches;
     g_mutex_unlock(&engines->lock);
-    return misplaced;
+    return count;
 }
 
 uint64_t hs_fleet_engines_connects(hs_fleet_engines *engines) {
     g_mutex_lock(&engines->lock);
-    uint64_t connects = engines->connects;
+    uint64_t count = engines->connects;
     g_mutex_unlock(&engines->lock);
-    return connects;
+    return count;
 }
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -161,11 +161,11 @@
 
 /** Expected service of an online request by the engine of its lease, at the engine's pace. */
 typedef struct {
-    bool is_quick;    /**< The engine starts the request within the query's limit, if any. */
-    bool is_hopeless; /**< See hs_engine_choice_is_hopeless. */
-    double wait_ms;   /**< Until the engine starts the request. */
-    double need_ms;   /**< Shortest recent time to a first byte; 0: unknown. */
-    double online;    /**< Requests of all daemons, this one included. */
+    bool is_quick;        /**< The engine starts the request within the query's limit, if any. */
+    bool is_hopeless;     /**< See hs_engine_choice_is_hopeless. */
+    double wait_ms;       /**< Until the engine starts the request. */
+    double need_ms;       /**< Shortest recent time to a first byte; 0: unknown. */
+    double online;        /**< Requests of all daemons, this one included. */
     double queued_tokens; /**< Of others' prompts that the engine has not read yet. */
     uint32_t slots;
     double pace; /**< Of the engine. */
@@ -245,16 +245,17 @@
 
 /** State of a service, for deciding on a request that no engine took. */
 typedef struct {
-    bool is_known;      /**< The store's list was read to its end since the start. */
-    uint32_t engines;   /**< Engines listed and not draining. */
-    uint32_t sound;     /**< Those of them that are not suspected. */
-    uint32_t slots;     /**< Of the engines that are not suspected. */
-    double running;     /**< Estimated requests of all daemons on them, batch items included. */
-    double waiting;     /**< Online requests beyond their engine's slots. */
-    double run_ms;      /**< Mean time of recent online runs. */
-    uint64_t need_ms;   /**< Shortest recent time to a first byte; 0: unknown. */
-    uint64_t return_ms; /**< Until this daemon's first suspicion runs out; 0: one engine has none. */
-    uint64_t absent_ms; /**< How long the service has had no engine; 0: it has one. */
+    bool is_known;    /**< The store's list was read to its end since the start. */
+    uint32_t engines; /**< Engines listed and not draining. */
+    uint32_t sound;   /**< Those of them that are not suspected. */
+    uint32_t slots;   /**< Of the engines that are not suspected. */
+    double running;   /**< Estimated requests of all daemons on them, batch items included. */
+    double waiting;   /**< Online requests beyond their engine's slots. */
+    double run_ms;    /**< Mean time of recent online runs. */
+    uint64_t need_ms; /**< Shortest recent time to a first byte; 0: unknown. */
+    uint64_t
+        return_ms; /**< Until this daemon's first suspicion runs out; 0: one engine has none. */
+    uint64_t absent_ms;       /**< How long the service has had no engine; 0: it has one. */
     uint64_t last_absence_ms; /**< Length of the previous time without an engine; 0: none. */
     uint64_t listed_age_ms;   /**< Since the store last listed any of the engines. */
     hs_service_pressure pressure;
@@ -275,7 +276,7 @@
  * Sets the observer of free slots; NULL: none. To be called before the first request or after the
  * last.
  */
-void hs_fleet_engines_set_place_watch(hs_fleet_engines *engines, hs_engine_place_watch watch,
+void hs_fleet_engines_set_place_watch(hs_fleet_engines *engines, hs_engine_place_watch observer,
                                       void *user_data);
 
 hs_service_room hs_fleet_engines_room(hs_fleet_engines *engines, const char *service);
@@ -309,9 +310,9 @@
 
 /** Stores another daemon's load in place of the previous one. */
 void hs_fleet_engines_put_peer(hs_fleet_engines *engines, const char *peer,
-                               const hs_peer_word *word, uint64_t now_ms);
+                               const hs_peer_word *report, uint64_t now_ms);
 
-/** Sets the slot time in ms that this daemon's batch items with a completion target need. */
+/** Sets the slot time in ms needed by this daemon's batch items planned to meet their targets. */
 void hs_fleet_engines_set_batch_work(hs_fleet_engines *engines, uint64_t work_ms);
 uint64_t hs_fleet_engines_batch_work(hs_fleet_engines *engines);
 
@@ -322,7 +323,7 @@
  * Sets the observer of this daemon's uses of engines; NULL: none. To be called before the first
  * request or after the last.
  */
-void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_observer use_observer,
+void hs_fleet_engines_set_teller(hs_fleet_engines *engines, hs_engine_use_observer observer,
                                  void *user_data);
 
 /**
@@ -336,22 +337,22 @@
     uint64_t engine_hash;
     uint32_t online; /**< Requests of all daemons, the receiver included. */
     uint32_t batch;
-    uint32_t queued_tokens; /**< Of prompts that the engine has not read yet. */
-    bool is_failing;        /**< Requests should avoid the engine; see engine_health.h. */
-    uint32_t event_us;      /**< Mean time of an event in all daemons' runs; 0: unknown. */
+    uint32_t queued_tokens;    /**< Of prompts that the engine has not read yet. */
+    bool is_failing;           /**< Requests should avoid the engine; see engine_health.h. */
+    uint32_t event_us;         /**< Mean time of an event in all daemons' runs; 0: unknown. */
     uint32_t slowdown_percent; /**< The engine's last own figure, see hs_engine_load; 0: none. */
     uint32_t slowdown_age_ms;
     uint32_t age_ms; /**< Since the arbiter made the report; above 0 only if it was relayed. */
 } hs_engine_total;
 
 /** Stores an arbiter's response to this daemon, and wakes hs_engine_lease_confirm. */
-void hs_fleet_engines_put_total(hs_fleet_engines *engines, const hs_engine_total *total);
+void hs_fleet_engines_put_total(hs_fleet_engines *engines, const hs_engine_total *report);
 
 /**
  * Stores a report that another daemon relayed, or that this daemon made as the arbiter, if it is
  * newer than the last known one. Does not count as a response to this daemon.
  */
-void hs_fleet_engines_put_passed_on(hs_fleet_engines *engines, const hs_engine_total *total);
+void hs_fleet_engines_put_passed_on(hs_fleet_engines *engines, const hs_engine_total *report);
 
 /** Whether the fleet is large enough for load reports to be relayed; see engine_words.h. */
 bool hs_fleet_engines_passes_words(hs_fleet_engines *engines);
@@ -360,7 +361,7 @@
 GArray *hs_fleet_engines_words(hs_fleet_engines *engines);
 
 /** Counts reports that this daemon relayed, and their bytes. */
-void hs_fleet_engines_note_passed_on(hs_fleet_engines *engines, size_t words, size_t bytes);
+void hs_fleet_engines_note_passed_on(hs_fleet_engines *engines, size_t reports, size_t bytes);
 
 /**
  * Preempts up to @p count batch items of this daemon on an engine, highest rank first. Returns how
@@ -375,8 +376,10 @@
  */
 void hs_fleet_engines_set_peers(hs_fleet_engines *engines, uint32_t peers, uint32_t batch_peers);
 
-/** Closes idle connections that engines have closed or are about to, and removes unlisted engines
- * that are due. */
+/**
+ * Closes idle connections that engines have closed or are about to close, and removes unlisted
+ * engines whose removal is due.
+ */
 void hs_fleet_engines_prune(hs_fleet_engines *engines);
 
 /** Metrics of all engines. Free with g_free. */
--- a/src/fleet/service_outlook.c
+++ b/src/fleet/service_outlook.c
@@ -1,4 +1,4 @@
-/** @file service_outlook.c  What is known of a service as a whole; see fleet_engines.h. */
+/** @file service_outlook.c  State of a service as a whole; see fleet_engines.h. */
 #include "fleet/fleet_engine.h"
 
 #include "base/clock.h"
@@ -6,7 +6,7 @@
 #include <math.h>
 #include <string.h>
 
-/** A pressure is worked out at most this often, in ms: it changes little meanwhile. */
+/** Time for which a computed pressure is cached. */
 #define PRESSURE_CACHE_MS 25
 
 hs_engine_absence hs_fleet_engines_note_presence(hs_fleet_engines *engines, const char *service,
@@ -27,12 +27,13 @@
     return *absence;
 }
 
-/** Until requests are sent to a suspected engine again without another reason. */
+/** Time in ms until the next probe of an engine that this daemon suspects; 0: not suspected. */
 static uint64_t next_probe_ms(const hs_fleet_engine *engine, uint64_t now_ms) {
     return engine->suspected_until_ms > now_ms ? engine->suspected_until_ms - now_ms : 0;
 }
 
-static void add_healthy(hs_service_outlook *outlook, const hs_fleet_engine *engine, uint64_t now_ms) {
+static void add_healthy(hs_service_outlook *outlook, const hs_fleet_engine *engine,
+                        uint64_t now_ms) {
     double online = engine->online + hs_fleet_engine_others_online(engine, now_ms);
     outlook->sound++;
     outlook->slots += engine->entry.slots;
@@ -40,7 +41,7 @@
     outlook->waiting += fmax(online - engine->entry.slots, 0);
 }
 
-/** What the engine's arbiter told last, with what this daemon has there now. */
+/** Load of other daemons by the arbiter's last report, plus this daemon's current load. */
 static hs_pressure_sample sample_of(const hs_fleet_engines *engines, const hs_fleet_engine *engine,
                                     uint64_t now_ms) {
     return (hs_pressure_sample){
@@ -58,7 +59,7 @@
 }
 
 static hs_service_pressure compute_pressure(hs_fleet_engines *engines, const char *service,
-                                         uint64_t now_ms) {
+                                            uint64_t now_ms) {
     g_autoptr(GArray) samples = g_array_new(FALSE, FALSE, sizeof(hs_pressure_sample));
     GHashTableIter iterator;
     gpointer value = NULL;
@@ -75,20 +76,20 @@
                                     run_ms);
 }
 
-/** The caller holds the lock. */
+/** Returns the cached pressure, recomputed if outdated. The caller holds the lock. */
 static hs_service_pressure pressure_of(hs_fleet_engines *engines, const char *service,
                                        uint64_t now_ms) {
-    hs_cached_pressure *kept = g_hash_table_lookup(engines->pressures, service);
-    if (kept == NULL) {
-        kept = g_new0(hs_cached_pressure, 1);
-        g_hash_table_insert(engines->pressures, g_strdup(service), kept);
+    hs_cached_pressure *cached = g_hash_table_lookup(engines->pressures, service);
+    if (cached == NULL) {
+        cached = g_new0(hs_cached_pressure, 1);
+        g_hash_table_insert(engines->pressures, g_strdup(service), cached);
     }
-    if (kept->computed_ms == 0 || now_ms >= kept->computed_ms + PRESSURE_CACHE_MS) {
-        kept->pressure = compute_pressure(engines, service, now_ms);
-        hs_service_pressure_project(&kept->pressure, &kept->trend, now_ms);
-        kept->computed_ms = now_ms;
+    if (cached->computed_ms == 0 || now_ms >= cached->computed_ms + PRESSURE_CACHE_MS) {
+        cached->pressure = compute_pressure(engines, service, now_ms);
+        hs_service_pressure_project(&cached->pressure, &cached->trend, now_ms);
+        cached->computed_ms = now_ms;
     }
-    return kept->pressure;
+    return cached->pressure;
 }
 
 hs_service_pressure hs_fleet_engines_pressure(hs_fleet_engines *engines, const char *service) {
@@ -122,15 +123,15 @@
 
 uint64_t hs_fleet_engines_need_ms(hs_fleet_engines *engines, const char *service) {
     g_mutex_lock(&engines->lock);
-    uint64_t need_ms = (uint64_t)hs_fleet_engines_speed(engines, service)->first_byte_ms;
+    uint64_t first_byte_ms = (uint64_t)hs_fleet_engines_speed(engines, service)->first_byte_ms;
     g_mutex_unlock(&engines->lock);
-    return need_ms;
+    return first_byte_ms;
 }
 
-void hs_fleet_engines_set_place_watch(hs_fleet_engines *engines, hs_engine_place_watch watch,
+void hs_fleet_engines_set_place_watch(hs_fleet_engines *engines, hs_engine_place_watch observer,
                                       void *user_data) {
     g_mutex_lock(&engines->lock);
-    engines->slot_observer = watch;
+    engines->slot_observer = observer;
     engines->slot_observer_data = user_data;
     g_mutex_unlock(&engines->lock);
 }
@@ -142,10 +143,10 @@
 
 static void add_engine(hs_service_outlook *outlook, const hs_fleet_engine *engine,
                        uint64_t now_ms) {
-    uint64_t back_ms = next_probe_ms(engine, now_ms);
+    uint64_t probe_ms = next_probe_ms(engine, now_ms);
     uint64_t age_ms = now_ms - engine->listed_ms;
     bool is_first = outlook->engines++ == 0;
-    outlook->return_ms = is_first ? back_ms : MIN(outlook->return_ms, back_ms);
+    outlook->return_ms = is_first ? probe_ms : MIN(outlook->return_ms, probe_ms);
     outlook->listed_age_ms = is_first ? age_ms : MIN(outlook->listed_age_ms, age_ms);
     if (!hs_fleet_engine_is_suspected(engine, now_ms))
         add_healthy(outlook, engine, now_ms);
@@ -156,7 +157,7 @@
     GHashTableIter iterator;
     gpointer value = NULL;
     g_mutex_lock(&engines->lock);
-    uint64_t now_ms = hs_clock_monotonic_ms(); /* No word is younger, whose age would wrap. */
+    uint64_t now_ms = hs_clock_monotonic_ms(); /* Read under the lock: no report is newer. */
     hs_fleet_engines_sum_peers(engines, now_ms);
     outlook.is_known = engines->is_list_known;
     g_hash_table_iter_init(&iterator, engines->by_id);
@@ -181,14 +182,14 @@
                                         const char *tenant) {
     g_mutex_lock(&engines->lock);
     double usual_ms = hs_engine_speed_online_run_ms(hs_fleet_engines_speed(engines, service));
-    double part = hs_tenant_runs_note_ask(engines->tenant_runs, tenant, service, usual_ms);
+    double share = hs_tenant_runs_note_ask(engines->tenant_runs, tenant, service, usual_ms);
     g_mutex_unlock(&engines->lock);
-    return part;
+    return share;
 }
 
 uint64_t hs_fleet_engines_tenant_asked_ms(hs_fleet_engines *engines, const char *tenant) {
     g_mutex_lock(&engines->lock);
-    uint64_t asked_ms = hs_tenant_runs_asked_ms(engines->tenant_runs, tenant);
+    uint64_t requested_ms = hs_tenant_runs_asked_ms(engines->tenant_runs, tenant);
     g_mutex_unlock(&engines->lock);
-    return asked_ms;
+    return requested_ms;
 }
--- a/tests/unit/test_engines.c
+++ b/tests/unit/test_engines.c
@@ -1,4 +1,4 @@
-/** @file test_engines.c  The table of engines: beliefs, choice, room for batch, connections. */
+/** @file test_engines.c  The engine table: estimates, choice, batch capacity and connections. */
 #include "base/clock.h"
 #include "base/hash.h"
 #include "fleet/engine_choice.h"
@@ -9,15 +9,15 @@
 #include <math.h>
 #include <string.h>
 
-static void the_choice_weighs_reading_and_waiting(void) {
+static void the_choice_weighs_prompt_reading_and_waiting(void) {
     hs_engine_speed speed = {.tokens_per_ms = 50, .run_ms = 1000};
     hs_engine_candidate cached = {.slots = 8, .running = 2, .uncached_tokens = 1000};
     hs_engine_candidate cold = {.slots = 8, .running = 0, .uncached_tokens = 15000};
     hs_engine_candidate list[2] = {cold, cached};
     CU_ASSERT_EQUAL(hs_engine_choice_pick(list, 2, 0, &speed), 1);
-    list[1].queued_tokens = 60000; /* The cache is not worth a queue before it. */
+    list[1].queued_tokens = 60000; /* The queue costs more than the cache saves. */
     CU_ASSERT_EQUAL(hs_engine_choice_pick(list, 2, 0, &speed), 0);
-    list[0].running = 20; /* All slots taken, and many wait. */
+    list[0].running = 20; /* All slots are taken, and many requests wait. */
     list[1].queued_tokens = 20000;
     CU_ASSERT_EQUAL(hs_engine_choice_pick(list, 2, 0, &speed), 1);
     list[1].suspected = true;
@@ -25,36 +25,36 @@
     CU_ASSERT_EQUAL(hs_engine_choice_pick(list, 0, 0, &speed), HS_ENGINE_NONE);
 }
 
-/** Batch items take free slots only, of engines that nobody suspects. */
+/** Batch items take only free slots of engines that are not suspected. */
 static void batch_takes_free_slots_only(void) {
     hs_engine_speed speed = {.tokens_per_ms = 50, .run_ms = 1000};
     hs_engine_candidate one = {.slots = 10, .running = 9, .batch = 3};
     CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), 0);
     one.running = 10;
     CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), HS_ENGINE_NONE);
-    one.running = 9.5; /* Words of unheard daemons are scaled: not a whole slot. */
+    one.running = 9.5; /* Estimated loads are fractional: no whole slot is free. */
     CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), HS_ENGINE_NONE);
     one.running = 2;
     one.suspected = true;
     CU_ASSERT_EQUAL(hs_engine_choice_pick_spare(&one, 1, 0, &speed), HS_ENGINE_NONE);
 }
 
-/** For online requests a slot that a batch item holds is nearly free; one of a request is not. */
-static void online_requests_count_on_batch_stepping_aside(void) {
+/** A slot taken by a batch item counts as nearly free for an online request. */
+static void online_requests_expect_batch_items_to_be_preempted(void) {
     hs_engine_speed speed = {.tokens_per_ms = 50, .run_ms = 1000};
     hs_engine_candidate list[3] = {{.slots = 8, .running = 8, .batch = 8},
                                    {.slots = 8, .running = 8, .batch = 0},
                                    {.slots = 8, .running = 7, .batch = 0}};
     CU_ASSERT_EQUAL(hs_engine_choice_pick(list, 2, 0, &speed), 0);
     CU_ASSERT_EQUAL(hs_engine_choice_pick(list, 3, 0, &speed), 2);
-    list[0].running = 12; /* More wait there than items can leave. */
+    list[0].running = 12; /* More requests wait than items can be preempted. */
     list[0].batch = 1;
     list[1].running = 9;
     CU_ASSERT_EQUAL(hs_engine_choice_pick(list, 2, 0, &speed), 1);
 }
 
-/** The wait counts what is beyond the slots, by the mean online run; items that leave do not. */
-static void a_queue_longer_than_the_deadline_is_known(void) {
+/** The wait is that of the online requests beyond the slots, by the mean online run. */
+static void a_queue_longer_than_the_deadline_is_detected(void) {
     hs_engine_speed speed = {
         .tokens_per_ms = 50, .run_ms = 4000, .online_run_ms = 1000, .first_byte_ms = 20};
     CU_ASSERT_EQUAL(hs_engine_choice_wait_ms(8, 8, 0, &speed), 0);
@@ -64,13 +64,13 @@
     CU_ASSERT_TRUE(hs_engine_choice_is_hopeless(2000, &speed, 2019));
     CU_ASSERT_TRUE(hs_engine_choice_is_hopeless(0, &speed, 19));
     CU_ASSERT_FALSE(hs_engine_choice_is_hopeless(0, &speed, 20));
-    speed.first_byte_ms = 0; /* Nothing was served yet: nothing is known. */
+    speed.first_byte_ms = 0; /* No request was served yet. */
     CU_ASSERT_FALSE(hs_engine_choice_is_hopeless(0, &speed, 0));
     speed.online_run_ms = 0;
     CU_ASSERT_EQUAL(hs_engine_choice_wait_ms(16, 8, 0, &speed), 4000);
 }
 
-static void believed_caches_give_way_by_age(void) {
+static void cached_prefixes_are_evicted_by_age(void) {
     hs_prefix_index *index = hs_prefix_index_new(1500);
     hs_request_size first = {.part_count = 2, .parts = {{1, 1000}, {9, 50}}};
     hs_request_size second = {.part_count = 2, .parts = {{2, 400}, {8, 50}}};
@@ -93,8 +93,8 @@
                              .slots = slots};
 }
 
-/** Past its objective a request takes a free place, or one that frees within a pause of 50 ms. */
-static void late_requests_take_free_places_only(void) {
+/** A request past its objective takes a slot only if one is free or expected within 50 ms. */
+static void late_requests_take_free_slots_only(void) {
     hs_engine_speed speed = {.tokens_per_ms = 50, .run_ms = 1000, .first_byte_ms = 20};
     CU_ASSERT_TRUE(hs_engine_choice_is_quick(0, &speed, 0));
     CU_ASSERT_TRUE(hs_engine_choice_is_quick(50, &speed, 0));
@@ -113,14 +113,14 @@
     CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &late));
     hs_engine_query in_time = {.service = "svc", .has_wait_limit = true, .wait_most_ms = 400};
     hs_engine_lease *queued = hs_fleet_engines_take(engines, &in_time);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(queued); /* One beyond four places: 75 ms of a run of 300. */
+    CU_ASSERT_PTR_NOT_NULL_FATAL(queued); /* One beyond four slots: 75 ms of a run of 300. */
     hs_engine_lease_release(queued, NULL, HS_ATTEMPT_DROPPED);
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++)
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_DROPPED);
     hs_fleet_engines_free(engines);
 }
 
-static void leaving_engines_get_nothing_new(void) {
+static void draining_engines_get_no_new_requests(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
@@ -131,15 +131,14 @@
     entry.draining = true;
     hs_fleet_engines_put(engines, &entry, 2);
     CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &query));
-    hs_fleet_engines_drop(engines, "e1"); /* The lease still holds what it needs. */
+    hs_fleet_engines_drop(engines, "e1"); /* The lease keeps the engine alive. */
     CU_ASSERT_STRING_EQUAL(hs_engine_lease_id(lease), "e1");
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_SERVED);
     hs_fleet_engines_free(engines);
 }
 
-/** A tenant's requests count by how long its runs that ended well took; items' say nothing of it.
- */
-static void runs_tell_what_a_tenant_asks_for(void) {
+/** A tenant's requests count with the time of its served online runs; batch items are ignored. */
+static void served_runs_set_the_cost_of_a_tenants_requests(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
@@ -154,17 +153,17 @@
     hs_clock_sleep_ms(30);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_SERVED);
     hs_fleet_engines_note_tenant_ask(engines, "svc", "a");
-    uint64_t asked_ms = hs_fleet_engines_tenant_asked_ms(engines, "a") - usual_ms;
-    CU_ASSERT_TRUE(asked_ms >= 29 && asked_ms < 100);
+    uint64_t requested_ms = hs_fleet_engines_tenant_asked_ms(engines, "a") - usual_ms;
+    CU_ASSERT_TRUE(requested_ms >= 29 && requested_ms < 100);
     CU_ASSERT_EQUAL(hs_fleet_engines_tenant_asked_ms(engines, "b"), 0);
     hs_fleet_engines_free(engines);
 }
 
-/** Above the time after which an engine's arbiter counts as silent. */
-#define ARBITER_SILENT_MS 350
+/** Longer than the time after which daemons preempt items without the arbiter. */
+#define ARBITER_WAIT_MS 350
 
-/** Both daemons' items and requests fill the engine: this daemon gives up its part, once. */
-static void batch_items_step_aside_by_share(void) {
+/** Requests of two daemons exceed an engine's slots: this daemon preempts its share once. */
+static void batch_items_are_preempted_by_share(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 6);
     hs_fleet_engines_put(engines, &entry, 1);
@@ -178,21 +177,22 @@
     }
     CU_ASSERT_EQUAL(hs_fleet_engines_yield(engines), 0);
     GArray *own = hs_fleet_engines_own_shares(engines);
-    hs_engine_share told = g_array_index(own, hs_engine_share, 0);
-    told.batch = 0;
-    told.online = 4; /* Four online requests of another daemon: two too many. */
-    g_array_index(own, hs_engine_share, 0) = told;
+    hs_engine_share announced = g_array_index(own, hs_engine_share, 0);
+    announced.batch = 0;
+    announced.online = 4; /* Of another daemon; two more than slots are left. */
+    g_array_index(own, hs_engine_share, 0) = announced;
     hs_fleet_engines_put_peer(engines, "other", &(hs_peer_word){.shares = own},
                               hs_clock_monotonic_ms());
-    /* The engine's arbiter is given a moment to do it; it stays silent here. */
+    /* The engine's arbiter has priority for a while, but doesn't respond in this test. */
     CU_ASSERT_EQUAL(hs_fleet_engines_yield(engines), 0);
-    hs_clock_sleep_ms(ARBITER_SILENT_MS);
+    hs_clock_sleep_ms(ARBITER_WAIT_MS);
     hs_fleet_engines_put_peer(engines, "other", &(hs_peer_word){.shares = own},
                               hs_clock_monotonic_ms());
     CU_ASSERT_EQUAL(hs_fleet_engines_yield(engines), 2);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[0]), HS_INTERRUPT_NONE);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[3]), HS_INTERRUPT_YIELD);
-    CU_ASSERT_EQUAL(hs_fleet_engines_yield(engines), 0); /* Until all know of it. */
+    CU_ASSERT_EQUAL(hs_fleet_engines_yield(engines),
+                    0); /* Until all daemons know of the preemption. */
     for (int index = 0; index < 4; index++)
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_DROPPED);
     for (int index = 0; index < 4; index++)
@@ -208,7 +208,7 @@
     return shares;
 }
 
-static const char *taken_engine(hs_fleet_engines *engines) {
+static const char *chosen_engine(hs_fleet_engines *engines) {
     hs_engine_query query = {.service = "svc"};
     static char id[16];
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
@@ -217,9 +217,8 @@
     return id;
 }
 
-/** Of engines that are alike, the one that a connection is open to; a slot is worth more than it.
- */
-static void a_kept_connection_decides_between_equals(void) {
+/** An idle connection decides between equal engines, but counts less than a free slot. */
+static void an_idle_connection_breaks_ties(void) {
     hs_engine_speed speed = {.tokens_per_ms = 40, .run_ms = 300};
     hs_engine_candidate candidates[] = {{.slots = 4, .same_zone = true},
                                         {.slots = 4, .same_zone = true, .is_connected = true},
@@ -230,21 +229,21 @@
     CU_ASSERT_NOT_EQUAL(hs_engine_choice_pick(candidates, 3, 0, &speed), 1);
 }
 
-/** What others tell counts as long as it is fresh, and no longer. */
-static void peers_words_count_while_fresh(void) {
+/** Loads announced by peers are used until they expire. */
+static void peer_loads_count_while_valid(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
     entry = entry_of("e2", 4);
     hs_fleet_engines_put(engines, &entry, 1);
-    static const hs_engine_share words[] = {
+    static const hs_engine_share announced[] = {
         {.online = 9}, {.suspected = true}, {.ended_permille = 9000, .failed_permille = 4000}};
-    for (size_t index = 0; index < G_N_ELEMENTS(words); index++) {
-        GArray *shares = one_share("e1", words[index]);
+    for (size_t index = 0; index < G_N_ELEMENTS(announced); index++) {
+        GArray *shares = one_share("e1", announced[index]);
         hs_fleet_engines_put_peer(engines, "other", &(hs_peer_word){.shares = shares},
                                   hs_clock_monotonic_ms());
         for (int turn = 0; turn < 4; turn++)
-            CU_ASSERT_STRING_EQUAL(taken_engine(engines), "e2");
+            CU_ASSERT_STRING_EQUAL(chosen_engine(engines), "e2");
         g_array_free(shares, TRUE);
     }
     GArray *old = one_share("e1", (hs_engine_share){.online = 9});
@@ -252,14 +251,14 @@
                               hs_clock_monotonic_ms() - 60000);
     int first = 0;
     for (int turn = 0; turn < 4; turn++)
-        first += strcmp(taken_engine(engines), "e1") == 0;
+        first += strcmp(chosen_engine(engines), "e1") == 0;
     CU_ASSERT_EQUAL(first, 2);
     g_array_free(old, TRUE);
     hs_fleet_engines_free(engines);
 }
 
-/** With more daemons than are told in a round, those that were not heard count as the others. */
-static void unheard_peers_count_as_the_heard(void) {
+/** Daemons that announced no load are assumed to have the mean load of the others. */
+static void peers_without_a_load_count_as_the_mean(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
@@ -269,33 +268,30 @@
                               hs_clock_monotonic_ms());
     hs_fleet_engines_put_peer(engines, "two", &(hs_peer_word){.shares = shares},
                               hs_clock_monotonic_ms());
-    hs_service_room room = hs_fleet_engines_room(engines, "svc");
-    CU_ASSERT_EQUAL(room.online, 60);
+    hs_service_room capacity = hs_fleet_engines_room(engines, "svc");
+    CU_ASSERT_EQUAL(capacity.online, 60);
     g_array_free(shares, TRUE);
     hs_fleet_engines_free(engines);
 }
 
-/**
- * Of hundreds of daemons few run batch items. What they were heard to have counts as it is, at the
- * engine where it is; nothing is made up for daemons that have none.
- */
-static void batch_is_scaled_by_those_who_run_it(void) {
+/** Batch load is extrapolated only to daemons that run batch items. */
+static void batch_load_is_scaled_by_daemons_that_run_batch(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 8);
     hs_fleet_engines_put(engines, &entry, 1);
     entry = entry_of("e2", 8);
     hs_fleet_engines_put(engines, &entry, 1);
     GArray *shares = one_share("e1", (hs_engine_share){.batch = 3});
-    hs_peer_word word = {.shares = shares, .runs_batch = true, .batch_work_ms = 500};
+    hs_peer_word report = {.shares = shares, .runs_batch = true, .batch_work_ms = 500};
     hs_fleet_engines_set_peers(engines, 300, 1);
-    hs_fleet_engines_put_peer(engines, "owner", &word, hs_clock_monotonic_ms());
+    hs_fleet_engines_put_peer(engines, "owner", &report, hs_clock_monotonic_ms());
     GArray *nothing = g_array_new(FALSE, FALSE, sizeof(hs_engine_share));
     hs_fleet_engines_put_peer(engines, "other", &(hs_peer_word){.shares = nothing},
                               hs_clock_monotonic_ms());
     CU_ASSERT_EQUAL(hs_fleet_engines_room(engines, "svc").batch, 3);
     CU_ASSERT_EQUAL(hs_fleet_engines_peers_batch_work(engines), 500);
-    hs_fleet_engines_set_peers(engines, 300, 4); /* Three more that were not heard. */
-    hs_fleet_engines_put_peer(engines, "owner", &word, hs_clock_monotonic_ms());
+    hs_fleet_engines_set_peers(engines, 300, 4); /* Three more without a load. */
+    hs_fleet_engines_put_peer(engines, "owner", &report, hs_clock_monotonic_ms());
     CU_ASSERT_EQUAL(hs_fleet_engines_room(engines, "svc").batch, 12);
     CU_ASSERT_EQUAL(hs_fleet_engines_peers_batch_work(engines), 2000);
     g_array_free(shares, TRUE);
@@ -303,8 +299,8 @@
     hs_fleet_engines_free(engines);
 }
 
-/** A load told with an answer counts batch items too: it is no sign of online requests. */
-static void loads_of_answers_take_no_room_from_batch(void) {
+/** The load sent with an answer includes batch items and must not count as online requests. */
+static void loads_of_answers_do_not_reduce_batch_capacity(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 8);
     hs_fleet_engines_put(engines, &entry, 1);
@@ -316,8 +312,7 @@
     hs_fleet_engines_free(engines);
 }
 
-/** An engine's connections are shared out between the daemons; a full share is no reason to fail.
- */
+/** Daemons share an engine's connections evenly; each may use at least one. */
 static void a_daemon_keeps_to_its_share_of_connections(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 40);
@@ -333,8 +328,7 @@
     hs_engine_lease_release(leases[0], NULL, HS_ATTEMPT_SERVED);
     leases[0] = hs_fleet_engines_take(engines, &query);
     CU_ASSERT_PTR_NOT_NULL(leases[0]);
-    hs_fleet_engines_set_peers(engines, 99,
-                               0); /* Less than one each: one, so that all can serve. */
+    hs_fleet_engines_set_peers(engines, 99, 0); /* Less than one each: one is allowed. */
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++)
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_SERVED);
     leases[0] = hs_fleet_engines_take(engines, &query);
@@ -344,7 +338,7 @@
     hs_fleet_engines_free(engines);
 }
 
-static void an_engine_that_fails_is_passed_over_for_a_while(void) {
+static void a_failing_engine_is_avoided_for_a_while(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
@@ -354,28 +348,30 @@
     entry = entry_of("e2", 4);
     hs_fleet_engines_put(engines, &entry, 1);
     for (int turn = 0; turn < 4; turn++)
-        CU_ASSERT_STRING_EQUAL(taken_engine(engines), "e2");
+        CU_ASSERT_STRING_EQUAL(chosen_engine(engines), "e2");
     hs_fleet_engines_drop(engines, "e2");
-    CU_ASSERT_STRING_EQUAL(taken_engine(engines), "e1"); /* Better than none. */
+    CU_ASSERT_STRING_EQUAL(chosen_engine(engines), "e1"); /* The only engine left. */
     hs_fleet_engines_free(engines);
 }
 const test_case engines_tests[] = {
-    {"the_choice_weighs_reading_and_waiting", the_choice_weighs_reading_and_waiting},
+    {"the_choice_weighs_prompt_reading_and_waiting", the_choice_weighs_prompt_reading_and_waiting},
     {"batch_takes_free_slots_only", batch_takes_free_slots_only},
-    {"online_requests_count_on_batch_stepping_aside",
-     online_requests_count_on_batch_stepping_aside},
-    {"a_queue_longer_than_the_deadline_is_known", a_queue_longer_than_the_deadline_is_known},
-    {"late_requests_take_free_places_only", late_requests_take_free_places_only},
-    {"believed_caches_give_way_by_age", believed_caches_give_way_by_age},
-    {"leaving_engines_get_nothing_new", leaving_engines_get_nothing_new},
-    {"runs_tell_what_a_tenant_asks_for", runs_tell_what_a_tenant_asks_for},
-    {"batch_items_step_aside_by_share", batch_items_step_aside_by_share},
-    {"peers_words_count_while_fresh", peers_words_count_while_fresh},
-    {"a_kept_connection_decides_between_equals", a_kept_connection_decides_between_equals},
-    {"unheard_peers_count_as_the_heard", unheard_peers_count_as_the_heard},
-    {"batch_is_scaled_by_those_who_run_it", batch_is_scaled_by_those_who_run_it},
-    {"loads_of_answers_take_no_room_from_batch", loads_of_answers_take_no_room_from_batch},
+    {"online_requests_expect_batch_items_to_be_preempted",
+     online_requests_expect_batch_items_to_be_preempted},
+    {"a_queue_longer_than_the_deadline_is_detected", a_queue_longer_than_the_deadline_is_detected},
+    {"late_requests_take_free_slots_only", late_requests_take_free_slots_only},
+    {"cached_prefixes_are_evicted_by_age", cached_prefixes_are_evicted_by_age},
+    {"draining_engines_get_no_new_requests", draining_engines_get_no_new_requests},
+    {"served_runs_set_the_cost_of_a_tenants_requests",
+     served_runs_set_the_cost_of_a_tenants_requests},
+    {"batch_items_are_preempted_by_share", batch_items_are_preempted_by_share},
+    {"peer_loads_count_while_valid", peer_loads_count_while_valid},
+    {"an_idle_connection_breaks_ties", an_idle_connection_breaks_ties},
+    {"peers_without_a_load_count_as_the_mean", peers_without_a_load_count_as_the_mean},
+    {"batch_load_is_scaled_by_daemons_that_run_batch",
+     batch_load_is_scaled_by_daemons_that_run_batch},
+    {"loads_of_answers_do_not_reduce_batch_capacity",
+     loads_of_answers_do_not_reduce_batch_capacity},
     {"a_daemon_keeps_to_its_share_of_connections", a_daemon_keeps_to_its_share_of_connections},
-    {"an_engine_that_fails_is_passed_over_for_a_while",
-     an_engine_that_fails_is_passed_over_for_a_while},
+    {"a_failing_engine_is_avoided_for_a_while", a_failing_engine_is_avoided_for_a_while},
     {NULL, NULL}};
--- a/tests/unit/test_words.c
+++ b/tests/unit/test_words.c
@@ -1,4 +1,4 @@
-/** @file test_words.c  Words of engines' arbiters that travel between daemons. */
+/** @file test_words.c  Load reports of engines' arbiters that daemons relay to each other. */
 #include "base/clock.h"
 #include "base/hash.h"
 #include "fleet/engine_words.h"
@@ -9,19 +9,19 @@
 #include <math.h>
 #include <string.h>
 
-static void the_freshest_words_are_passed_on(void) {
-    hs_engine_word words[40];
-    for (size_t index = 0; index < G_N_ELEMENTS(words); index++)
-        words[index] = (hs_engine_word){index, (index * 7 % 40) * 50};
-    CU_ASSERT_EQUAL(hs_engine_words_pick(words, 40), HS_ENGINE_WORDS_MOST);
+static void the_most_recent_reports_are_relayed(void) {
+    hs_engine_word reports[40];
+    for (size_t index = 0; index < G_N_ELEMENTS(reports); index++)
+        reports[index] = (hs_engine_word){index, (index * 7 % 40) * 50};
+    CU_ASSERT_EQUAL(hs_engine_words_pick(reports, 40), HS_ENGINE_WORDS_MOST);
     for (size_t index = 0; index < HS_ENGINE_WORDS_MOST; index++)
-        CU_ASSERT_EQUAL(words[index].age_ms, index * 50);
+        CU_ASSERT_EQUAL(reports[index].age_ms, index * 50);
     hs_engine_word old[] = {{1, HS_ENGINE_WORD_VALID_MS}, {2, HS_ENGINE_WORD_VALID_MS - 1}};
     CU_ASSERT_EQUAL(hs_engine_words_pick(old, 2), 1);
     CU_ASSERT_EQUAL(old[0].engine_hash, 2);
 }
 
-static void a_word_fades(void) {
+static void report_weight_decays_with_age(void) {
     CU_ASSERT_EQUAL(hs_engine_word_weight(0), 1);
     CU_ASSERT_EQUAL(hs_engine_word_weight(HS_ENGINE_WORD_FRESH_MS), 1);
     CU_ASSERT_DOUBLE_EQUAL(hs_engine_word_weight(625), 0.5, 1e-9);
@@ -41,7 +41,7 @@
     return engines;
 }
 
-static hs_engine_total word_on(const char *id, uint32_t online, uint32_t age_ms) {
+static hs_engine_total report_on(const char *id, uint32_t online, uint32_t age_ms) {
     return (hs_engine_total){
         .engine_hash = hs_hash_bytes(id, strlen(id)), .online = online, .age_ms = age_ms};
 }
@@ -52,69 +52,68 @@
     return hs_fleet_engine_others_online(g_hash_table_lookup(engines->by_id, id), now_ms);
 }
 
-/** A fresher word replaces an older one, whoever brought it; it answers no question. */
-static void only_a_fresher_word_counts(void) {
+/** A newer report replaces an older one from any source; a relayed one is no response. */
+static void only_newer_reports_are_stored(void) {
     hs_fleet_engines *engines = list_engines(2);
     hs_fleet_engine *engine = g_hash_table_lookup(engines->by_id, "e0");
-    hs_engine_total word = word_on("e0", 5, 100);
-    hs_fleet_engines_put_passed_on(engines, &word);
+    hs_engine_total report = report_on("e0", 5, 100);
+    hs_fleet_engines_put_passed_on(engines, &report);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 5);
     CU_ASSERT_EQUAL(engine->response_count, 0);
-    word = word_on("e0", 7, 200);
-    hs_fleet_engines_put_passed_on(engines, &word);
+    report = report_on("e0", 7, 200);
+    hs_fleet_engines_put_passed_on(engines, &report);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 5);
-    word = word_on("e0", 3, 0);
-    hs_fleet_engines_put_total(engines, &word);
+    report = report_on("e0", 3, 0);
+    hs_fleet_engines_put_total(engines, &report);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 3);
     CU_ASSERT_EQUAL(engine->response_count, 1);
-    word = word_on("e0", 9, 50);
-    hs_fleet_engines_put_passed_on(engines, &word);
+    report = report_on("e0", 9, 50);
+    hs_fleet_engines_put_passed_on(engines, &report);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 3);
     CU_ASSERT_EQUAL(others_on(engines, "e1"), 0);
     hs_fleet_engines_free(engines);
 }
 
-/** What this daemon sent since the word was said is not in it. */
-static void own_requests_since_a_word_are_added(void) {
+/** A report made before a request of this daemon started does not include that request. */
+static void own_requests_since_a_report_are_added(void) {
     hs_fleet_engines *engines = list_engines(1);
     hs_engine_query query = {.service = "svc"};
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
-    hs_engine_total word = word_on("e0", 6, 100);
-    hs_fleet_engines_put_passed_on(engines, &word);
+    hs_engine_total report = report_on("e0", 6, 100);
+    hs_fleet_engines_put_passed_on(engines, &report);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 6);
     hs_clock_sleep_ms(5);
-    word = word_on("e0", 6, 0);
-    hs_fleet_engines_put_passed_on(engines, &word);
+    report = report_on("e0", 6, 0);
+    hs_fleet_engines_put_passed_on(engines, &report);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 5);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     hs_fleet_engines_free(engines);
 }
 
-/** Of an engine of which nothing is known the mean is believed, and of one long ago known partly.
- */
-static void the_mean_takes_the_place_of_old_words(void) {
+/** The mean replaces a missing report entirely, and an old report partly. */
+static void the_mean_replaces_old_reports(void) {
     hs_fleet_engines *engines = list_engines(6);
-    static const char *const fresh[] = {"e0", "e1", "e2"};
-    for (size_t index = 0; index < G_N_ELEMENTS(fresh); index++) {
-        hs_engine_total word = word_on(fresh[index], 5 + (uint32_t)index, 10);
-        hs_fleet_engines_put_passed_on(engines, &word);
+    static const char *const recent[] = {"e0", "e1", "e2"};
+    for (size_t index = 0; index < G_N_ELEMENTS(recent); index++) {
+        hs_engine_total report = report_on(recent[index], 5 + (uint32_t)index, 10);
+        hs_fleet_engines_put_passed_on(engines, &report);
     }
-    hs_engine_total old = word_on("e3", 0, 625);
+    hs_engine_total old = report_on("e3", 0, 625);
     hs_fleet_engines_put_passed_on(engines, &old);
     CU_ASSERT_DOUBLE_EQUAL(others_on(engines, "e3"), 3, 0.1);
     CU_ASSERT_EQUAL(others_on(engines, "e4"), 6);
-    hs_clock_sleep_ms(HS_ENGINE_WORD_FRESH_MS); /* No fresh word is left: nothing is known. */
+    hs_clock_sleep_ms(HS_ENGINE_WORD_FRESH_MS); /* No recent report is left. */
     CU_ASSERT_EQUAL(others_on(engines, "e4"), 0);
     hs_fleet_engines_free(engines);
 }
 
-/** Answers alone, as from older builds, and loads of peers count as ever. */
-static void without_words_passed_on_nothing_changes(void) {
+/** With direct responses only, as from older builds, a missing report is not replaced. */
+static void without_relayed_reports_no_mean_is_used(void) {
     hs_fleet_engines *engines = list_engines(5);
-    static const char *const told[] = {"e0", "e1", "e2", "e3"};
-    for (size_t index = 0; index < G_N_ELEMENTS(told); index++) {
-        hs_engine_total word = word_on(told[index], 7, 0);
-        hs_fleet_engines_put_total(engines, &word);
+    static const char *const reported[] = {"e0", "e1", "e2", "e3"};
+    for (size_t index = 0; index < G_N_ELEMENTS(reported); index++) {
+        hs_engine_total report = report_on(reported[index], 7, 0);
+        hs_fleet_engines_put_total(engines, &report);
     }
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 7);
     CU_ASSERT_EQUAL(others_on(engines, "e4"), 0);
@@ -124,72 +123,72 @@
     hs_fleet_engines_free(engines);
 }
 
-/** Three daemons' requests fail on engine 7 until 105. */
-static void take_down(hs_slot_ledger *ledger, GArray *asks) {
+/** Three daemons' requests fail on engine 7 from 101 to 105. */
+static void fail_engine(hs_slot_ledger *ledger, GArray *preemptions) {
     static const char *const daemons[] = {"a", "b", "c"};
-    for (uint64_t index = 0; index < 6; index++) { /* Each starts a request, and it fails. */
-        hs_slot_word word = {.daemon = daemons[index / 2], .incarnation = 1};
-        word.use = (hs_engine_use){
+    for (uint64_t index = 0; index < 6; index++) { /* A start and a failure of each daemon. */
+        hs_slot_word update = {.daemon = daemons[index / 2], .incarnation = 1};
+        update.use = (hs_engine_use){
             .engine_hash = 7, .sequence = index + 1, .slots = 8, .failed = index % 2};
-        word.use.online = 1 - word.use.failed;
-        hs_slot_ledger_take(ledger, &word, 100 + index, asks);
+        update.use.online = 1 - update.use.failed;
+        hs_slot_ledger_take(ledger, &update, 100 + index, preemptions);
     }
 }
 
-/** A failing word keeps away, and no longer than its arbiter means it. */
-static void a_failing_word_spreads_and_ends(void) {
+/** Reports say that an engine is failing while it is down, and again while a probe is in flight. */
+static void a_failing_report_ends_with_the_down_time(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
-    g_autoptr(GArray) words = g_array_new(FALSE, FALSE, sizeof(hs_engine_total));
-    take_down(ledger, asks);
-    hs_slot_ledger_list(ledger, 110, words);
-    CU_ASSERT_EQUAL_FATAL(words->len, 1);
-    CU_ASSERT_TRUE(g_array_index(words, hs_engine_total, 0).is_failing);
-    g_array_set_size(words, 0);
-    hs_slot_ledger_list(ledger, 1200, words); /* Its time down is over: one may go and see. */
-    CU_ASSERT_FALSE(g_array_index(words, hs_engine_total, 0).is_failing);
-    hs_slot_word trial = {.daemon = "a", .incarnation = 1};
-    trial.use =
+    g_autoptr(GArray) preemptions = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+    g_autoptr(GArray) reports = g_array_new(FALSE, FALSE, sizeof(hs_engine_total));
+    fail_engine(ledger, preemptions);
+    hs_slot_ledger_list(ledger, 110, reports);
+    CU_ASSERT_EQUAL_FATAL(reports->len, 1);
+    CU_ASSERT_TRUE(g_array_index(reports, hs_engine_total, 0).is_failing);
+    g_array_set_size(reports, 0);
+    hs_slot_ledger_list(ledger, 1200, reports); /* The down time is over: a probe may be sent. */
+    CU_ASSERT_FALSE(g_array_index(reports, hs_engine_total, 0).is_failing);
+    hs_slot_word probe = {.daemon = "a", .incarnation = 1};
+    probe.use =
         (hs_engine_use){.engine_hash = 7, .sequence = 9, .slots = 8, .failed = 1, .online = 1};
-    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &trial, 1201, asks).is_failing);
-    g_array_set_size(words, 0);
-    hs_slot_ledger_list(ledger, 1202, words);
-    CU_ASSERT_TRUE(g_array_index(words, hs_engine_total, 0).is_failing);
+    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &probe, 1201, preemptions).is_failing);
+    g_array_set_size(reports, 0);
+    hs_slot_ledger_list(ledger, 1202, reports);
+    CU_ASSERT_TRUE(g_array_index(reports, hs_engine_total, 0).is_failing);
     hs_slot_ledger_free(ledger);
 }
 
 /**
- * A stream that goes on there keeps its daemon's words coming. They must not say that the engine
- * fails when the next request may go: that word travels, and nobody would go and see.
+ * Responses to a daemon whose stream keeps running must not say that the engine is failing once a
+ * probe may be sent: they are relayed, and no daemon would send the probe.
  */
-static void a_word_without_a_start_ends_with_the_time_down(void) {
+static void responses_to_running_streams_end_with_the_down_time(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+    g_autoptr(GArray) preemptions = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
     hs_slot_word stream = {.daemon = "d", .incarnation = 1};
     stream.use = (hs_engine_use){.engine_hash = 7, .sequence = 1, .slots = 8, .batch = 1};
-    hs_slot_ledger_take(ledger, &stream, 99, asks);
-    take_down(ledger, asks);
+    hs_slot_ledger_take(ledger, &stream, 99, preemptions);
+    fail_engine(ledger, preemptions);
     stream.use.sequence = 7;
-    CU_ASSERT_TRUE(hs_slot_ledger_take(ledger, &stream, 110, asks).is_failing);
+    CU_ASSERT_TRUE(hs_slot_ledger_take(ledger, &stream, 110, preemptions).is_failing);
     stream.use.sequence = 8;
-    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &stream, 1200, asks).is_failing);
-    hs_slot_word trial = {.daemon = "a", .incarnation = 1};
-    trial.use =
+    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &stream, 1200, preemptions).is_failing);
+    hs_slot_word probe = {.daemon = "a", .incarnation = 1};
+    probe.use =
         (hs_engine_use){.engine_hash = 7, .sequence = 9, .slots = 8, .failed = 1, .online = 1};
-    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &trial, 1201, asks).is_failing);
+    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &probe, 1201, preemptions).is_failing);
     stream.use.sequence = 10;
-    CU_ASSERT_TRUE(hs_slot_ledger_take(ledger, &stream, 1202, asks).is_failing);
+    CU_ASSERT_TRUE(hs_slot_ledger_take(ledger, &stream, 1202, preemptions).is_failing);
     hs_slot_ledger_free(ledger);
 }
 
 const test_case word_tests[] = {
-    {"the_freshest_words_are_passed_on", the_freshest_words_are_passed_on},
-    {"a_word_fades", a_word_fades},
-    {"only_a_fresher_word_counts", only_a_fresher_word_counts},
-    {"own_requests_since_a_word_are_added", own_requests_since_a_word_are_added},
-    {"the_mean_takes_the_place_of_old_words", the_mean_takes_the_place_of_old_words},
-    {"without_words_passed_on_nothing_changes", without_words_passed_on_nothing_changes},
-    {"a_failing_word_spreads_and_ends", a_failing_word_spreads_and_ends},
-    {"a_word_without_a_start_ends_with_the_time_down",
-     a_word_without_a_start_ends_with_the_time_down},
+    {"the_most_recent_reports_are_relayed", the_most_recent_reports_are_relayed},
+    {"report_weight_decays_with_age", report_weight_decays_with_age},
+    {"only_newer_reports_are_stored", only_newer_reports_are_stored},
+    {"own_requests_since_a_report_are_added", own_requests_since_a_report_are_added},
+    {"the_mean_replaces_old_reports", the_mean_replaces_old_reports},
+    {"without_relayed_reports_no_mean_is_used", without_relayed_reports_no_mean_is_used},
+    {"a_failing_report_ends_with_the_down_time", a_failing_report_ends_with_the_down_time},
+    {"responses_to_running_streams_end_with_the_down_time",
+     responses_to_running_streams_end_with_the_down_time},
     {NULL, NULL}};
--- a/tests/unit/test_words_travel.c
+++ b/tests/unit/test_words_travel.c
@@ -1,4 +1,4 @@
-/** @file test_words_travel.c  An arbiter's answer, over a socket, from one daemon to another. */
+/** @file test_words_travel.c  An arbiter's response to another daemon over a socket. */
 #include "base/clock.h"
 #include "base/endpoint.h"
 #include "base/hash.h"
@@ -11,12 +11,12 @@
 #include <unistd.h>
 
 #define ENGINES 40
-#define LARGE 60
-#define SMALL 10
-/** What fits an Ethernet frame, with room for the sender's name. */
-#define DATAGRAM_MOST 1400
+#define LARGE_FLEET 60
+#define SMALL_FLEET 10
+/** Fits an Ethernet frame, with space for the sender's id. */
+#define MAX_DATAGRAM_BYTES 1400
 
-/** A daemon that arbitrates all engines, since it knows no other. */
+/** A daemon that arbitrates all engines, since it knows no other daemon. */
 typedef struct {
     hs_peer_socket *socket;
     hs_membership_service *membership;
@@ -56,9 +56,9 @@
     return hs_hash_bytes(id, strlen(id));
 }
 
-/** Daemon "other" tells that it has @p online on an engine. */
-static void tell(const member *arbiter, int index, uint32_t online, bool wants_totals,
-                 const struct sockaddr_in *from) {
+/** Daemon "other" sends its use of an engine. */
+static void send_use(const member *arbiter, int index, uint32_t online, bool wants_totals,
+                     const struct sockaddr_in *from) {
     static uint64_t sequence = 0;
     Hs__EngineUse use = HS__ENGINE_USE__INIT;
     use.engine_hash = hash_of(index);
@@ -78,66 +78,66 @@
     hs_slot_arbiter_handle(arbiter->arbiter, &message, from);
 }
 
-/** Tell of all engines, ask about the first, and read the answer; its length in @p length. */
-static Hs__PeerMessage *ask(const member *arbiter, ssize_t *length) {
+/** Sends uses of all engines, requests a response on the first, and reads it. */
+static Hs__PeerMessage *request_response(const member *arbiter, ssize_t *length) {
     struct sockaddr_in own = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     socklen_t own_length = sizeof own;
-    struct timeval patience = {.tv_sec = 2};
+    struct timeval timeout = {.tv_sec = 2};
     uint8_t buffer[4096];
     int descriptor = socket(AF_INET, SOCK_DGRAM, 0);
     CU_ASSERT_EQUAL_FATAL(bind(descriptor, (struct sockaddr *)&own, own_length), 0);
     getsockname(descriptor, (struct sockaddr *)&own, &own_length);
-    setsockopt(descriptor, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    setsockopt(descriptor, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     for (int index = ENGINES - 1; index >= 0; index--)
-        tell(arbiter, index, 5, index == 0, &own);
+        send_use(arbiter, index, 5, index == 0, &own);
     *length = recv(descriptor, buffer, sizeof buffer, 0);
     close(descriptor);
     CU_ASSERT_FATAL(*length > 0);
     return hs__peer_message__unpack(NULL, (size_t)*length, buffer);
 }
 
-/** The answer carries the most words there may be, and whoever hears it believes them. */
-static void an_answer_carries_words_on_other_engines(void) {
-    member arbiter = make_member("a", LARGE);
-    member hearer = make_member("b", LARGE);
+/** A response relays the maximum number of reports, and the receiver uses them. */
+static void a_response_relays_reports_on_other_engines(void) {
+    member arbiter = make_member("a", LARGE_FLEET);
+    member receiver = make_member("b", LARGE_FLEET);
     ssize_t length = 0;
-    Hs__PeerMessage *answer = ask(&arbiter, &length);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(answer);
-    if (answer == NULL)
+    Hs__PeerMessage *response = request_response(&arbiter, &length);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(response);
+    if (response == NULL)
         return;
-    const Hs__EngineTotals *totals = answer->engine_totals;
+    const Hs__EngineTotals *totals = response->engine_totals;
     CU_ASSERT_EQUAL(totals->n_totals, 1);
     CU_ASSERT_EQUAL_FATAL(totals->n_passed_on, HS_ENGINE_WORDS_MOST);
-    CU_ASSERT(length < DATAGRAM_MOST);
-    hs_slot_arbiter_handle(hearer.arbiter, answer, NULL);
-    uint32_t estimate_load = 0;
+    CU_ASSERT(length < MAX_DATAGRAM_BYTES);
+    hs_slot_arbiter_handle(receiver.arbiter, response, NULL);
+    uint32_t used = 0;
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (int index = 0; index < ENGINES; index++) {
-        const hs_fleet_engine *engine = hs_fleet_engines_find(hearer.engines, hash_of(index));
-        estimate_load += hs_fleet_engine_others_online(engine, now_ms) == 5;
-        CU_ASSERT_EQUAL(engine->response_count, index == 0); /* The others answer no question. */
+        const hs_fleet_engine *engine = hs_fleet_engines_find(receiver.engines, hash_of(index));
+        used += hs_fleet_engine_others_online(engine, now_ms) == 5;
+        CU_ASSERT_EQUAL(engine->response_count, index == 0); /* Relayed ones are no responses. */
     }
-    CU_ASSERT_EQUAL(estimate_load, HS_ENGINE_WORDS_MOST + 1);
-    hs__peer_message__free_unpacked(answer, NULL);
-    free_member(&hearer);
+    CU_ASSERT_EQUAL(used, HS_ENGINE_WORDS_MOST + 1);
+    hs__peer_message__free_unpacked(response, NULL);
+    free_member(&receiver);
     free_member(&arbiter);
 }
 
-/** In a small fleet, where daemons tell each other their loads, an answer is as it was. */
-static void a_small_fleet_passes_nothing_on(void) {
-    member arbiter = make_member("a", SMALL);
+/** In a small fleet daemons announce their loads to each other instead. */
+static void a_small_fleet_relays_no_reports(void) {
+    member arbiter = make_member("a", SMALL_FLEET);
     ssize_t length = 0;
-    Hs__PeerMessage *answer = ask(&arbiter, &length);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(answer);
-    if (answer == NULL)
+    Hs__PeerMessage *response = request_response(&arbiter, &length);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(response);
+    if (response == NULL)
         return;
-    CU_ASSERT_EQUAL(answer->engine_totals->n_passed_on, 0);
+    CU_ASSERT_EQUAL(response->engine_totals->n_passed_on, 0);
     CU_ASSERT_EQUAL(arbiter.engines->reports.accepted, 0);
-    hs__peer_message__free_unpacked(answer, NULL);
+    hs__peer_message__free_unpacked(response, NULL);
     free_member(&arbiter);
 }
 
 const test_case words_travel_tests[] = {
-    {"an_answer_carries_words_on_other_engines", an_answer_carries_words_on_other_engines},
-    {"a_small_fleet_passes_nothing_on", a_small_fleet_passes_nothing_on},
+    {"a_response_relays_reports_on_other_engines", a_response_relays_reports_on_other_engines},
+    {"a_small_fleet_relays_no_reports", a_small_fleet_relays_no_reports},
     {NULL, NULL}};
