--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -152,7 +152,7 @@
 
 /** Response of the engine's arbiter to a new lease. */
 typedef enum {
-    HS_LEASE_FITS, /**< The engine has a free slot, or a batch item is preempted to free one. */
+    HS_LEASE_FITS, /**< A slot is free, or a batch item is preempted to free one. */
     /** The batch item is to be preempted; an online request would wait for slots or prompts. */
     HS_LEASE_CROWDED,
     HS_LEASE_FAILING, /**< Recent requests of all daemons to the engine fail. */
@@ -357,7 +357,7 @@
 /** Whether the fleet is large enough for load reports to be relayed; see engine_words.h. */
 bool hs_fleet_engines_passes_words(hs_fleet_engines *engines);
 
-/** Load reports that are still valid, with their ages: of hs_engine_total. Free: g_array_free. */
+/** Valid load reports with their ages: of hs_engine_total. Free with g_array_free. */
 GArray *hs_fleet_engines_words(hs_fleet_engines *engines);
 
 /** Counts reports that this daemon relayed, and their bytes. */
