--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -224,7 +224,7 @@
     return (uint32_t)due_ms;
 }
 
-/** A place may be free in the service: see hs_engine_place_watch. */
+/** A place may be free in the service: see hs_engine_slot_observer. */
 static void wake_held(const char *service, void *user_data) {
     hs_held_requests_wake(user_data, service);
 }
@@ -239,7 +239,7 @@
     daemon->config = hs_config_source_new(daemon->store, config_due_ms(settings));
     daemon->engines = hs_fleet_engines_new(settings->zone);
     daemon->online.held = hs_held_requests_new();
-    hs_fleet_engines_set_place_watch(daemon->engines, wake_held, daemon->online.held);
+    hs_fleet_engines_set_slot_observer(daemon->engines, wake_held, daemon->online.held);
     daemon->crash_watch = hs_crash_watch_new();
     hs_fleet_engines_set_crash_watch(daemon->engines, daemon->crash_watch);
     daemon->engine_source =
--- a/src/directory/daemon_directory.c
+++ b/src/directory/daemon_directory.c
@@ -92,11 +92,11 @@
                                  .suspected = one->suspected};
         g_array_append_val(shares, share);
     }
-    hs_peer_word word = {.shares = shares,
-                         .batch_work_ms = told->batch_work_ms,
-                         .runs_batch = owns_partitions(directory, message->sender_id)};
-    hs_fleet_engines_put_peer(directory->settings.engines, message->sender_id, &word,
-                              hs_clock_monotonic_ms());
+    hs_peer_report word = {.shares = shares,
+                           .batch_work_ms = told->batch_work_ms,
+                           .runs_batch = owns_partitions(directory, message->sender_id)};
+    hs_fleet_engines_put_peer_report(directory->settings.engines, message->sender_id, &word,
+                                     hs_clock_monotonic_ms());
 }
 
 static void handle_message(const Hs__PeerMessage *message, const struct sockaddr_in *from,
--- a/src/directory/slot_arbiter.c
+++ b/src/directory/slot_arbiter.c
@@ -72,17 +72,17 @@
         message.kind_case = HS__PEER_MESSAGE__KIND_STEP_ASIDE;
         message.step_aside = &body;
         if (is_self(arbiter, ask->daemon))
-            hs_fleet_engines_step_aside(arbiter->engines, engine_hash, ask->count);
+            hs_fleet_engines_preempt_items(arbiter->engines, engine_hash, ask->count);
         else
             send_to(arbiter, &to, &message);
     }
 }
 
 /** Note what one daemon has on an engine and act on it. */
-static hs_engine_total take_word(hs_slot_arbiter *arbiter, const hs_slot_word *word) {
+static hs_engine_load_report take_word(hs_slot_arbiter *arbiter, const hs_slot_word *word) {
     g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
     g_mutex_lock(&arbiter->lock);
-    hs_engine_total total =
+    hs_engine_load_report total =
         hs_slot_ledger_take(arbiter->ledger, word, hs_clock_monotonic_ms(), asks);
     g_mutex_unlock(&arbiter->lock);
     pass_on(arbiter, word->use.engine_hash, asks);
@@ -107,7 +107,7 @@
                                   .slowdown_age_ms = told->slowdown_age_ms}};
 }
 
-static void write_total(const hs_engine_total *total, Hs__EngineTotal *told) {
+static void write_total(const hs_engine_load_report *total, Hs__EngineTotal *told) {
     hs__engine_total__init(told);
     told->engine_hash = total->engine_hash;
     told->online = total->online;
@@ -120,27 +120,27 @@
     told->age_ms = total->age_ms;
 }
 
-static hs_engine_total read_total(const Hs__EngineTotal *told) {
-    return (hs_engine_total){.engine_hash = told->engine_hash,
-                             .online = told->online,
-                             .batch = told->batch,
-                             .queued_tokens = told->queued_tokens,
-                             .is_failing = told->is_failing,
-                             .event_us = told->event_us,
-                             .slowdown_percent = told->slowdown_percent,
-                             .slowdown_age_ms = told->slowdown_age_ms,
-                             .age_ms = told->age_ms};
+static hs_engine_load_report read_total(const Hs__EngineTotal *told) {
+    return (hs_engine_load_report){.engine_hash = told->engine_hash,
+                                   .online = told->online,
+                                   .batch = told->batch,
+                                   .queued_tokens = told->queued_tokens,
+                                   .is_failing = told->is_failing,
+                                   .event_us = told->event_us,
+                                   .slowdown_percent = told->slowdown_percent,
+                                   .slowdown_age_ms = told->slowdown_age_ms,
+                                   .age_ms = told->age_ms};
 }
 
 /** What this daemon knows as an arbiter is what it believes as a sender. */
 static void believe_own_words(hs_slot_arbiter *arbiter) {
-    g_autoptr(GArray) own = g_array_new(FALSE, FALSE, sizeof(hs_engine_total));
+    g_autoptr(GArray) own = g_array_new(FALSE, FALSE, sizeof(hs_engine_load_report));
     g_mutex_lock(&arbiter->lock);
     hs_slot_ledger_list(arbiter->ledger, hs_clock_monotonic_ms(), own);
     g_mutex_unlock(&arbiter->lock);
     for (guint index = 0; index < own->len; index++)
-        hs_fleet_engines_put_passed_on(arbiter->engines,
-                                       &g_array_index(own, hs_engine_total, index));
+        hs_fleet_engines_put_relayed_report(arbiter->engines,
+                                            &g_array_index(own, hs_engine_load_report, index));
 }
 
 static bool is_answered(const Hs__EngineTotals *body, uint64_t engine_hash) {
@@ -154,7 +154,7 @@
 static GArray *words_to_pick(const GArray *known, const Hs__EngineTotals *body) {
     GArray *words = g_array_new(FALSE, FALSE, sizeof(hs_relay_candidate));
     for (guint index = 0; index < known->len; index++) {
-        const hs_engine_total *total = &g_array_index(known, hs_engine_total, index);
+        const hs_engine_load_report *total = &g_array_index(known, hs_engine_load_report, index);
         hs_relay_candidate word = {.engine_hash = index, .age_ms = total->age_ms};
         if (!is_answered(body, total->engine_hash))
             g_array_append_val(words, word);
@@ -167,10 +167,10 @@
  * NULL where there are none. Free them and the list with g_free.
  */
 static Hs__EngineTotal *add_words(hs_slot_arbiter *arbiter, Hs__EngineTotals *body) {
-    if (!hs_fleet_engines_passes_words(arbiter->engines))
+    if (!hs_fleet_engines_is_relaying_reports(arbiter->engines))
         return NULL;
     believe_own_words(arbiter);
-    g_autoptr(GArray) known = hs_fleet_engines_words(arbiter->engines);
+    g_autoptr(GArray) known = hs_fleet_engines_list_reports(arbiter->engines);
     g_autoptr(GArray) words = words_to_pick(known, body);
     size_t room = body->n_totals < ANSWER_WORDS_MOST ? ANSWER_WORDS_MOST - body->n_totals : 0;
     size_t count = hs_engine_reports_pick((hs_relay_candidate *)words->data, words->len);
@@ -180,11 +180,11 @@
     body->passed_on = g_new(Hs__EngineTotal *, body->n_passed_on + 1);
     for (size_t index = 0; index < body->n_passed_on; index++) {
         const hs_relay_candidate *word = &g_array_index(words, hs_relay_candidate, index);
-        write_total(&g_array_index(known, hs_engine_total, word->engine_hash), &told[index]);
+        write_total(&g_array_index(known, hs_engine_load_report, word->engine_hash), &told[index]);
         body->passed_on[index] = &told[index];
         bytes += hs__engine_total__get_packed_size(&told[index]) + WORD_HEAD_BYTES;
     }
-    hs_fleet_engines_note_passed_on(arbiter->engines, body->n_passed_on, bytes);
+    hs_fleet_engines_count_relayed_reports(arbiter->engines, body->n_passed_on, bytes);
     return told;
 }
 
@@ -195,7 +195,7 @@
     g_autofree Hs__EngineTotal **list = g_new(Hs__EngineTotal *, uses->n_uses + 1);
     for (size_t index = 0; index < uses->n_uses; index++) {
         hs_slot_word word = word_from(message, uses->uses[index]);
-        hs_engine_total sum = take_word(arbiter, &word);
+        hs_engine_load_report sum = take_word(arbiter, &word);
         write_total(&sum, &totals[index]);
         list[index] = &totals[index];
     }
@@ -216,12 +216,12 @@
 
 static void take_totals(hs_slot_arbiter *arbiter, const Hs__EngineTotals *told) {
     for (size_t index = 0; index < told->n_totals; index++) {
-        hs_engine_total total = read_total(told->totals[index]);
-        hs_fleet_engines_put_total(arbiter->engines, &total);
+        hs_engine_load_report total = read_total(told->totals[index]);
+        hs_fleet_engines_put_report(arbiter->engines, &total);
     }
     for (size_t index = 0; index < told->n_passed_on; index++) {
-        hs_engine_total total = read_total(told->passed_on[index]);
-        hs_fleet_engines_put_passed_on(arbiter->engines, &total);
+        hs_engine_load_report total = read_total(told->passed_on[index]);
+        hs_fleet_engines_put_relayed_report(arbiter->engines, &total);
     }
 }
 
@@ -235,8 +235,8 @@
         take_totals(arbiter, message->engine_totals);
         return true;
     case HS__PEER_MESSAGE__KIND_STEP_ASIDE:
-        hs_fleet_engines_step_aside(arbiter->engines, message->step_aside->engine_hash,
-                                    message->step_aside->count);
+        hs_fleet_engines_preempt_items(arbiter->engines, message->step_aside->engine_hash,
+                                       message->step_aside->count);
         return true;
     default:
         return false;
@@ -248,8 +248,8 @@
     hs_slot_word word = {.daemon = self->id,
                          .incarnation = hs_membership_service_incarnation(arbiter->membership),
                          .use = *own};
-    hs_engine_total total = take_word(arbiter, &word);
-    hs_fleet_engines_put_total(arbiter->engines, &total);
+    hs_engine_load_report total = take_word(arbiter, &word);
+    hs_fleet_engines_put_report(arbiter->engines, &total);
 }
 
 /** Send @p uses, all of engines that @p to arbitrates. */
@@ -339,14 +339,14 @@
     arbiter->membership = membership;
     arbiter->ledger = hs_slot_ledger_new();
     g_mutex_init(&arbiter->lock);
-    hs_fleet_engines_set_teller(engines, tell, arbiter);
+    hs_fleet_engines_set_use_observer(engines, tell, arbiter);
     return arbiter;
 }
 
 void hs_slot_arbiter_free(hs_slot_arbiter *arbiter) {
     if (arbiter == NULL)
         return;
-    hs_fleet_engines_set_teller(arbiter->engines, NULL, NULL);
+    hs_fleet_engines_set_use_observer(arbiter->engines, NULL, NULL);
     hs_slot_ledger_free(arbiter->ledger);
     g_mutex_clear(&arbiter->lock);
     g_free(arbiter);
--- a/src/fleet/engine_attempt.c
+++ b/src/fleet/engine_attempt.c
@@ -121,7 +121,7 @@
 
 /** Arbiters' words say that all engines are full: to look at more of them only costs time. */
 static bool is_none_free(const hs_engine_reasons *reasons) {
-    return reasons->word_age_ms > 0 && !reasons->is_any_free;
+    return reasons->load_report_age_ms > 0 && !reasons->is_any_free;
 }
 
 /**
@@ -135,16 +135,16 @@
     char refused_by[sizeof attempt->engine_id] = "";
     for (uint32_t look = 0; take_engine(engines, order, attempt); look++) {
         bool is_batch = order->query.work == HS_WORK_BATCH;
-        hs_lease_word word = hs_engine_lease_confirm(
+        hs_lease_confirmation word = hs_engine_lease_confirm(
             attempt->lease, is_batch ? BATCH_CONFIRM_LIMIT_MS : ONLINE_CONFIRM_LIMIT_MS);
-        if (word != HS_LEASE_CROWDED && word != HS_LEASE_FAILING)
+        if (word != HS_LEASE_OVERLOADED && word != HS_LEASE_ENGINE_FAILING)
             return true;
-        if (is_batch && word == HS_LEASE_CROWDED) {
+        if (is_batch && word == HS_LEASE_OVERLOADED) {
             attempt->step = HS_STEP_CALLER_GONE;
             return false;
         }
         bool is_last_look = look + 1 == LOOKS_MOST || strcmp(refused_by, attempt->engine_id) == 0 ||
-                            (word == HS_LEASE_CROWDED && is_none_free(&attempt->reasons));
+                            (word == HS_LEASE_OVERLOADED && is_none_free(&attempt->reasons));
         if (is_last_look && !is_batch)
             return true;
         g_strlcpy(refused_by, attempt->engine_id, sizeof refused_by);
@@ -161,8 +161,8 @@
     if (!order->may_be_refused)
         return true;
     attempt->prospect =
-        hs_engine_lease_prospect(attempt->lease, &order->query, left_ms(order->wait.deadline));
-    if (!attempt->prospect.is_hopeless && attempt->prospect.is_quick)
+        hs_engine_lease_estimate(attempt->lease, &order->query, left_ms(order->wait.deadline));
+    if (!attempt->prospect.will_miss_deadline && attempt->prospect.can_start_in_time)
         return true;
     hs_engine_lease_release(attempt->lease, NULL, HS_ATTEMPT_DROPPED);
     attempt->lease = NULL;
@@ -196,8 +196,8 @@
     bool has_head = attempt->step == HS_STEP_PROGRESS || attempt->step == HS_STEP_COMPLETE;
     attempt->run = run_after(attempt, has_head);
     if (has_head) {
-        hs_engine_lease_head_came(attempt->lease);
-        hs_engine_lease_heard(attempt->lease);
+        hs_engine_lease_note_head(attempt->lease);
+        hs_engine_lease_note_received(attempt->lease);
         hs_engine_lease_note_load(attempt->lease, &attempt->answer.load);
     }
     return has_head;
@@ -217,7 +217,7 @@
 
 void hs_attempt_note_misplaced(const hs_attempt *attempt, const char *request_id,
                                uint64_t last_event, uint64_t event) {
-    hs_engine_lease_note_misplaced(attempt->lease);
+    hs_engine_lease_note_resume_mismatch(attempt->lease);
     hs_client_connection_give_up(attempt->connection);
     hs_log_warning("run_misplaced",
                    "request=%s engine=%s last_event=%" G_GUINT64_FORMAT " event=%" G_GUINT64_FORMAT
--- a/src/fleet/engine_attempt.h
+++ b/src/fleet/engine_attempt.h
@@ -45,9 +45,10 @@
     uint64_t sent_ms; /**< Monotonic time at which the request was sent. */
     uint32_t status;
     hs_engine_answer answer;
-    char engine_id[64];         /**< For logs, also after the end. */
-    hs_engine_reasons reasons;  /**< Why that engine; likewise. */
-    hs_lease_prospect prospect; /**< is_hopeless: why it was not sent there, without a lease. */
+    char engine_id[64];        /**< For logs, also after the end. */
+    hs_engine_reasons reasons; /**< Why that engine; likewise. */
+    hs_lease_estimate
+        prospect; /**< will_miss_deadline: why it was not sent there, without a lease. */
 } hs_attempt;
 
 /** Choose, connect, send, read the head. True when there is a head. */
--- a/src/fleet/engine_choice.h
+++ b/src/fleet/engine_choice.h
@@ -31,9 +31,9 @@
     double failure_rate;    /**< Share of recent requests that failed on the engine, 0 to 1. */
     bool suspected;
     bool same_zone;
-    bool is_connected;  /**< This daemon has an idle connection to the engine. */
-    double pace;        /**< See hs_engine_pace_factor; 0: unknown, counts as 1. */
-    double word_age_ms; /**< Age of the engine's load report; 0: the load is exact. */
+    bool is_connected;         /**< This daemon has an idle connection to the engine. */
+    double pace;               /**< See hs_engine_pace_factor; 0: unknown, counts as 1. */
+    double load_report_age_ms; /**< Age of the engine's load report; 0: the load is exact. */
 } hs_engine_candidate;
 
 /** Observed speeds of a service's engines. */
--- a/src/fleet/engine_source.c
+++ b/src/fleet/engine_source.c
@@ -92,9 +92,9 @@
 static bool take_entry(hs_engine_source *source, const char *id, const uint8_t *value,
                        size_t length) {
     if (length == 0 && hs_clock_monotonic_ms() < source->trust_from_ms)
-        hs_fleet_engines_doubt(source->engines, id, source->trust_from_ms);
+        hs_fleet_engines_unlist(source->engines, id, source->trust_from_ms);
     else if (length == 0)
-        hs_fleet_engines_lapse(source->engines, id);
+        hs_fleet_engines_expire(source->engines, id);
     if (length == 0)
         return false;
     hs_engine_entry entry = {0};
--- a/src/fleet/engine_spread.c
+++ b/src/fleet/engine_spread.c
@@ -76,7 +76,7 @@
     engine_projection projection = {.candidate = *candidate};
     double mean_running = mean->running * candidate->slots;
     double replaced_share =
-        fmin(CONVERGENCE_FACTOR * candidate->word_age_ms / run_ms_at(candidate, speed), 1);
+        fmin(CONVERGENCE_FACTOR * candidate->load_report_age_ms / run_ms_at(candidate, speed), 1);
     projection.candidate.running += (mean_running - candidate->running) * replaced_share;
     projection.deviation = sqrt((candidate->running + mean_running) * replaced_share);
     projection.is_preferred =
@@ -112,7 +112,7 @@
     do {
         engine_projection *projection = cheapest(projections, count, first++ % count);
         assigned++;
-        ages_ms += projection->candidate.word_age_ms;
+        ages_ms += projection->candidate.load_report_age_ms;
         projection->assigned++;
         projection->candidate.running++;
         set_cost(projection, speed);
@@ -153,7 +153,7 @@
 static bool are_loads_exact(const hs_engine_candidate *candidates, size_t count) {
     bool is_exact = true;
     for (size_t index = 0; index < count; index++)
-        is_exact = is_exact && candidates[index].word_age_ms <= 0;
+        is_exact = is_exact && candidates[index].load_report_age_ms <= 0;
     return is_exact;
 }
 
--- a/src/fleet/slot_ledger.c
+++ b/src/fleet/slot_ledger.c
@@ -168,7 +168,7 @@
 }
 
 /** What the engine's pace is by all daemons' words. */
-static void add_pace(const engine_uses *engine, uint64_t now_ms, hs_engine_total *total) {
+static void add_pace(const engine_uses *engine, uint64_t now_ms, hs_engine_load_report *total) {
     total->event_us = hs_engine_pace_observed_event_us(&engine->pace, now_ms);
     if (engine->pace.slowdown_percent == 0)
         return;
@@ -196,8 +196,8 @@
     return word->use.sequence <= use->told.sequence;
 }
 
-static hs_engine_total sum(const engine_uses *engine, uint64_t now_ms) {
-    hs_engine_total total = {.engine_hash = engine->hash};
+static hs_engine_load_report sum(const engine_uses *engine, uint64_t now_ms) {
+    hs_engine_load_report total = {.engine_hash = engine->hash};
     for (guint index = 0; index < engine->uses->len; index++) {
         const daemon_use *use = engine->uses->pdata[index];
         total.online += use->told.online;
@@ -252,8 +252,8 @@
     return starts ? !is_admitted : hs_engine_health_is_avoided(health, now_ms);
 }
 
-hs_engine_total hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *word,
-                                    uint64_t now_ms, GArray *asks) {
+hs_engine_load_report hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *word,
+                                          uint64_t now_ms, GArray *asks) {
     engine_uses *engine = engine_of(ledger, word->use.engine_hash);
     expire_uses(engine, now_ms);
     engine->told_ms = now_ms;
@@ -264,7 +264,7 @@
         note_pace(engine, sender, word, now_ms);
         started = note(sender, word, now_ms);
     }
-    hs_engine_total total = sum(engine, now_ms);
+    hs_engine_load_report total = sum(engine, now_ms);
     add_pace(engine, now_ms, &total);
     total.is_failing = is_failing_for(&engine->health, started.any, now_ms);
     while (total.online + total.batch > word->use.slots && total.batch > 0) {
@@ -280,7 +280,7 @@
     g_hash_table_iter_init(&iterator, ledger->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const engine_uses *engine = value;
-        hs_engine_total total = sum(engine, now_ms);
+        hs_engine_load_report total = sum(engine, now_ms);
         add_pace(engine, now_ms, &total);
         total.is_failing = hs_engine_health_is_avoided(&engine->health, now_ms);
         g_array_append_val(totals, total);
--- a/src/fleet/slot_ledger.h
+++ b/src/fleet/slot_ledger.h
@@ -41,10 +41,10 @@
  * @p asks (of hs_slot_ask) and counts as gone from then on, also in the answer: what all daemons
  * have on the engine.
  */
-hs_engine_total hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *word,
-                                    uint64_t now_ms, GArray *asks);
+hs_engine_load_report hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *word,
+                                          uint64_t now_ms, GArray *asks);
 
-/** Append to @p totals (of hs_engine_total) what all daemons have on each engine now. */
+/** Append to @p totals (of hs_engine_load_report) what all daemons have on each engine now. */
 void hs_slot_ledger_list(const hs_slot_ledger *ledger, uint64_t now_ms, GArray *totals);
 
 /** Drop the words of daemons that were not heard for long. */
--- a/src/jobs/item_run.c
+++ b/src/jobs/item_run.c
@@ -123,9 +123,9 @@
                         .interrupt = &run->interrupt};
         attempt->step = hs_client_connection_read_body(attempt->connection, &wait);
         if (body->len > 0 && is_first)
-            hs_engine_lease_first_token(attempt->lease);
+            hs_engine_lease_note_first_token(attempt->lease);
         else if (body->len > 0)
-            hs_engine_lease_heard(attempt->lease);
+            hs_engine_lease_note_received(attempt->lease);
         is_first = is_first && body->len == 0;
         if (!hs_event_stream_take(&run->events, body, NULL, run->texts)) {
             hs_attempt_note_misplaced(attempt, run->item_id, run->events.last_id,
@@ -261,7 +261,8 @@
         .query = {.service = name,
                   .size = caller.size.prompt_tokens > 0 ? &caller.size : NULL,
                   .work = HS_WORK_BATCH,
-                  .yield = run->is_on_trial ? NULL : &run->interrupt, /* It has one run. */
+                  .preemption_flag =
+                      run->is_on_trial ? NULL : &run->interrupt, /* It has one run. */
                   .rank_ms = terms->rank_ms,
                   .memory_tokens = service != NULL ? service->memory_tokens : 0,
                   .max_connections = service != NULL ? service->max_connections : 0},
--- a/src/jobs/job_plan.c
+++ b/src/jobs/job_plan.c
@@ -38,7 +38,7 @@
  * is to end in time.
  */
 static double own_slots(hs_job_owner *owner, const char *service, uint64_t own_work_ms) {
-    hs_service_room room = hs_fleet_engines_room(owner->settings.engines, service);
+    hs_service_capacity room = hs_fleet_engines_capacity(owner->settings.engines, service);
     owner->online_mean += (room.online - owner->online_mean) * ONLINE_WEIGHT;
     double slots = fmax(room.slots - owner->online_mean, 1.0) * SLOTS_USED;
     double peers_ms = hs_fleet_engines_peers_batch_work(owner->settings.engines);
--- a/src/jobs/job_room.c
+++ b/src/jobs/job_room.c
@@ -7,7 +7,7 @@
  */
 #define STARTERS_SHARE (1.0 / 3.0)
 
-uint32_t hs_job_room(const hs_service_room *room, uint32_t daemons, uint32_t partitions) {
+uint32_t hs_job_room(const hs_service_capacity *room, uint32_t daemons, uint32_t partitions) {
     double spare = room->slots - room->batch - room->online;
     if (spare < 1)
         return 0;
@@ -15,9 +15,9 @@
     return MAX((uint32_t)(spare / starters), 1);
 }
 
-uint32_t hs_job_room_left(const hs_service_room *room, double expected_online, uint32_t daemons,
+uint32_t hs_job_room_left(const hs_service_capacity *room, double expected_online, uint32_t daemons,
                           uint32_t partitions) {
-    hs_service_room expected = *room;
+    hs_service_capacity expected = *room;
     expected.online = MAX(room->online, expected_online);
     return hs_job_room(&expected, daemons, partitions);
 }
--- a/src/jobs/job_room.h
+++ b/src/jobs/job_room.h
@@ -19,13 +19,13 @@
  * daemons that have items to start, which are no more than there are @p partitions; at least one
  * where a slot is free.
  */
-uint32_t hs_job_room(const hs_service_room *room, uint32_t daemons, uint32_t partitions);
+uint32_t hs_job_room(const hs_service_capacity *room, uint32_t daemons, uint32_t partitions);
 
 /**
  * The same where online requests are expected to hold @p expected_online slots soon, which may be
  * more than they hold now. Items that are pressing start by hs_job_room all the same.
  */
-uint32_t hs_job_room_left(const hs_service_room *room, double expected_online, uint32_t daemons,
+uint32_t hs_job_room_left(const hs_service_capacity *room, double expected_online, uint32_t daemons,
                           uint32_t partitions);
 
 #endif
--- a/src/jobs/job_scheduler.c
+++ b/src/jobs/job_scheduler.c
@@ -104,7 +104,7 @@
 }
 
 /** Why this one, now. */
-static void log_start(const hs_open_item *open, const hs_service_room *room,
+static void log_start(const hs_open_item *open, const hs_service_capacity *room,
                       const hs_service_starts *starts, guint count) {
     const hs_item_run *run = open->item->run;
     hs_log_info("item_started",
@@ -154,8 +154,8 @@
     uint32_t daemons;   /**< Live ones. */
 } pass_starts;
 
-static pass_count *count_of(hs_job_owner *owner, const char *service, const hs_service_room *room,
-                            const pass_starts *pass) {
+static pass_count *count_of(hs_job_owner *owner, const char *service,
+                            const hs_service_capacity *room, const pass_starts *pass) {
     pass_count *count = g_hash_table_lookup(pass->counts, service);
     if (count != NULL)
         return count;
@@ -170,8 +170,8 @@
 }
 
 /** How many items may start with this one: fewer before a wave or in it, unless it is pressing. */
-static uint32_t most_of(hs_job_owner *owner, const hs_open_item *entry, const hs_service_room *room,
-                        const pass_starts *pass) {
+static uint32_t most_of(hs_job_owner *owner, const hs_open_item *entry,
+                        const hs_service_capacity *room, const pass_starts *pass) {
     if (entry->is_pressing)
         return hs_job_room(room, pass->daemons, owner->partitions->len);
     const pass_count *count = count_of(owner, entry->service, room, pass);
@@ -183,7 +183,7 @@
 /** Whether an item may start now, and count it where it may. */
 static bool take_room(hs_job_owner *owner, const hs_open_item *entry, pass_starts *pass,
                       guint open_count) {
-    hs_service_room room = hs_fleet_engines_room(owner->settings.engines, entry->service);
+    hs_service_capacity room = hs_fleet_engines_capacity(owner->settings.engines, entry->service);
     pass_count *count = count_of(owner, entry->service, &room, pass);
     if (count->is_full)
         return false;
@@ -239,7 +239,7 @@
         if (config != NULL)
             start_items(owner, config);
         if (owner->running > 0)
-            hs_fleet_engines_yield(owner->settings.engines);
+            hs_fleet_engines_preempt_excess(owner->settings.engines);
         hs_fleet_config_unref(config);
         hs_pause pause = hs_clock_pause_begin(pause_ms(owner));
         hs_clock_pause_wait(&pause, &owner->changed, &owner->lock);
--- a/src/jobs/job_starts.c
+++ b/src/jobs/job_starts.c
@@ -110,7 +110,7 @@
     g_hash_table_iter_init(&iterator, owner->services);
     while (g_hash_table_iter_next(&iterator, &service, &value)) {
         hs_service_starts *starts = value;
-        hs_service_room room = hs_fleet_engines_room(owner->settings.engines, service);
+        hs_service_capacity room = hs_fleet_engines_capacity(owner->settings.engines, service);
         hs_demand_forecast_note(&starts->demand, room.online, now_ms);
         starts->outlook = hs_demand_forecast_read(&starts->demand);
         starts->expected_online = hs_demand_outlook_expect(&starts->outlook, HS_ITEM_PIECE_MS);
--- a/src/online/admission.c
+++ b/src/online/admission.c
@@ -21,7 +21,8 @@
 
 /** Returns the time left of the objective minus the engine's time to first byte, 0 if none. */
 static double spare_ms(const hs_admission_view *view) {
-    double used_ms = (double)view->age_ms + (double)view->waited_ms + (double)view->need_ms;
+    double used_ms =
+        (double)view->age_ms + (double)view->waited_ms + (double)view->min_first_byte_ms;
     return fmax((double)view->target_ms - used_ms, 0);
 }
 
@@ -59,7 +60,7 @@
         .verdict = HS_ADMISSION_OPEN,
         .expected_ms = (uint64_t)ceil(expected_ms),
         .max_hold_ms = (uint64_t)spare,
-        .begin_ms = (uint64_t)(spare * MAX_WAIT_RATIO) + view->need_ms,
+        .begin_ms = (uint64_t)(spare * MAX_WAIT_RATIO) + view->min_first_byte_ms,
         .may_try = true,
     };
     if (!is_short(view) || view->may_have_run || view->target_ms == 0)
--- a/src/online/admission.h
+++ b/src/online/admission.h
@@ -21,9 +21,9 @@
     uint64_t head_waited_ms;
     /** Like head_waited_ms, but without requests that always sort after this one. */
     uint64_t ahead_waited_ms;
-    uint64_t need_ms;    /**< Shortest recent time to a first byte; 0: unknown. */
-    uint64_t target_ms;  /**< The route's latency objective; 0: none. */
-    uint64_t waited_ms;  /**< Time since the request arrived. */
+    uint64_t min_first_byte_ms; /**< Shortest recent time to a first byte; 0: unknown. */
+    uint64_t target_ms;         /**< The route's latency objective; 0: none. */
+    uint64_t waited_ms;         /**< Time since the request arrived. */
     uint64_t age_ms;     /**< Time from the caller's first attempt to this request's arrival. */
     bool was_tried;      /**< An earlier search for an engine found none. */
     bool may_have_run;   /**< An engine may have run the request: it is repeated, or ends broken. */
--- a/src/online/online_attempts.c
+++ b/src/online/online_attempts.c
@@ -51,11 +51,12 @@
         .may_be_refused = request->run == HS_RUN_DID_NOT,
     };
     order.query.has_wait_limit = request->run == HS_RUN_DID_NOT;
-    order.query.wait_most_ms = hs_engine_choice_start_limit_ms(request->route->target_latency_ms,
-                                                               request->age_ms + waited_ms(request),
-                                                               request->is_less_urgent);
+    order.query.max_start_wait_ms = hs_engine_choice_start_limit_ms(
+        request->route->target_latency_ms, request->age_ms + waited_ms(request),
+        request->is_less_urgent);
     if (request->admission.verdict != HS_ADMISSION_OPEN)
-        order.query.wait_most_ms = MIN(order.query.wait_most_ms, request->admission.begin_ms);
+        order.query.max_start_wait_ms =
+            MIN(order.query.max_start_wait_ms, request->admission.begin_ms);
     if (request->events.has_last_id) {
         order.request.resumes = true;
         order.request.last_event = request->events.last_id;
@@ -220,7 +221,7 @@
         }
         hs_attempt_order order = make_order(request);
         bool has_head = hs_attempt_start(request->online->engines, &order, &request->attempt);
-        if (request->attempt.prospect.is_hopeless) {
+        if (request->attempt.prospect.will_miss_deadline) {
             hs_online_refuse_unsent(request, reason);
             return false;
         }
--- a/src/online/online_refusal.c
+++ b/src/online/online_refusal.c
@@ -8,29 +8,29 @@
 static void log_refusal(const hs_online_request *request, const hs_refusal_view *view,
                         const hs_refusal_choice *choice) {
     const hs_service_outlook *service = &view->service;
-    hs_log_info("request_not_held",
-                "request=%s service=%s verdict=%s expected_ms=%" G_GUINT64_FORMAT
-                " left_ms=%" G_GUINT64_FORMAT " waited_ms=%" G_GUINT64_FORMAT
-                " age_ms=%" G_GUINT64_FORMAT " drain_ms=%" G_GUINT64_FORMAT
-                " has_run=%d list_known=%d engines=%u sound=%u slots=%u running=%.1f waiting=%.1f"
-                " run_ms=%.0f need_ms=%" G_GUINT64_FORMAT " return_ms=%" G_GUINT64_FORMAT
-                " absent_ms=%" G_GUINT64_FORMAT " last_absence_ms=%" G_GUINT64_FORMAT
-                " listed_age_ms=%" G_GUINT64_FORMAT
-                " admission=%s wait_ms=%.0f head_waited_ms=%" G_GUINT64_FORMAT
-                " ahead_waited_ms=%" G_GUINT64_FORMAT " used_slots=%.1f"
-                " heard=%u free_share=%.3f words_age_ms=%.0f tries=%u",
-                request->request_id, request->service, hs_refusal_verdict_name(choice->verdict),
-                (guint64)choice->expected_ms, (guint64)view->left_ms, (guint64)view->waited_ms,
-                (guint64)request->age_ms, (guint64)view->drain_ms, view->may_have_run,
-                service->is_known, service->engines, service->sound, service->slots,
-                service->running, service->waiting, service->run_ms, (guint64)service->need_ms,
-                (guint64)service->return_ms, (guint64)service->absent_ms,
-                (guint64)service->last_absence_ms, (guint64)service->listed_age_ms,
-                hs_admission_verdict_name(request->admission.verdict),
-                request->admitted_by.pressure.wait_ms, (guint64)request->admitted_by.head_waited_ms,
-                (guint64)request->admitted_by.ahead_waited_ms, request->used_slots,
-                request->admitted_by.pressure.heard, request->admitted_by.pressure.free_share,
-                request->admitted_by.pressure.age_ms, request->tries);
+    hs_log_info(
+        "request_not_held",
+        "request=%s service=%s verdict=%s expected_ms=%" G_GUINT64_FORMAT
+        " left_ms=%" G_GUINT64_FORMAT " waited_ms=%" G_GUINT64_FORMAT " age_ms=%" G_GUINT64_FORMAT
+        " drain_ms=%" G_GUINT64_FORMAT
+        " has_run=%d list_known=%d engines=%u sound=%u slots=%u running=%.1f waiting=%.1f"
+        " run_ms=%.0f need_ms=%" G_GUINT64_FORMAT " return_ms=%" G_GUINT64_FORMAT
+        " absent_ms=%" G_GUINT64_FORMAT " last_absence_ms=%" G_GUINT64_FORMAT
+        " listed_age_ms=%" G_GUINT64_FORMAT
+        " admission=%s wait_ms=%.0f head_waited_ms=%" G_GUINT64_FORMAT
+        " ahead_waited_ms=%" G_GUINT64_FORMAT " used_slots=%.1f"
+        " heard=%u free_share=%.3f words_age_ms=%.0f tries=%u",
+        request->request_id, request->service, hs_refusal_verdict_name(choice->verdict),
+        (guint64)choice->expected_ms, (guint64)view->left_ms, (guint64)view->waited_ms,
+        (guint64)request->age_ms, (guint64)view->drain_ms, view->may_have_run, service->is_known,
+        service->engines, service->sound, service->slots, service->running, service->waiting,
+        service->run_ms, (guint64)service->min_first_byte_ms, (guint64)service->return_ms,
+        (guint64)service->absent_ms, (guint64)service->last_absence_ms,
+        (guint64)service->listed_age_ms, hs_admission_verdict_name(request->admission.verdict),
+        request->admitted_by.pressure.wait_ms, (guint64)request->admitted_by.head_waited_ms,
+        (guint64)request->admitted_by.ahead_waited_ms, request->used_slots,
+        request->admitted_by.pressure.heard, request->admitted_by.pressure.free_share,
+        request->admitted_by.pressure.age_ms, request->tries);
 }
 
 hs_queue_priority hs_online_queue_priority(const hs_online_request *request) {
@@ -66,7 +66,7 @@
         .pressure = hs_fleet_engines_pressure(online->engines, request->service),
         .head_waited_ms = held.head_waited_ms,
         .ahead_waited_ms = held.ahead_waited_ms,
-        .need_ms = hs_fleet_engines_need_ms(online->engines, request->service),
+        .min_first_byte_ms = hs_fleet_engines_min_first_byte_ms(online->engines, request->service),
         .target_ms = request->route->target_latency_ms,
         .waited_ms = hs_clock_monotonic_ms() - request->inbound->received_ms,
         .age_ms = request->age_ms,
@@ -123,7 +123,7 @@
 
 void hs_online_refuse_unsent(hs_online_request *request, hs_end_reason *reason) {
     const hs_attempt *attempt = &request->attempt;
-    const hs_lease_prospect *prospect = &attempt->prospect;
+    const hs_lease_estimate *prospect = &attempt->prospect;
     uint64_t now_ms = hs_clock_monotonic_ms();
     request->retry_after_ms = (uint64_t)prospect->wait_ms;
     *reason = HS_END_FULL;
@@ -133,7 +133,7 @@
         " online=%.1f slots=%u queued_tokens=%.0f pace=%.2f sends=%u "
         "listed_age_ms=%" G_GUINT64_FORMAT,
         request->request_id, request->service, attempt->engine_id, prospect->wait_ms,
-        prospect->need_ms, (gint64)request->deadline - (gint64)now_ms, prospect->online,
+        prospect->min_first_byte_ms, (gint64)request->deadline - (gint64)now_ms, prospect->online,
         prospect->slots, prospect->queued_tokens, prospect->pace, request->sends,
         (guint64)attempt->reasons.listed_age_ms);
 }
--- a/src/online/online_request.c
+++ b/src/online/online_request.c
@@ -35,7 +35,7 @@
         (gint64)request->deadline - (gint64)now_ms, attempt->reasons.candidates,
         attempt->reasons.running, attempt->reasons.slots, attempt->reasons.pace,
         attempt->reasons.uncached_tokens, attempt->reasons.failure_rate, attempt->reasons.suspected,
-        (guint64)attempt->reasons.listed_age_ms, attempt->reasons.word_age_ms,
+        (guint64)attempt->reasons.listed_age_ms, attempt->reasons.load_report_age_ms,
         (guint64)request->age_ms, (guint64)request->held_ms, request->woken, request->tries,
         hs_admission_verdict_name(request->admission.verdict),
         request->admitted_by.pressure.wait_ms, request->admitted_by.pressure.free_share,
@@ -94,7 +94,7 @@
     if (request->first_byte_ms != 0)
         return;
     request->first_byte_ms = MAX(hs_clock_monotonic_ms() - request->inbound->received_ms, 1);
-    hs_engine_lease_first_token(request->attempt.lease);
+    hs_engine_lease_note_first_token(request->attempt.lease);
 }
 
 /** Statuses by which an engine's answer would promise what the engine did not. */
--- a/src/online/online_share.c
+++ b/src/online/online_share.c
@@ -32,8 +32,8 @@
 bool hs_online_is_over_share(hs_online_request *request, hs_end_reason *reason) {
     /* The limit owner reports the tenant's use of all services; scale it to this service. */
     if (request->tenant != NULL && request->sends == 0)
-        request->used_slots *= hs_fleet_engines_note_tenant_ask(request->online->engines,
-                                                                request->service, request->tenant);
+        request->used_slots *= hs_fleet_engines_note_tenant_request(
+            request->online->engines, request->service, request->tenant);
     if (!is_share_applied(request))
         return false;
     hs_service_pressure pressure =
--- a/src/online/online_stream.c
+++ b/src/online/online_stream.c
@@ -78,7 +78,7 @@
     GByteArray *body = hs_client_connection_body(attempt->connection);
     if (body->len > 0) {
         hs_online_note_first_byte(request);
-        hs_engine_lease_heard(attempt->lease);
+        hs_engine_lease_note_received(attempt->lease);
     }
     if (!hs_event_stream_take(&request->events, body, request->ready, NULL)) {
         hs_attempt_note_misplaced(attempt, request->request_id, request->events.last_id,
@@ -149,7 +149,7 @@
     guint body_before = body->len;
     hs_step step = hs_client_connection_take_ready(attempt->connection);
     if (body->len > body_before)
-        hs_engine_lease_heard(attempt->lease);
+        hs_engine_lease_note_received(attempt->lease);
     /* Where the order broke, the same call of the library's thread says so again. */
     bool is_sound = hs_event_stream_take(&request->events, body, request->ready, NULL);
     hs_engine_lease_note_events(attempt->lease, request->events.run_events);
--- a/src/online/refusal_choice.c
+++ b/src/online/refusal_choice.c
@@ -49,7 +49,7 @@
         return true;
     if (service->sound > 0 && has_ample_slots(service))
         return false;
-    return choice->expected_ms + service->need_ms > view->left_ms;
+    return choice->expected_ms + service->min_first_byte_ms > view->left_ms;
 }
 
 hs_refusal_choice hs_refusal_choose(const hs_refusal_view *view) {
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -150,8 +150,9 @@
         sources->open_requests, hs_daemon_directory_live_count(sources->members),
         hs_daemon_directory_taken_percent(sources->members), (guint64)calls.calls,
         (guint64)calls.refused, (guint64)calls.unknown, (guint64)calls.bytes_sent,
-        (guint64)calls.bytes_received, (guint64)hs_fleet_engines_connects(sources->online->engines),
-        (guint64)hs_fleet_engines_misplaced(sources->online->engines));
+        (guint64)calls.bytes_received,
+        (guint64)hs_fleet_engines_opened_connection_count(sources->online->engines),
+        (guint64)hs_fleet_engines_resume_mismatch_count(sources->online->engines));
 }
 
 char *hs_fleet_metrics_write(const hs_fleet_metrics_sources *sources) {
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -193,7 +193,7 @@
                     .sound = ENGINES,
                     .slots = ENGINES * SLOTS,
                     .run_ms = RUN_MS,
-                    .need_ms = NEED_MS},
+                    .min_first_byte_ms = NEED_MS},
         .left_ms = request->first_ms + DEADLINE_MS - sim->now_ms,
         .drain_ms = sim->rule != BY_CURRENT_LOAD
                         ? hs_hold_queue_expected_ms(&sim->held[request->daemon], sim->now_ms)
@@ -214,7 +214,7 @@
         .pressure = pressure_of(sim, request->daemon),
         .head_waited_ms = head_ms > 0 ? sim->now_ms - head_ms : 0,
         .ahead_waited_ms = head_ms > 0 ? sim->now_ms - head_ms : 0,
-        .need_ms = NEED_MS,
+        .min_first_byte_ms = NEED_MS,
         .target_ms = TARGET_MS,
         .waited_ms = sim->now_ms - request->arrived_ms,
         .was_tried = request->is_held, /* No request here is late at its first attempt. */
@@ -477,7 +477,7 @@
 static hs_admission_view short_view(double wait_ms) {
     return (hs_admission_view){
         .pressure = {.engines = 10, .heard = 10, .wait_ms = wait_ms, .is_short = true},
-        .need_ms = 40,
+        .min_first_byte_ms = 40,
         .target_ms = 300};
 }
 
@@ -545,7 +545,8 @@
 
 /** A long wait despite reported free slots means a shortage, if enough engines have reported. */
 static void overdue_held_requests_indicate_a_shortage(void) {
-    hs_admission_view view = {.pressure = ten_engines(6, 100, 10), .need_ms = 40, .target_ms = 300};
+    hs_admission_view view = {
+        .pressure = ten_engines(6, 100, 10), .min_first_byte_ms = 40, .target_ms = 300};
     view.head_waited_ms = 50;
     CU_ASSERT_EQUAL(hs_admission_choose(&view).verdict, HS_ADMISSION_OPEN);
     view.head_waited_ms = 51;
--- a/tests/unit/test_attempt.c
+++ b/tests/unit/test_attempt.c
@@ -308,7 +308,7 @@
         hs_client_connection_read_all(attempt.connection, BODY_LIMIT, &opened.order.wait);
         hs_attempt_finish(&attempt, HS_ATTEMPT_SERVED);
     }
-    CU_ASSERT_EQUAL(hs_fleet_engines_connects(opened.engines), 1);
+    CU_ASSERT_EQUAL(hs_fleet_engines_opened_connection_count(opened.engines), 1);
     CU_ASSERT_EQUAL(scripted_peer_requests(opened.peer), 3);
     close_bench(&opened);
 }
@@ -328,7 +328,7 @@
         CU_ASSERT_TRUE(hs_client_connection_is_reusable(attempt.connection));
         hs_attempt_finish(&attempt, HS_ATTEMPT_REFUSED);
     }
-    CU_ASSERT_EQUAL(hs_fleet_engines_connects(opened.engines), 2);
+    CU_ASSERT_EQUAL(hs_fleet_engines_opened_connection_count(opened.engines), 2);
     static const struct {
         const char *request_id;
         uint64_t connects;
@@ -340,7 +340,8 @@
         CU_ASSERT_TRUE(start(&opened, REFUSAL, strlen(REFUSAL), PEER_KEEPS_OPEN, &attempt));
         hs_client_connection_read_all(attempt.connection, BODY_LIMIT, &opened.order.wait);
         hs_attempt_finish(&attempt, HS_ATTEMPT_REFUSED);
-        CU_ASSERT_EQUAL(hs_fleet_engines_connects(opened.engines), later[index].connects);
+        CU_ASSERT_EQUAL(hs_fleet_engines_opened_connection_count(opened.engines),
+                        later[index].connects);
     }
     close_bench(&opened);
 }
@@ -355,11 +356,11 @@
     hs_client_connection_read_all(attempt.connection, BODY_LIMIT, &opened.order.wait);
     hs_attempt_note_misplaced(&attempt, "r1", 5, 1);
     hs_attempt_finish(&attempt, HS_ATTEMPT_BROKEN);
-    CU_ASSERT_EQUAL(hs_fleet_engines_misplaced(opened.engines), 1);
+    CU_ASSERT_EQUAL(hs_fleet_engines_resume_mismatch_count(opened.engines), 1);
     opened.order.request.request_id = "r2";
     CU_ASSERT_TRUE(start(&opened, REFUSAL, strlen(REFUSAL), PEER_KEEPS_OPEN, &attempt));
     hs_attempt_finish(&attempt, HS_ATTEMPT_REFUSED);
-    CU_ASSERT_EQUAL(hs_fleet_engines_connects(opened.engines), 2);
+    CU_ASSERT_EQUAL(hs_fleet_engines_opened_connection_count(opened.engines), 2);
     close_bench(&opened);
 }
 
@@ -376,7 +377,7 @@
         hs_client_connection_read_all(attempt.connection, BODY_LIMIT, &opened.order.wait);
         hs_attempt_finish(&attempt, HS_ATTEMPT_REFUSED);
     }
-    CU_ASSERT(hs_fleet_engines_connects(opened.engines) <= 60);
+    CU_ASSERT(hs_fleet_engines_opened_connection_count(opened.engines) <= 60);
     close_bench(&opened);
 }
 
@@ -417,17 +418,17 @@
     hs_attempt attempt;
     CU_ASSERT_TRUE(start(&opened, WHOLE_ANSWER, strlen(WHOLE_ANSWER), PEER_KEEPS_OPEN, &attempt));
     hs_clock_sleep_ms(60);
-    hs_engine_lease_first_token(attempt.lease);
+    hs_engine_lease_note_first_token(attempt.lease);
     hs_attempt_finish(&attempt, HS_ATTEMPT_SERVED);
     uint32_t before = scripted_peer_requests(opened.peer);
     opened.order.may_be_refused = true;
     opened.order.wait.deadline = hs_clock_monotonic_ms() + 20;
     CU_ASSERT_FALSE(hs_attempt_start(opened.engines, &opened.order, &attempt));
     CU_ASSERT_PTR_NULL(attempt.lease);
-    CU_ASSERT_TRUE(attempt.prospect.is_hopeless);
+    CU_ASSERT_TRUE(attempt.prospect.will_miss_deadline);
     CU_ASSERT_EQUAL(attempt.run, HS_RUN_DID_NOT);
     CU_ASSERT_EQUAL(scripted_peer_requests(opened.peer), before);
-    CU_ASSERT_EQUAL(hs_fleet_engines_room(opened.engines, "svc").online, 0);
+    CU_ASSERT_EQUAL(hs_fleet_engines_capacity(opened.engines, "svc").online, 0);
     opened.order.may_be_refused = false;
     opened.order.wait.deadline = hs_clock_monotonic_ms() + DEADLINE_MS;
     CU_ASSERT_TRUE(hs_attempt_start(opened.engines, &opened.order, &attempt));
--- a/tests/unit/test_engine_source.c
+++ b/tests/unit/test_engine_source.c
@@ -44,7 +44,7 @@
 #define SHORT_INTERVAL_MS 300
 
 static bool is_listed(hs_fleet_engines *engines) {
-    return hs_fleet_engines_room(engines, "svc").ready > 0;
+    return hs_fleet_engines_capacity(engines, "svc").ready > 0;
 }
 
 /** Time in ms until the engine is listed, or not; at most two seconds. */
@@ -92,7 +92,7 @@
                              .slots = 4};
     hs_engine_query query = {.service = "svc", .work = HS_WORK_ONLINE};
     hs_fleet_engines_put(engines, &entry, hs_clock_monotonic_ms());
-    hs_fleet_engines_doubt(engines, "e1", hs_clock_monotonic_ms() + DOUBT_MS);
+    hs_fleet_engines_unlist(engines, "e1", hs_clock_monotonic_ms() + DOUBT_MS);
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
     CU_ASSERT_PTR_NOT_NULL(lease);
     if (lease != NULL)
--- a/tests/unit/test_entries.c
+++ b/tests/unit/test_entries.c
@@ -96,15 +96,15 @@
     hs_engine_lease *before = take(engines);
     CU_ASSERT_PTR_NOT_NULL_FATAL(before);
     uint64_t hash_before = hash_of_engine(engines);
-    hs_engine_total failing = {.engine_hash = hash_before, .online = 40, .is_failing = true};
-    hs_fleet_engines_put_total(engines, &failing);
+    hs_engine_load_report failing = {.engine_hash = hash_before, .online = 40, .is_failing = true};
+    hs_fleet_engines_put_report(engines, &failing);
     CU_ASSERT_EQUAL(hs_fleet_engines_outlook(engines, "svc").sound, 0);
     put(engines, "e", 2000);
     hs_service_outlook outlook = hs_fleet_engines_outlook(engines, "svc");
     CU_ASSERT_EQUAL(outlook.engines, 1);
     CU_ASSERT_EQUAL(outlook.sound, 1);
     CU_ASSERT_DOUBLE_EQUAL(outlook.running, 0, 1e-9);
-    hs_fleet_engines_put_total(engines, &failing); /* A late word of the engine before. */
+    hs_fleet_engines_put_report(engines, &failing); /* A late word of the engine before. */
     CU_ASSERT_EQUAL(hs_fleet_engines_outlook(engines, "svc").sound, 1);
     hs_engine_lease *after = take(engines);
     CU_ASSERT_PTR_NOT_NULL_FATAL(after);
@@ -210,7 +210,7 @@
     for (guint index = 0; index < G_N_ELEMENTS(ids); index++) {
         cut_at_listener(engines, ids[index]);
         CU_ASSERT_FALSE(hs_crash_watch_is_quarantined(watch, 77, &hold));
-        hs_fleet_engines_lapse(engines, ids[index]);
+        hs_fleet_engines_expire(engines, ids[index]);
     }
     CU_ASSERT_TRUE(hs_crash_watch_is_quarantined(watch, 77, &hold));
     CU_ASSERT_EQUAL(hold.engines, 3);
--- a/tests/unit/test_health.c
+++ b/tests/unit/test_health.c
@@ -105,8 +105,8 @@
 }
 
 /** Reports @p use to the ledger as the given incarnation of a daemon. */
-static hs_engine_total report_use_of_incarnation(hs_slot_ledger *ledger, const char *daemon,
-                                                 uint64_t incarnation, hs_engine_use use) {
+static hs_engine_load_report report_use_of_incarnation(hs_slot_ledger *ledger, const char *daemon,
+                                                       uint64_t incarnation, hs_engine_use use) {
     static uint64_t sequence = 0;
     g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
     use.engine_hash = 5;
@@ -116,7 +116,8 @@
     return hs_slot_ledger_take(ledger, &report, 100, asks);
 }
 
-static hs_engine_total report_use(hs_slot_ledger *ledger, const char *daemon, hs_engine_use use) {
+static hs_engine_load_report report_use(hs_slot_ledger *ledger, const char *daemon,
+                                        hs_engine_use use) {
     return report_use_of_incarnation(ledger, daemon, 1, use);
 }
 
--- a/tests/unit/test_item_plan.c
+++ b/tests/unit/test_item_plan.c
@@ -7,7 +7,7 @@
 
 /** A daemon starts its part of the free slots among a third of all daemons, whole slots only. */
 static void items_start_where_slots_are_free(void) {
-    hs_service_room room = {.slots = 100, .online = 10, .batch = 50};
+    hs_service_capacity room = {.slots = 100, .online = 10, .batch = 50};
     CU_ASSERT_EQUAL(hs_job_room(&room, 10, 24), 12);
     CU_ASSERT_EQUAL(hs_job_room(&room, 60, 24), 2);
     CU_ASSERT_EQUAL(hs_job_room(&room, 1, 24), 40);
--- a/tests/unit/test_pace.c
+++ b/tests/unit/test_pace.c
@@ -123,8 +123,9 @@
 }
 
 /** Reports the events of a daemon's runs on the engine so far to the ledger. */
-static hs_engine_total report_runs(hs_slot_ledger *ledger, const char *daemon, uint64_t incarnation,
-                                   uint64_t events, uint64_t took_ms, uint64_t now_ms) {
+static hs_engine_load_report report_runs(hs_slot_ledger *ledger, const char *daemon,
+                                         uint64_t incarnation, uint64_t events, uint64_t took_ms,
+                                         uint64_t now_ms) {
     static uint64_t sequence = 0;
     g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
     hs_slot_word report = {.daemon = daemon,
@@ -181,10 +182,10 @@
     }
     for (int index = 0; index < 2; index++) { /* Equal load; e0 is slow. */
         const char *id = index == 0 ? "e0" : "e1";
-        hs_engine_total total = {.engine_hash = hs_hash_bytes(id, strlen(id)),
-                                 .online = 3,
-                                 .slowdown_percent = index == 0 ? 250 : 100};
-        hs_fleet_engines_put_total(engines, &total);
+        hs_engine_load_report total = {.engine_hash = hs_hash_bytes(id, strlen(id)),
+                                       .online = 3,
+                                       .slowdown_percent = index == 0 ? 250 : 100};
+        hs_fleet_engines_put_report(engines, &total);
     }
     for (int turn = 0; turn < 4; turn++)
         CU_ASSERT_STRING_EQUAL(chosen_engine(engines), "e1");
@@ -211,7 +212,7 @@
                              .port = 1,
                              .slots = 4};
     hs_fleet_engines_put(engines, &entry, 1);
-    hs_fleet_engines_set_teller(engines, note_use, &reported);
+    hs_fleet_engines_set_use_observer(engines, note_use, &reported);
     hs_engine_query query = {.service = "svc"};
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
     hs_engine_load load = {.present = true, .slots = 4, .slowdown_percent = 250};
@@ -227,7 +228,7 @@
     CU_ASSERT(reported.run_ms >= 29 && reported.run_ms < 59);
     CU_ASSERT_EQUAL(reported.slowdown_percent, 250);
     CU_ASSERT(reported.slowdown_age_ms >= 59);
-    hs_fleet_engines_set_teller(engines, NULL, NULL);
+    hs_fleet_engines_set_use_observer(engines, NULL, NULL);
     hs_fleet_engines_free(engines);
 }
 
@@ -243,15 +244,15 @@
     hs_fleet_engines_put(engines, &entry, 1);
     hs_engine_query query = {.service = "svc"};
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
-    hs_engine_total total = {.engine_hash = hs_hash_bytes("e", 1), .slowdown_percent = 250};
-    hs_fleet_engines_put_total(engines, &total);
+    hs_engine_load_report total = {.engine_hash = hs_hash_bytes("e", 1), .slowdown_percent = 250};
+    hs_fleet_engines_put_report(engines, &total);
     g_autoptr(GArray) relayed = hs_fleet_engines_own_uses(engines);
     CU_ASSERT_EQUAL_FATAL(relayed->len, 1);
     CU_ASSERT_EQUAL(g_array_index(relayed, hs_engine_use, 0).slowdown_percent, 0);
     CU_ASSERT_EQUAL(g_array_index(relayed, hs_engine_use, 0).slowdown_age_ms, 0);
     hs_engine_load load = {.present = true, .slots = 4, .slowdown_percent = 180};
     hs_engine_lease_note_load(lease, &load);
-    hs_fleet_engines_put_total(engines, &total);
+    hs_fleet_engines_put_report(engines, &total);
     g_autoptr(GArray) received = hs_fleet_engines_own_uses(engines);
     CU_ASSERT_EQUAL(g_array_index(received, hs_engine_use, 0).slowdown_percent, 180);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
@@ -272,16 +273,16 @@
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
     g_usleep(20000);
     for (int headers = 0; headers < 10; headers++)
-        hs_engine_lease_head_came(lease);
+        hs_engine_lease_note_head(lease);
     uint32_t usual_limit_ms = hs_engine_lease_head_limit_ms(lease, 4000);
     CU_ASSERT_FATAL(usual_limit_ms > 0);
     uint64_t hash = hs_hash_bytes("e", 1);
-    hs_fleet_engines_put_total(engines,
-                               &(hs_engine_total){.engine_hash = hash, .slowdown_percent = 250});
+    hs_fleet_engines_put_report(
+        engines, &(hs_engine_load_report){.engine_hash = hash, .slowdown_percent = 250});
     CU_ASSERT(hs_engine_lease_head_limit_ms(lease, 4000) > 2 * usual_limit_ms - 2);
     g_usleep(2000);
-    hs_fleet_engines_put_total(engines,
-                               &(hs_engine_total){.engine_hash = hash, .slowdown_percent = 50});
+    hs_fleet_engines_put_report(
+        engines, &(hs_engine_load_report){.engine_hash = hash, .slowdown_percent = 50});
     CU_ASSERT_EQUAL(hs_engine_lease_head_limit_ms(lease, 4000), usual_limit_ms);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     hs_fleet_engines_free(engines);
--- a/tests/unit/test_pace_play.c
+++ b/tests/unit/test_pace_play.c
@@ -128,7 +128,7 @@
         view[index] = (hs_engine_candidate){
             .slots = SLOTS,
             .running = is_polled ? running[index] : observed->running,
-            .word_age_ms = is_polled ? 0 : view_age_ms(state, decider, index, now_ms),
+            .load_report_age_ms = is_polled ? 0 : view_age_ms(state, decider, index, now_ms),
             .pace =
                 hs_engine_pace_factor(&observed->pace, state->speed.event_ms, (uint64_t)now_ms)};
     }
--- a/tests/unit/test_refusal.c
+++ b/tests/unit/test_refusal.c
@@ -18,7 +18,7 @@
                                          .running = 12,
                                          .waiting = 2,
                                          .run_ms = 1000,
-                                         .need_ms = 30},
+                                         .min_first_byte_ms = 30},
                              .left_ms = 5000};
 }
 
@@ -233,15 +233,15 @@
 }
 
 static void report_online(hs_fleet_engines *engines, const char *id, uint32_t online) {
-    hs_engine_total total = {.engine_hash = hs_hash_bytes(id, strlen(id)), .online = online};
-    hs_fleet_engines_put_total(engines, &total);
+    hs_engine_load_report total = {.engine_hash = hs_hash_bytes(id, strlen(id)), .online = online};
+    hs_fleet_engines_put_report(engines, &total);
 }
 
 /** Arbiters' load reports determine the pressure, which is cached for some ms, and free slots. */
 static void load_reports_determine_the_pressure(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     uint32_t free_slots = 0;
-    hs_fleet_engines_set_place_watch(engines, count_free_slot, &free_slots);
+    hs_fleet_engines_set_slot_observer(engines, count_free_slot, &free_slots);
     put_engine(engines, "e1", false);
     put_engine(engines, "e2", false);
     CU_ASSERT_EQUAL(free_slots, 2);
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -16,8 +16,8 @@
 }
 
 /** A word of a daemon, with the next sequence. */
-static hs_engine_total tell(hs_slot_ledger *ledger, const char *daemon, uint32_t online,
-                            uint32_t batch, uint64_t now_ms, GArray *asks) {
+static hs_engine_load_report tell(hs_slot_ledger *ledger, const char *daemon, uint32_t online,
+                                  uint32_t batch, uint64_t now_ms, GArray *asks) {
     static uint64_t sequence = 0;
     hs_slot_word word = {.daemon = daemon,
                          .incarnation = 1,
@@ -45,7 +45,7 @@
     tell(ledger, "a", 0, 3, 1, asks);
     tell(ledger, "b", 0, 5, 1, asks);
     CU_ASSERT_EQUAL(asks->len, 0);
-    hs_engine_total totals = tell(ledger, "c", 1, 0, 2, asks);
+    hs_engine_load_report totals = tell(ledger, "c", 1, 0, 2, asks);
     CU_ASSERT_EQUAL(asks->len, 1);
     CU_ASSERT_EQUAL(asked_of(asks, "b"), 1);
     CU_ASSERT_EQUAL(totals.online, 1);
@@ -99,7 +99,7 @@
     CU_ASSERT_EQUAL(asked_of(asks, "b"), 1);
     tell(ledger, "c", 1, 0, 500, asks); /* It never left: the message was lost. */
     CU_ASSERT_EQUAL(asked_of(asks, "b"), 1);
-    hs_engine_total totals = tell(ledger, "c", 1, 0, 5000, asks);
+    hs_engine_load_report totals = tell(ledger, "c", 1, 0, 5000, asks);
     CU_ASSERT_EQUAL(totals.batch, 0);
     hs_slot_ledger_expire(ledger, 60000);
     g_array_free(asks, TRUE);
@@ -134,7 +134,7 @@
             online[daemon]++;
         else
             batch[daemon]++;
-        hs_engine_total totals =
+        hs_engine_load_report totals =
             tell(ledger, names[daemon], online[daemon], batch[daemon], (uint64_t)step, asks);
         exceeded += totals.online + totals.batch > SLOTS && totals.batch > 0;
         for (int other = 0; other < DAEMONS && asks->len > 0; other++) {
@@ -188,12 +188,13 @@
 static void uses_are_told_at_each_change(void) {
     hs_fleet_engines *engines = table_of_one_engine();
     told_uses told = {0};
-    hs_fleet_engines_set_teller(engines, note_use, &told);
+    hs_fleet_engines_set_use_observer(engines, note_use, &told);
     hs_interrupt flags[2];
     hs_engine_lease *leases[2];
     for (int index = 0; index < 2; index++) {
         hs_interrupt_init(&flags[index]);
-        hs_engine_query query = {.service = "svc", .work = HS_WORK_BATCH, .yield = &flags[index]};
+        hs_engine_query query = {
+            .service = "svc", .work = HS_WORK_BATCH, .preemption_flag = &flags[index]};
         leases[index] = hs_fleet_engines_take(engines, &query);
         CU_ASSERT_PTR_NOT_NULL_FATAL(leases[index]);
     }
@@ -201,12 +202,12 @@
     CU_ASSERT_EQUAL(told.last.batch, 2);
     uint64_t hash = hs_hash_bytes("e1", 2);
     CU_ASSERT_EQUAL(told.last.engine_hash, hash);
-    CU_ASSERT_EQUAL(hs_fleet_engines_step_aside(engines, hash, 1), 1);
+    CU_ASSERT_EQUAL(hs_fleet_engines_preempt_items(engines, hash, 1), 1);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[0]), HS_INTERRUPT_NONE);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[1]), HS_INTERRUPT_YIELD);
-    CU_ASSERT_EQUAL(hs_fleet_engines_step_aside(engines, 12345, 1), 0);
-    hs_engine_total total = {.engine_hash = hash, .online = 6, .batch = 2};
-    hs_fleet_engines_put_total(engines, &total); /* Six online requests of others. */
+    CU_ASSERT_EQUAL(hs_fleet_engines_preempt_items(engines, 12345, 1), 0);
+    hs_engine_load_report total = {.engine_hash = hash, .online = 6, .batch = 2};
+    hs_fleet_engines_put_report(engines, &total); /* Six online requests of others. */
     hs_engine_query one_more = {.service = "svc", .work = HS_WORK_BATCH};
     CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &one_more));
     for (int index = 0; index < 2; index++)
@@ -216,7 +217,7 @@
     GArray *uses = hs_fleet_engines_own_uses(engines);
     CU_ASSERT_EQUAL(uses->len, 1); /* Left lately: told once more, so that a lost word mends. */
     g_array_free(uses, TRUE);
-    hs_fleet_engines_set_teller(engines, NULL, NULL);
+    hs_fleet_engines_set_use_observer(engines, NULL, NULL);
     for (int index = 0; index < 2; index++)
         hs_interrupt_clear(&flags[index]);
     hs_fleet_engines_free(engines);
@@ -233,18 +234,18 @@
 
 static void arbitrate(const hs_engine_use *use, bool started, void *user_data) {
     const test_arbiter *arbiter = user_data;
-    hs_engine_total total = {.engine_hash = use->engine_hash,
-                             .online = arbiter->online,
-                             .queued_tokens = arbiter->queued_tokens,
-                             .is_failing = arbiter->says_failing};
+    hs_engine_load_report total = {.engine_hash = use->engine_hash,
+                                   .online = arbiter->online,
+                                   .queued_tokens = arbiter->queued_tokens,
+                                   .is_failing = arbiter->says_failing};
     if (started && !arbiter->is_silent)
-        hs_fleet_engines_put_total(arbiter->engines, &total);
+        hs_fleet_engines_put_report(arbiter->engines, &total);
 }
 
-static hs_lease_word word_of(hs_fleet_engines *engines) {
+static hs_lease_confirmation word_of(hs_fleet_engines *engines) {
     hs_engine_query query = {.service = "svc"};
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
-    hs_lease_word word = hs_engine_lease_confirm(lease, 20);
+    hs_lease_confirmation word = hs_engine_lease_confirm(lease, 20);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     return word;
 }
@@ -252,25 +253,25 @@
 /** A request hears whether online requests of all daemons fill the slots; silence lets it go on. */
 static void a_request_hears_the_arbiter_first(void) {
     hs_fleet_engines *engines = table_of_one_engine();
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_UNHEARD); /* Nobody to tell. */
+    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_UNCONFIRMED); /* Nobody to tell. */
     test_arbiter arbiter = {.engines = engines, .online = SLOTS};
-    hs_fleet_engines_set_teller(engines, arbitrate, &arbiter);
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_FITS);
+    hs_fleet_engines_set_use_observer(engines, arbitrate, &arbiter);
+    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_CONFIRMED);
     arbiter.queued_tokens = 100000; /* Long prompts of others, not read yet. */
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_CROWDED);
+    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_OVERLOADED);
     arbiter.queued_tokens = 100;
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_FITS);
+    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_CONFIRMED);
     arbiter.online = SLOTS + 1;
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_CROWDED);
+    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_OVERLOADED);
     arbiter.says_failing = true;
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_FAILING);
+    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_ENGINE_FAILING);
     hs_engine_query item = {.service = "svc", .work = HS_WORK_BATCH};
     CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &item)); /* Suspected for a while. */
     arbiter.is_silent = true;
     uint64_t began_ms = hs_clock_monotonic_ms();
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_UNHEARD);
+    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_UNCONFIRMED);
     CU_ASSERT(hs_clock_monotonic_ms() - began_ms >= 18);
-    hs_fleet_engines_set_teller(engines, NULL, NULL);
+    hs_fleet_engines_set_use_observer(engines, NULL, NULL);
     hs_fleet_engines_free(engines);
 }
 
@@ -278,17 +279,17 @@
 static void an_item_hears_that_it_is_one_too_many(void) {
     hs_fleet_engines *engines = table_of_one_engine();
     test_arbiter silent = {.engines = engines, .is_silent = true};
-    hs_fleet_engines_set_teller(engines, arbitrate, &silent);
+    hs_fleet_engines_set_use_observer(engines, arbitrate, &silent);
     hs_interrupt flag;
     hs_interrupt_init(&flag);
-    hs_engine_query query = {.service = "svc", .work = HS_WORK_BATCH, .yield = &flag};
+    hs_engine_query query = {.service = "svc", .work = HS_WORK_BATCH, .preemption_flag = &flag};
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
-    CU_ASSERT_EQUAL(hs_fleet_engines_step_aside(engines, hs_hash_bytes("e1", 2), 1), 1);
+    CU_ASSERT_EQUAL(hs_fleet_engines_preempt_items(engines, hs_hash_bytes("e1", 2), 1), 1);
     uint64_t began_ms = hs_clock_monotonic_ms();
-    CU_ASSERT_EQUAL(hs_engine_lease_confirm(lease, 2000), HS_LEASE_CROWDED);
+    CU_ASSERT_EQUAL(hs_engine_lease_confirm(lease, 2000), HS_LEASE_OVERLOADED);
     CU_ASSERT(hs_clock_monotonic_ms() - began_ms < 1000);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
-    hs_fleet_engines_set_teller(engines, NULL, NULL);
+    hs_fleet_engines_set_use_observer(engines, NULL, NULL);
     hs_interrupt_clear(&flag);
     hs_fleet_engines_free(engines);
 }
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -88,7 +88,7 @@
         if (chosen_by != AT_RANDOM)
             view[index].running = count_at(&fleet[index], now_ms, age_ms);
         if (chosen_by == BY_REPORTS)
-            view[index].word_age_ms = age_ms;
+            view[index].load_report_age_ms = age_ms;
     }
 }
 
@@ -113,7 +113,7 @@
     for (int poll = 1; poll < MAX_POLLS && fleet[chosen].active->len >= SLOTS; poll++) {
         sums->polls++;
         view[chosen].running = fleet[chosen].active->len;
-        view[chosen].word_age_ms = 0;
+        view[chosen].load_report_age_ms = 0;
         if (count_free(view) == 0)
             break;
         chosen = choose_index(view, random);
