--- a/src/fleet/config_source.c
+++ b/src/fleet/config_source.c
@@ -1,4 +1,4 @@
-/** @file config_source.c  Following the operator's topic; see config_source.h. */
+/** @file config_source.c  See config_source.h. */
 #include "fleet/config_source.h"
 
 #include "base/clock.h"
@@ -9,17 +9,15 @@
 
 #include <string.h>
 
-/** Largest answer of one read: a configuration is a few tens of kB. */
-#define READ_MAX_KB 1024
-/** What a held read may take beyond the time for which it is held, in ms. Chosen, not measured. */
-#define ANSWER_SLACK_MS 600
+#define MAX_READ_KB 1024
+/** Time that a long poll may take beyond its hold time. */
+#define LONG_POLL_MARGIN_MS 600
 /**
- * Pause in ms before a read that failed is tried again: hundreds of daemons that find the store
- * away must not press it.
+ * First delay before a failed read is retried; doubles up to MAX_RETRY_DELAY_MS, to limit the load
+ * of many daemons on a recovering store.
  */
-#define RETRY_FIRST_MS 100
-/** The pause doubles up to this, a fifth of the shortest time in which a version is due (2 s). */
-#define RETRY_MOST_MS 400
+#define MIN_RETRY_DELAY_MS 100
+#define MAX_RETRY_DELAY_MS 400
 
 struct hs_config_source {
     hs_store_client *store;
@@ -27,14 +25,14 @@
     GMutex lock;
     hs_fleet_config *config;
     hs_store_contact contact;
-    gint stopping;
+    gint is_stopping;
     GThread *thread;
 };
 
 hs_config_source *hs_config_source_new(hs_store_client *store, uint32_t apply_ms) {
     hs_config_source *source = g_new0(hs_config_source, 1);
     source->store = store;
-    /* A poll whose connection has gone silent must be noticed well before a version is due. */
+    /* Leaves time to retry a poll on a silent connection before a version must be in use. */
     source->poll_ms = apply_ms / 2;
     g_mutex_init(&source->lock);
     hs_store_contact_init(&source->contact, "config");
@@ -48,23 +46,23 @@
     return config;
 }
 
-bool hs_config_source_offer(hs_config_source *source, hs_fleet_config *config) {
+bool hs_config_source_apply_if_newer(hs_config_source *source, hs_fleet_config *config) {
     g_mutex_lock(&source->lock);
-    bool newer = source->config == NULL || config->version > source->config->version;
-    hs_fleet_config *dropped = newer ? source->config : config;
-    uint64_t before = source->config != NULL ? source->config->version : 0;
-    if (newer)
+    bool is_newer = source->config == NULL || config->version > source->config->version;
+    hs_fleet_config *released = is_newer ? source->config : config;
+    uint64_t previous_version = source->config != NULL ? source->config->version : 0;
+    if (is_newer)
         source->config = config;
     g_mutex_unlock(&source->lock);
-    if (newer)
+    if (is_newer)
         hs_log_info("config_applied",
                     "version=%" G_GUINT64_FORMAT " before=%" G_GUINT64_FORMAT
                     " offset=%" G_GUINT64_FORMAT " routes=%u services=%u tenants=%u keys=%u",
-                    (guint64)config->version, (guint64)before, (guint64)config->offset,
+                    (guint64)config->version, (guint64)previous_version, (guint64)config->offset,
                     config->routes->len, config->services->len, config->tenants->len,
                     g_hash_table_size(config->tenant_by_key));
-    hs_fleet_config_unref(dropped);
-    return newer;
+    hs_fleet_config_unref(released);
+    return is_newer;
 }
 
 uint64_t hs_config_source_heard_ms(hs_config_source *source) {
@@ -75,8 +73,7 @@
     return hs_store_contact_as_of_ms(&source->contact);
 }
 
-/** Faults are the operator's to see: what is faulty opens nothing, the rest of the version holds.
- */
+/** Builds the tenant index, and logs the numbers of faulty tenants and keys. */
 static void index_tenants(hs_fleet_config *config) {
     hs_tenant_faults faults = hs_tenant_index_make(config);
     if (faults.unusable_tenants + faults.repeated_names + faults.unusable_keys +
@@ -90,8 +87,8 @@
                    faults.repeated_names, faults.unusable_keys, faults.disputed_keys);
 }
 
-static void take_value(hs_config_source *source, const uint8_t *value, size_t length,
-                       uint64_t offset) {
+static void apply_value(hs_config_source *source, const uint8_t *value, size_t length,
+                        uint64_t offset) {
     hs_error error = {0};
     if (length == 0)
         return;
@@ -103,13 +100,13 @@
     }
     config->offset = offset;
     index_tenants(config);
-    hs_config_source_offer(source, config);
+    hs_config_source_apply_if_newer(source, config);
 }
 
-/** Read the newest version; @p next is where to follow on. */
+/** Reads the newest version; @p next is set to the end of the topic's log. */
 static hs_store_outcome read_newest(hs_config_source *source, GByteArray *answer, uint64_t *next) {
     hs_store_call call = hs_platform_newest(HS_TOPIC_CONFIG, NULL);
-    hs_deadline deadline = hs_clock_monotonic_ms() + source->poll_ms + ANSWER_SLACK_MS;
+    hs_deadline deadline = hs_clock_monotonic_ms() + source->poll_ms + LONG_POLL_MARGIN_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     if (outcome != HS_STORE_DONE)
         return outcome;
@@ -120,22 +117,22 @@
     for (guint index = 0; index < entries->len; index++) {
         const hs_newest_entry *entry = &g_array_index(entries, hs_newest_entry, index);
         if (hs_platform_is_config_key(entry->key, strlen(entry->key)))
-            take_value(source, entry->value, entry->value_length, entry->offset);
+            apply_value(source, entry->value, entry->value_length, entry->offset);
     }
     g_array_free(entries, TRUE);
     return outcome;
 }
 
-/** Wait for records from @p next on. */
+/** Waits for records from the offset @p next on, and advances @p next. */
 static hs_store_outcome follow(hs_config_source *source, GByteArray *answer, uint64_t *next) {
-    hs_store_call call = hs_platform_read(HS_TOPIC_CONFIG, 0, *next, READ_MAX_KB, source->poll_ms);
-    hs_deadline deadline = hs_clock_monotonic_ms() + source->poll_ms + ANSWER_SLACK_MS;
+    hs_store_call call = hs_platform_read(HS_TOPIC_CONFIG, 0, *next, MAX_READ_KB, source->poll_ms);
+    hs_deadline deadline = hs_clock_monotonic_ms() + source->poll_ms + LONG_POLL_MARGIN_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     size_t position = 0;
     hs_store_record record;
     while (outcome == HS_STORE_DONE && hs_platform_next_record(answer, true, &position, &record)) {
         if (hs_platform_is_config_key(record.key, record.key_length))
-            take_value(source, record.value, record.value_length, *next);
+            apply_value(source, record.value, record.value_length, *next);
         (*next)++;
     }
     return outcome;
@@ -145,19 +142,19 @@
     hs_config_source *source = data;
     GByteArray *answer = g_byte_array_new();
     uint64_t next = 0;
-    bool positioned = false;
-    uint64_t retry_ms = RETRY_FIRST_MS;
-    while (!g_atomic_int_get(&source->stopping)) {
+    bool is_positioned = false;
+    uint64_t retry_delay_ms = MIN_RETRY_DELAY_MS;
+    while (!g_atomic_int_get(&source->is_stopping)) {
         hs_store_contact_ask(&source->contact);
         hs_store_outcome outcome =
-            positioned ? follow(source, answer, &next) : read_newest(source, answer, &next);
+            is_positioned ? follow(source, answer, &next) : read_newest(source, answer, &next);
         hs_store_contact_note(&source->contact, outcome);
         if (outcome == HS_STORE_DONE || outcome == HS_STORE_GONE) {
-            positioned = outcome == HS_STORE_DONE;
-            retry_ms = RETRY_FIRST_MS;
+            is_positioned = outcome == HS_STORE_DONE;
+            retry_delay_ms = MIN_RETRY_DELAY_MS;
         } else {
-            hs_clock_sleep_ms(retry_ms);
-            retry_ms = MIN(retry_ms * 2, RETRY_MOST_MS);
+            hs_clock_sleep_ms(retry_delay_ms);
+            retry_delay_ms = MIN(retry_delay_ms * 2, MAX_RETRY_DELAY_MS);
         }
     }
     g_byte_array_free(answer, TRUE);
@@ -171,7 +168,7 @@
 void hs_config_source_free(hs_config_source *source) {
     if (source == NULL)
         return;
-    g_atomic_int_set(&source->stopping, 1);
+    g_atomic_int_set(&source->is_stopping, 1);
     if (source->thread != NULL)
         g_thread_join(source->thread);
     hs_fleet_config_unref(source->config);
@@ -180,9 +177,9 @@
     g_free(source);
 }
 
-static bool is_host(const char *host, const char *wanted) {
+static bool is_host(const char *host, const char *expected) {
     size_t length = strcspn(host, ":");
-    return strlen(wanted) == length && g_ascii_strncasecmp(host, wanted, length) == 0;
+    return strlen(expected) == length && g_ascii_strncasecmp(host, expected, length) == 0;
 }
 
 const hs_fleet_route *hs_fleet_config_find_route(const hs_fleet_config *config, const char *host,
--- a/src/fleet/config_source.h
+++ b/src/fleet/config_source.h
@@ -1,9 +1,10 @@
 /**
  * @file config_source.h
- * The configuration in force on this daemon: the highest version read, swapped whole.
+ * Holds the current configuration of this daemon: the highest version read from the store.
  *
- * A duty thread follows the operator's topic by long polls. While the store is away the last
- * version stays in force; its age is in logs and metrics.
+ * A thread reads the store's configuration topic with long polls. While the store is unavailable,
+ * the last version stays in use. A source may be used by any thread from its creation until it is
+ * freed. The hs_fleet_config functions read an immutable configuration.
  */
 #ifndef HS_FLEET_CONFIG_SOURCE_H
 #define HS_FLEET_CONFIG_SOURCE_H
@@ -13,40 +14,54 @@
 
 typedef struct hs_config_source hs_config_source;
 
-/** @p store is borrowed. @p apply_ms: time within which a version must be in force. */
+/**
+ * Creates a source; free with hs_config_source_free. @p store is borrowed. @p apply_ms is the time
+ * within which a new version must be in use.
+ */
 hs_config_source *hs_config_source_new(hs_store_client *store, uint32_t apply_ms);
 
-/** Start the duty thread. */
+/** Starts the thread. */
 void hs_config_source_start(hs_config_source *source);
 
-/** Join the thread (the store client was abandoned before) and free. NULL is allowed. */
+/**
+ * Joins the thread and frees the source. NULL is allowed. The store client must have been abandoned
+ * before, so that a read in progress ends.
+ */
 void hs_config_source_free(hs_config_source *source);
 
-/** The version in force with a reference for the caller, or NULL while none is known. */
+/** Returns a new reference to the current configuration, or NULL if there is none yet. */
 hs_fleet_config *hs_config_source_get(hs_config_source *source);
 
-/** Take a version when it is newer than that in force; takes the reference. */
-bool hs_config_source_offer(hs_config_source *source, hs_fleet_config *config);
+/**
+ * Makes @p config the current configuration if its version is higher than the current one. Takes
+ * over the caller's reference in any case. Returns whether the configuration was applied.
+ */
+bool hs_config_source_apply_if_newer(hs_config_source *source, hs_fleet_config *config);
 
-/** Monotonic time of the last word from the store; 0: none yet. */
+/** Returns the monotonic time of the last response from the store; 0: none yet. */
 uint64_t hs_config_source_heard_ms(hs_config_source *source);
 
-/** The configuration is what the store had at this time or later; monotonic, 0: not known. */
+/**
+ * Returns the monotonic time at which the last answered read was sent: the configuration reflects
+ * the store at that time or later. 0: no read was answered yet.
+ */
 uint64_t hs_config_source_as_of_ms(hs_config_source *source);
 
-/** Route of @p host (a port after it does not count) and @p target, or NULL. Borrowed. */
+/**
+ * Returns the route with the longest path prefix for @p host (a port is ignored) and @p target, or
+ * NULL. Borrowed from @p config.
+ */
 const hs_fleet_route *hs_fleet_config_find_route(const hs_fleet_config *config, const char *host,
                                                  const char *target);
 
 /**
- * Whether other online requests to @p service are more urgent than those of @p rank (lower number;
- * see hs_tenant_rank): of another route, or of another tenant. Batch items give way to all online
- * requests anyway.
+ * Whether online requests of other routes or tenants to @p service may have a higher rank (lower
+ * number; see hs_tenant_rank) than @p rank. Batch routes do not count.
  */
 bool hs_fleet_config_is_less_urgent(const hs_fleet_config *config, uint32_t rank,
                                     const char *service);
 
-/** Service by name, or NULL. Borrowed. */
+/** Returns the service with the name, or NULL. Borrowed from @p config. */
 const hs_fleet_service *hs_fleet_config_find_service(const hs_fleet_config *config,
                                                      const char *name);
 
--- a/src/fleet/engine_attempt.h
+++ b/src/fleet/engine_attempt.h
@@ -1,7 +1,10 @@
 /**
  * @file engine_attempt.h
- * One request sent to one engine: from the choice to the head of its answer. Used by online
- * requests and batch items alike; what may follow a failure is the caller's to decide.
+ * One attempt of an online request or a batch item at one engine: chooses the engine, sends the
+ * request and reads the response head. The caller decides what follows a failure.
+ *
+ * An attempt belongs to one thread at a time. A started attempt, also one that failed, must be
+ * finished with hs_attempt_finish.
  */
 #ifndef HS_FLEET_ENGINE_ATTEMPT_H
 #define HS_FLEET_ENGINE_ATTEMPT_H
@@ -10,65 +13,72 @@
 #include "platform/engine_codec.h"
 
 /**
- * What is known of a request's run at engines. Only grows while a request's attempts go on:
- * DID_NOT -> MAY_HAVE when a byte went out and no promise came back; -> DID on an answer.
+ * Whether a request was executed by an engine, as far as this daemon knows. Over the attempts of a
+ * request the state only increases.
  */
 typedef enum {
-    HS_RUN_DID_NOT, /**< No byte went out, or every engine that got it promised so. */
-    HS_RUN_MAY_HAVE,
+    /** No byte was sent, or the engine stated in its response that it did not execute the request.
+     */
+    HS_RUN_DID_NOT,
+    HS_RUN_MAY_HAVE, /**< Bytes were sent, but no response head to the request was received. */
     HS_RUN_DID,
 } hs_run_state;
 
-/** What to send where. All borrowed. */
+/** Parameters of an attempt. All pointers are borrowed. */
 typedef struct {
     hs_engine_query query;
     uint64_t content;          /**< See hs_request_content_hash. */
-    hs_engine_request request; /**< engine_id and timeout_ms are filled in here. */
+    hs_engine_request request; /**< engine_id and timeout_ms are set by hs_attempt_start. */
     const void *body;
     hs_wait wait;
-    uint32_t silence_ms; /**< Longest wait for the head; 0: up to the deadline. */
-    bool may_be_refused; /**< Do not send it where it is known not to be servable. */
-    bool fresh;          /**< Do not use a kept connection: one was lost. */
-    bool may_repeat;     /**< The request may run again. */
-    /** Repeatable: longest wait for the head on a kept connection, unless heads there usually take
-     * longer; 0: no such limit. */
+    uint32_t silence_ms; /**< Longest wait for the response head; 0: up to the deadline. */
+    bool may_be_refused; /**< Do not send the request if it is expected to be served too late. */
+    bool fresh;          /**< Open a new connection, because an idle one was lost before. */
+    bool may_repeat;     /**< The request may be executed again after this attempt. */
+    /**
+     * Longest wait for the response head on a reused connection, if may_repeat is set; raised to
+     * hs_engine_lease_head_limit_ms. If either is 0, silence_ms applies.
+     */
     uint32_t kept_silence_ms;
 } hs_attempt_order;
 
-/** An attempt whose head was read, or that failed before. */
+/** A started attempt. */
 typedef struct {
-    hs_engine_lease *lease; /**< NULL: no engine fitted. */
+    hs_engine_lease *lease; /**< NULL: there was no engine to send the request to. */
     hs_client_connection *connection;
-    uint64_t content; /**< As ordered. */
+    uint64_t content; /**< Copied from the parameters. */
     hs_run_state run;
-    hs_step step;     /**< PROGRESS or COMPLETE: the head is there. */
-    uint64_t sent_ms; /**< Monotonic time at which the request was sent. */
+    hs_step step;     /**< PROGRESS or COMPLETE: the response head was read. */
+    uint64_t sent_ms; /**< Monotonic time at which the request was sent; 0: no connection. */
     uint32_t status;
     hs_engine_answer answer;
-    char engine_id[64];         /**< For logs, also after the end. */
-    hs_engine_reasons reasons;  /**< Why that engine; likewise. */
-    hs_lease_prospect prospect; /**< is_hopeless: why it was not sent there, without a lease. */
+    char engine_id[64];         /**< For logs; stays valid after hs_attempt_finish. */
+    hs_engine_reasons reasons;  /**< Why the engine was chosen; stays valid likewise. */
+    hs_lease_prospect prospect; /**< With may_be_refused: the estimate that decided on sending. */
 } hs_attempt;
 
-/** Choose, connect, send, read the head. True when there is a head. */
-bool hs_attempt_start(hs_fleet_engines *engines, const hs_attempt_order *order,
+/**
+ * Chooses an engine, connects, sends the request and reads the response head. Returns true if a
+ * head was read; otherwise @p attempt tells how far the attempt got.
+ */
+bool hs_attempt_start(hs_fleet_engines *engines, const hs_attempt_order *parameters,
                       hs_attempt *attempt);
 
-/** End the attempt: the engine is given back and the connection kept or closed. */
+/** Releases the lease; a reusable connection becomes idle, any other is closed. */
 void hs_attempt_finish(hs_attempt *attempt, hs_attempt_end end);
 
 /**
- * An answer's stream does not follow the event @p last_event (0: none) that the request has: its
- * next event is @p event. Logged and counted; what came before stays, and the
- * connection, on which the right answer may still be due, is not used again.
+ * Logs and counts a response stream that resumes with the event @p event, which does not follow
+ * @p last_event (0: none), the last event received for the request. Events received before are
+ * kept. The connection is not reused, since the right response may still arrive on it.
  */
 void hs_attempt_note_misplaced(const hs_attempt *attempt, const char *request_id,
                                uint64_t last_event, uint64_t event);
 
-/** How a failed start reflects on the engine. */
+/** Returns the end with which an attempt that failed to start counts for the engine's health. */
 hs_attempt_end hs_attempt_failure(const hs_attempt *attempt);
 
-/** Text of a run's state, for logs. */
+/** Returns the name of a run state, for logs. */
 const char *hs_run_state_name(hs_run_state run);
 
 #endif
--- a/src/fleet/engine_source.c
+++ b/src/fleet/engine_source.c
@@ -1,4 +1,4 @@
-/** @file engine_source.c  Reading the engines' topic; see engine_source.h. */
+/** @file engine_source.c  See engine_source.h. */
 #include "fleet/engine_source.h"
 
 #include "base/clock.h"
@@ -9,40 +9,38 @@
 
 #include <string.h>
 
-#define READ_MAX_KB 1024
-/** Reads within the time that a leaving engine may still get work. */
+#define MAX_READ_KB 1024
+/** Reads within the time after which a draining engine must get no new requests. */
 #define READS_PER_DRAIN 3
-#define ANSWER_LIMIT_MS 1200
+#define READ_TIMEOUT_MS 1200
 /**
- * Engines that live write themselves anew so soon after the store's return, in ms, by the
- * platform's word; who is missing then has left. Daemons are to know that three seconds after the
- * return, and notice the return itself up to 700 ms late.
+ * Time after the end of a store outage within which all running engines register again. An engine
+ * that is still missing then has left.
  */
-#define RETURN_MS 2000
-/** An entry runs out after three beats of silence, and its last beat may be one beat old. */
-#define BEATS_TO_LAPSE 2
+#define REGISTRATION_MS 2000
 /**
- * Pause before a read that failed is tried again, doubled up to the interval: one lost read must
- * not take half of the time within which a leaving engine is to be known.
+ * Heartbeats after which an entry may have expired during an outage: an entry expires after three
+ * missing heartbeats, and its last heartbeat may be almost one interval old at the start.
  */
-#define RETRY_FIRST_MS 100
-
-/** Keys with a faulty entry that are remembered: beyond, each reading of one is logged. */
-#define FAULTY_MOST 1024
+#define HEARTBEATS_TO_EXPIRY 2
+/** First delay before a failed read is retried; doubles up to the read interval. */
+#define MIN_RETRY_DELAY_MS 100
+/** Entries whose fault is remembered; other faulty entries are logged with every read. */
+#define MAX_FAULTY_ENTRIES 1024
 
 struct hs_engine_source {
     hs_store_client *store;
     hs_fleet_engines *engines;
     uint32_t interval_ms;
     uint32_t heartbeat_ms;
-    uint64_t trust_from_ms; /**< Before, the store's word that an engine is gone is doubted. */
-    uint32_t failures;      /**< Reads that failed since the last good one. */
+    /** Before this time, engines without an entry stay listed: they may not be registered yet. */
+    uint64_t trust_removals_from_ms;
+    uint32_t failure_count; /**< Reads that failed since the last successful one. */
     hs_store_contact contact;
-    hs_stop_wait pause;
+    hs_stop_wait stop_wait;
     GThread *thread;
-    GHashTable
-        *faulty; /**< id -> hs_entry_fault of its entry, so that each change is logged once. */
-    gint rejected[HS_ENTRY_FAULT_COUNT]; /**< Entries that named no engine, by reason. */
+    GHashTable *fault_by_id; /**< Engine id -> hs_entry_fault, to log each change once. */
+    gint rejected_counts[HS_ENTRY_FAULT_COUNT]; /**< By hs_entry_fault. */
 };
 
 hs_engine_source *hs_engine_source_new(hs_store_client *store, hs_fleet_engines *engines,
@@ -53,53 +51,54 @@
     source->heartbeat_ms = heartbeat_ms;
     source->interval_ms = MAX(drain_ms / READS_PER_DRAIN, 1);
     hs_store_contact_init(&source->contact, "engines");
-    hs_stop_wait_init(&source->pause);
-    source->faulty = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    hs_stop_wait_init(&source->stop_wait);
+    source->fault_by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     return source;
 }
 
 /**
- * After an answer came: entries may have run out while the store was away, that is, while reads
- * failed. A pause between two good reads is no absence, however long it is.
+ * Called after a successful read. If reads failed for so long that entries may have expired in the
+ * meantime, removals are not trusted for REGISTRATION_MS. A long interval between two successful
+ * reads is no outage.
  */
-static void note_gap(hs_engine_source *source) {
+static void detect_outage(hs_engine_source *source) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint64_t heard_ms = hs_store_contact_heard_ms(&source->contact);
-    uint64_t lapse_ms = (uint64_t)source->heartbeat_ms * BEATS_TO_LAPSE;
-    if (heard_ms != 0 && source->failures > 0 && now_ms > heard_ms + lapse_ms)
-        source->trust_from_ms = now_ms + RETURN_MS;
+    uint64_t last_response_ms = hs_store_contact_heard_ms(&source->contact);
+    uint64_t expiry_ms = (uint64_t)source->heartbeat_ms * HEARTBEATS_TO_EXPIRY;
+    if (last_response_ms != 0 && source->failure_count > 0 && now_ms > last_response_ms + expiry_ms)
+        source->trust_removals_from_ms = now_ms + REGISTRATION_MS;
 }
 
-/**
- * Note what came of an entry: a line where it changed. An engine whose entry was written over by
- * another writer is used again with its own next beat.
- */
-static void note_fault(hs_engine_source *source, const char *id, hs_entry_fault fault) {
-    gpointer before = g_hash_table_lookup(source->faulty, id);
+/** Counts a faulty entry, and logs the entry if its fault changed. */
+static void record_fault(hs_engine_source *source, const char *id, hs_entry_fault fault) {
+    gpointer previous_fault = g_hash_table_lookup(source->fault_by_id, id);
     if (fault == HS_ENTRY_SOUND) {
-        g_hash_table_remove(source->faulty, id);
+        g_hash_table_remove(source->fault_by_id, id);
         return;
     }
-    g_atomic_int_inc(&source->rejected[fault]);
-    if (before == GINT_TO_POINTER(fault))
+    g_atomic_int_inc(&source->rejected_counts[fault]);
+    if (previous_fault == GINT_TO_POINTER(fault))
         return;
     hs_log_warning("engine_entry_rejected", "engine=%s reason=%s", id, hs_entry_fault_name(fault));
-    if (g_hash_table_size(source->faulty) < FAULTY_MOST)
-        g_hash_table_insert(source->faulty, g_strdup(id), GINT_TO_POINTER(fault));
+    if (g_hash_table_size(source->fault_by_id) < MAX_FAULTY_ENTRIES)
+        g_hash_table_insert(source->fault_by_id, g_strdup(id), GINT_TO_POINTER(fault));
 }
 
-/** False: the entry names no engine. */
-static bool take_entry(hs_engine_source *source, const char *id, const uint8_t *value,
-                       size_t length) {
-    if (length == 0 && hs_clock_monotonic_ms() < source->trust_from_ms)
-        hs_fleet_engines_doubt(source->engines, id, source->trust_from_ms);
+/**
+ * Applies an entry to the table; an empty value removes the engine. Returns whether the
+ * entry is valid.
+ */
+static bool apply_entry(hs_engine_source *source, const char *id, const uint8_t *value,
+                        size_t length) {
+    if (length == 0 && hs_clock_monotonic_ms() < source->trust_removals_from_ms)
+        hs_fleet_engines_doubt(source->engines, id, source->trust_removals_from_ms);
     else if (length == 0)
         hs_fleet_engines_lapse(source->engines, id);
     if (length == 0)
         return false;
     hs_engine_entry entry = {0};
     hs_entry_fault fault = hs_platform_read_engine(id, value, length, &entry);
-    note_fault(source, id, fault);
+    record_fault(source, id, fault);
     if (fault == HS_ENTRY_SOUND)
         hs_fleet_engines_put(source->engines, &entry, hs_clock_monotonic_ms());
     else
@@ -107,15 +106,18 @@
     return fault == HS_ENTRY_SOUND;
 }
 
-/** One page of newest entries; @p after: the last key of the page before, replaced. */
+/**
+ * Reads one page of newest entries. @p after is the last key of the previous page, and is replaced.
+ * The ids of valid entries are added to @p listed; @p end is set to the end of the topic's log.
+ */
 static hs_store_outcome read_page(hs_engine_source *source, GByteArray *answer, GHashTable *listed,
                                   char **after, bool *has_more, uint64_t *end) {
     hs_store_call call = hs_platform_newest(HS_TOPIC_ENGINES, *after);
-    hs_deadline deadline = hs_clock_monotonic_ms() + ANSWER_LIMIT_MS;
+    hs_deadline deadline = hs_clock_monotonic_ms() + READ_TIMEOUT_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     if (outcome != HS_STORE_DONE)
         return outcome;
-    note_gap(source);
+    detect_outage(source);
     GArray *entries = hs_newest_entries_new();
     if (!hs_platform_read_newest(answer, entries, has_more, end))
         outcome = HS_STORE_UNKNOWN;
@@ -125,7 +127,7 @@
         *after = g_strdup(entry->key);
         if (entry->value_length == 0)
             continue;
-        if (take_entry(source, entry->key, entry->value, entry->value_length))
+        if (apply_entry(source, entry->key, entry->value, entry->value_length))
             g_hash_table_add(listed, g_strdup(entry->key));
     }
     if (entries->len == 0)
@@ -134,7 +136,10 @@
     return outcome;
 }
 
-/** Read all entries. The pages are no snapshot: follow from the first page's end. */
+/**
+ * Reads all entries. Entries may change between two pages, so @p next is set to the end of the log
+ * that came with the first page.
+ */
 static hs_store_outcome read_newest(hs_engine_source *source, GByteArray *answer, uint64_t *next) {
     GHashTable *listed = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g_autofree char *after = NULL;
@@ -149,51 +154,53 @@
         is_first = false;
     }
     if (outcome == HS_STORE_DONE)
-        hs_fleet_engines_keep_only(source->engines, listed, source->trust_from_ms);
+        hs_fleet_engines_keep_only(source->engines, listed, source->trust_removals_from_ms);
     g_hash_table_destroy(listed);
     return outcome;
 }
 
+/** Reads the records from the offset @p next on, and advances @p next. */
 static hs_store_outcome follow(hs_engine_source *source, GByteArray *answer, uint64_t *next) {
-    hs_store_call call = hs_platform_read(HS_TOPIC_ENGINES, 0, *next, READ_MAX_KB, 0);
-    hs_deadline deadline = hs_clock_monotonic_ms() + ANSWER_LIMIT_MS;
+    hs_store_call call = hs_platform_read(HS_TOPIC_ENGINES, 0, *next, MAX_READ_KB, 0);
+    hs_deadline deadline = hs_clock_monotonic_ms() + READ_TIMEOUT_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     size_t position = 0;
     hs_store_record record;
     if (outcome == HS_STORE_DONE)
-        note_gap(source);
+        detect_outage(source);
     while (outcome == HS_STORE_DONE && hs_platform_next_record(answer, true, &position, &record)) {
         g_autofree char *id = g_strndup(record.key, record.key_length);
-        take_entry(source, id, record.value, record.value_length);
+        apply_entry(source, id, record.value, record.value_length);
         (*next)++;
     }
     return outcome;
 }
 
-/** Time until the next read. */
-static uint64_t pause_ms(const hs_engine_source *source) {
-    if (source->failures == 0)
+/** Returns the delay before the next read. */
+static uint64_t delay_ms(const hs_engine_source *source) {
+    if (source->failure_count == 0)
         return source->interval_ms;
-    return MIN((uint64_t)RETRY_FIRST_MS << MIN(source->failures - 1, 8), source->interval_ms);
+    return MIN((uint64_t)MIN_RETRY_DELAY_MS << MIN(source->failure_count - 1, 8),
+               source->interval_ms);
 }
 
 static gpointer run_source(gpointer data) {
     hs_engine_source *source = data;
     GByteArray *answer = g_byte_array_new();
     uint64_t next = 0;
-    bool positioned = false;
+    bool is_positioned = false;
     do {
         hs_store_contact_ask(&source->contact);
         hs_store_outcome outcome =
-            positioned ? follow(source, answer, &next) : read_newest(source, answer, &next);
+            is_positioned ? follow(source, answer, &next) : read_newest(source, answer, &next);
         hs_store_contact_note(&source->contact, outcome);
         if (outcome == HS_STORE_DONE)
-            positioned = true;
+            is_positioned = true;
         else if (outcome == HS_STORE_GONE)
-            positioned = false;
-        source->failures = outcome == HS_STORE_DONE ? 0 : source->failures + 1;
+            is_positioned = false;
+        source->failure_count = outcome == HS_STORE_DONE ? 0 : source->failure_count + 1;
         hs_fleet_engines_prune(source->engines);
-    } while (hs_stop_wait_pause(&source->pause, pause_ms(source)));
+    } while (hs_stop_wait_pause(&source->stop_wait, delay_ms(source)));
     g_byte_array_free(answer, TRUE);
     return NULL;
 }
@@ -205,12 +212,12 @@
 void hs_engine_source_free(hs_engine_source *source) {
     if (source == NULL)
         return;
-    hs_stop_wait_ask(&source->pause);
+    hs_stop_wait_ask(&source->stop_wait);
     if (source->thread != NULL)
         g_thread_join(source->thread);
-    hs_stop_wait_clear(&source->pause);
+    hs_stop_wait_clear(&source->stop_wait);
     hs_store_contact_clear(&source->contact);
-    g_hash_table_destroy(source->faulty);
+    g_hash_table_destroy(source->fault_by_id);
     g_free(source);
 }
 
@@ -227,5 +234,5 @@
 }
 
 uint32_t hs_engine_source_rejected(hs_engine_source *source, hs_entry_fault fault) {
-    return (uint32_t)g_atomic_int_get(&source->rejected[fault]);
+    return (uint32_t)g_atomic_int_get(&source->rejected_counts[fault]);
 }
--- a/src/fleet/engine_source.h
+++ b/src/fleet/engine_source.h
@@ -1,10 +1,10 @@
 /**
  * @file engine_source.h
- * Follows the engines' topic into the table of engines.
+ * Reads the engines' entries from the store's engine topic into the engine table.
  *
- * Each engine writes there with every heartbeat, so the topic is read at an interval, not by long
- * polls that wake for each beat. The interval derives from the time within which a leaving engine
- * must get no new work.
+ * A thread reads the topic at a fixed interval, because each engine writes an entry with every
+ * heartbeat and long polls would return at once. A source may be used
+ * by any thread from its creation until it is freed.
  */
 #ifndef HS_FLEET_ENGINE_SOURCE_H
 #define HS_FLEET_ENGINE_SOURCE_H
@@ -16,29 +16,39 @@
 typedef struct hs_engine_source hs_engine_source;
 
 /**
- * Both are borrowed. @p drain_ms: see above. @p heartbeat_ms: time between an engine's beats.
- * Entries may run out while the store is away, since engines cannot beat; those that are gone just
- * after are kept for two beats, in which sound engines list themselves again.
+ * Creates a source; free with hs_engine_source_free. @p store and @p engines are borrowed.
+ * @p drain_ms is the time after which a draining engine must get no new requests; the read interval
+ * is a fraction of that time. @p heartbeat_ms is the time between heartbeats of an engine.
+ *
+ * Entries may expire while the store is unavailable, because engines cannot write heartbeats. After
+ * such an outage, engines without an entry stay in the table for a short time, in which healthy
+ * engines register again.
  */
 hs_engine_source *hs_engine_source_new(hs_store_client *store, hs_fleet_engines *engines,
                                        uint32_t drain_ms, uint32_t heartbeat_ms);
 
-/** Start the duty thread. */
+/** Starts the thread. */
 void hs_engine_source_start(hs_engine_source *source);
 
-/** Entries so far that named no engine for a reason; those of others hold. */
+/** Returns the number of entries rejected so far because of @p fault. */
 uint32_t hs_engine_source_rejected(hs_engine_source *source, hs_entry_fault fault);
 
-/** Whether the store gave no answer to the last read. */
+/** Whether the last read of the store failed. */
 bool hs_engine_source_is_cut_off(hs_engine_source *source);
 
-/** Join the thread (the store client was abandoned before) and free. NULL is allowed. */
+/**
+ * Joins the thread and frees the source. NULL is allowed. The store client must have been abandoned
+ * before, so that a read in progress ends.
+ */
 void hs_engine_source_free(hs_engine_source *source);
 
-/** Monotonic time of the last word from the store; 0: none yet. */
+/** Returns the monotonic time of the last response from the store; 0: none yet. */
 uint64_t hs_engine_source_heard_ms(hs_engine_source *source);
 
-/** The engines are what the store had at this time or later; monotonic, 0: not known. */
+/**
+ * Returns the monotonic time at which the last answered read was sent: the table reflects the store
+ * at that time or later. 0: no read was answered yet.
+ */
 uint64_t hs_engine_source_as_of_ms(hs_engine_source *source);
 
 #endif
--- a/src/fleet/fleet_config.c
+++ b/src/fleet/fleet_config.c
@@ -1,4 +1,7 @@
-/** @file fleet_config.c  Life of the typed configuration and engine entries; see heathsail/fleet.h.
+/**
+ * @file fleet_config.c
+ * Creates and frees configurations and engine entries, and compares priorities of requests. See
+ * heathsail/fleet.h and config_source.h.
  */
 #include "fleet/config_source.h"
 
@@ -61,7 +64,7 @@
     memset(entry, 0, sizeof *entry);
 }
 
-static bool brings_to(const hs_fleet_route *route, const char *service) {
+static bool has_service_share(const hs_fleet_route *route, const char *service) {
     for (guint index = 0; index < route->shares->len; index++) {
         const hs_route_share *share = &g_array_index(route->shares, hs_route_share, index);
         if (share->weight > 0 && strcmp(share->service, service) == 0)
@@ -70,17 +73,17 @@
     return false;
 }
 
-/** Highest rank that an online request on @p route may have. */
+/** Returns the highest rank (lowest number) that an online request on @p route may have. */
 static uint32_t highest_rank(const hs_fleet_config *config, const hs_fleet_route *route) {
-    uint32_t own = config->has_unranked_callers ? route->priority : UINT32_MAX;
-    return MIN(own, config->tenants_highest);
+    uint32_t route_rank = config->has_unranked_callers ? route->priority : UINT32_MAX;
+    return MIN(route_rank, config->tenants_highest);
 }
 
 bool hs_fleet_config_is_less_urgent(const hs_fleet_config *config, uint32_t rank,
                                     const char *service) {
     for (guint index = 0; index < config->routes->len; index++) {
         const hs_fleet_route *route = config->routes->pdata[index];
-        if (route->kind != HS_ROUTE_BATCH && brings_to(route, service) &&
+        if (route->kind != HS_ROUTE_BATCH && has_service_share(route, service) &&
             highest_rank(config, route) < rank)
             return true;
     }
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -1,4 +1,4 @@
-/** @file test_fleet.c  Streams, fields, configuration and codecs of the fleet. */
+/** @file test_fleet.c  Event streams, header fields, configuration, and codecs of the platform. */
 #include "fleet/config_source.h"
 #include "fleet/prefix_index.h"
 #include "http/http_fields.h"
@@ -13,12 +13,12 @@
 
 #include <string.h>
 
-static void add(GByteArray *bytes, const char *text) {
+static void append_text(GByteArray *bytes, const char *text) {
     g_byte_array_append(bytes, (const guint8 *)text, (guint)strlen(text));
 }
 
-/** Fed byte by byte, a stream gives the same whole events, and nothing of a cut one. */
-static void events_are_whole_at_every_cut(void) {
+/** Guards against incomplete events being forwarded if input arrives byte by byte. */
+static void events_are_complete_if_input_arrives_byte_by_byte(void) {
     static const char text[] =
         "id: 1\ndata: a\n\nheathsail: 2\nid: 2\ndata: b\ndata: c\n\nid: 3\nda";
     hs_event_stream stream = {0};
@@ -29,12 +29,12 @@
         g_byte_array_append(input, (const guint8 *)text + index, 1);
         CU_ASSERT_TRUE(hs_event_stream_take(&stream, input, events, texts));
     }
-    size_t whole = (size_t)(strstr(text, "id: 3") - text);
-    CU_ASSERT(events->len == whole && memcmp(events->data, text, whole) == 0);
+    size_t complete_length = (size_t)(strstr(text, "id: 3") - text);
+    CU_ASSERT(events->len == complete_length && memcmp(events->data, text, complete_length) == 0);
     CU_ASSERT_EQUAL(stream.last_id, 2);
     CU_ASSERT_EQUAL(texts->len, 2);
     CU_ASSERT_STRING_EQUAL(((GString *)texts->pdata[1])->str, "b\nc");
-    CU_ASSERT_EQUAL(input->len, strlen(text) - whole);
+    CU_ASSERT_EQUAL(input->len, strlen(text) - complete_length);
     for (guint index = 0; index < texts->len; index++)
         g_string_free(texts->pdata[index], TRUE);
     g_ptr_array_free(texts, TRUE);
@@ -42,38 +42,38 @@
     g_byte_array_free(events, TRUE);
 }
 
-static void a_resumed_stream_neither_repeats_nor_skips(void) {
+static void resumed_stream_rejects_repeated_and_skipped_events(void) {
     hs_event_stream stream = {.has_last_id = true, .last_id = 4};
     GByteArray *input = g_byte_array_new();
     GByteArray *events = g_byte_array_new();
-    add(input, "id: 5\ndata: e\n\n");
+    append_text(input, "id: 5\ndata: e\n\n");
     CU_ASSERT_TRUE(hs_event_stream_take(&stream, input, events, NULL));
     CU_ASSERT_EQUAL(events->len, strlen("id: 5\ndata: e\n\n"));
-    static const char *const breaks[] = {"id: 7\ndata: g\n\n", "id: 5\ndata: e\n\n",
-                                         "data: of no place\n\n"};
-    for (size_t index = 0; index < G_N_ELEMENTS(breaks); index++) {
-        g_byte_array_set_size(input, 0); /* Another run, on another connection. */
+    static const char *const out_of_order_runs[] = {"id: 7\ndata: g\n\n", "id: 5\ndata: e\n\n",
+                                                    "data: of no place\n\n"};
+    for (size_t index = 0; index < G_N_ELEMENTS(out_of_order_runs); index++) {
+        g_byte_array_set_size(input, 0); /* A new run on another connection. */
         hs_event_stream_begin_run(&stream);
-        add(input, breaks[index]);
+        append_text(input, out_of_order_runs[index]);
         CU_ASSERT_FALSE(hs_event_stream_take(&stream, input, events, NULL));
         CU_ASSERT_EQUAL(events->len, strlen("id: 5\ndata: e\n\n"));
     }
     g_byte_array_set_size(input, 0);
-    hs_event_stream_begin_run(&stream); /* What a run before broke is forgotten. */
-    add(input, ": still there\n\nid: 6\ndata: f\n\n");
+    hs_event_stream_begin_run(&stream); /* Clears the fault of the previous run. */
+    append_text(input, ": still there\n\nid: 6\ndata: f\n\n");
     CU_ASSERT_TRUE(hs_event_stream_take(&stream, input, events, NULL));
     CU_ASSERT_EQUAL(stream.last_id, 6);
     g_byte_array_free(input, TRUE);
     g_byte_array_free(events, TRUE);
 }
 
-/** Take one piece of a run from @p stream; whether its order held, and how many events came. */
-static bool take_piece(hs_event_stream *stream, const char *piece, guint *taken) {
+/** Passes @p piece to @p stream. Returns whether it is in order, and sets the count of events. */
+static bool pass_piece(hs_event_stream *stream, const char *piece, guint *event_count) {
     GByteArray *input = g_byte_array_new();
     GPtrArray *texts = g_ptr_array_new();
-    add(input, piece);
+    append_text(input, piece);
     bool in_order = hs_event_stream_take(stream, input, NULL, texts);
-    *taken = texts->len;
+    *event_count = texts->len;
     for (guint index = 0; index < texts->len; index++)
         g_string_free(texts->pdata[index], TRUE);
     g_ptr_array_free(texts, TRUE);
@@ -81,43 +81,44 @@
     return in_order;
 }
 
-/** A run joins only right after the event that it was asked to go on after. */
-static void a_run_that_begins_elsewhere_does_not_join(void) {
+/** A run is accepted only if it starts right after the last event received. */
+static void run_that_starts_at_another_event_is_rejected(void) {
     static const struct {
         uint64_t last_id;
         const char *piece;
         bool resumes;
-        bool joins;
+        bool is_accepted;
     } runs[] = {{4, "id: 5\ndata: e\n\n", true, true},
                 {4, "id: 4\ndata: d\n\nid: 5\ndata: e\n\n", true, false},
                 {4, "id: 1\ndata: a\n\n", true, false},
                 {4, "id: 6\ndata: f\n\n", true, false},
                 {0, "id: 1\ndata: a\n\n", false, true},
                 {0, "id: 0\ndata: a\n\n", false, true},
-                {0, "id: 10\ndata: a\n\n", false, true}}; /* There is nothing to join. */
+                {0, "id: 10\ndata: a\n\n", false, true}}; /* A new stream may start with any id. */
     for (size_t index = 0; index < G_N_ELEMENTS(runs); index++) {
         hs_event_stream stream = {.has_last_id = runs[index].resumes,
                                   .last_id = runs[index].last_id};
-        guint taken = 0;
-        CU_ASSERT_EQUAL(take_piece(&stream, runs[index].piece, &taken), runs[index].joins);
-        CU_ASSERT_EQUAL(taken, runs[index].joins ? 1 : 0);
+        guint event_count = 0;
+        CU_ASSERT_EQUAL(pass_piece(&stream, runs[index].piece, &event_count),
+                        runs[index].is_accepted);
+        CU_ASSERT_EQUAL(event_count, runs[index].is_accepted ? 1 : 0);
     }
 }
 
-/** What a run without ids repeats cannot be told from what is new. */
-static void a_stream_without_ids_cannot_go_on(void) {
+/** Without ids, repeated events cannot be distinguished from new ones. */
+static void stream_without_event_ids_cannot_be_resumed(void) {
     hs_event_stream stream = {0};
-    guint taken = 0;
+    guint event_count = 0;
     CU_ASSERT_TRUE(hs_event_stream_can_go_on(&stream));
-    CU_ASSERT_TRUE(take_piece(&stream, "data: a\n\ndata: b\n\n", &taken));
-    CU_ASSERT_EQUAL(taken, 2);
+    CU_ASSERT_TRUE(pass_piece(&stream, "data: a\n\ndata: b\n\n", &event_count));
+    CU_ASSERT_EQUAL(event_count, 2);
     CU_ASSERT_FALSE(hs_event_stream_can_go_on(&stream));
     stream = (hs_event_stream){0};
-    CU_ASSERT_TRUE(take_piece(&stream, "id: 1\ndata: a\n\n", &taken));
+    CU_ASSERT_TRUE(pass_piece(&stream, "id: 1\ndata: a\n\n", &event_count));
     CU_ASSERT_TRUE(hs_event_stream_can_go_on(&stream));
 }
 
-static void fields_that_come_twice_are_kept(void) {
+static void repeated_header_fields_are_kept(void) {
     GArray *fields = hs_http_fields_new();
     hs_http_fields_add(fields, "X-A", "1");
     hs_http_fields_add(fields, "x-a", "2");
@@ -143,7 +144,7 @@
     "\"limits\":{\"max-header-bytes\":100,\"max-body-bytes\":200,\"header-timeout-ms\":300,"
     "\"idle-timeout-ms\":400}}";
 
-static void routes_go_by_host_and_longest_prefix(void) {
+static void routes_match_host_and_longest_prefix(void) {
     hs_error error = {0};
     hs_fleet_config *config = hs_platform_read_config(config_text, strlen(config_text), &error);
     CU_ASSERT_PTR_NOT_NULL(config);
@@ -160,7 +161,7 @@
     hs_fleet_config_unref(config);
 }
 
-static void a_broken_configuration_is_refused(void) {
+static void invalid_configuration_is_rejected(void) {
     hs_error error = {0};
     for (size_t length = 0; length < strlen(config_text); length++)
         CU_ASSERT_PTR_NULL(hs_platform_read_config(config_text, length, &error));
@@ -168,33 +169,33 @@
     CU_ASSERT_PTR_NULL(hs_platform_read_config("{\"version\":3}", 13, &error));
 }
 
-static void a_split_comes_close_to_its_weights_soon(void) {
+static void traffic_split_converges_to_its_weights(void) {
     hs_error error = {0};
     hs_fleet_config *config = hs_platform_read_config(config_text, strlen(config_text), &error);
     const hs_fleet_route *route = hs_fleet_config_find_route(config, "a.example", "/x/y/");
     hs_online online = {0};
-    int minor = 0;
+    int minor_count = 0;
     for (int request = 0; request < 300; request++)
-        minor += strcmp(hs_online_pick_share(&online, route), "s2") == 0;
-    CU_ASSERT(minor >= 28 && minor <= 32);
+        minor_count += strcmp(hs_online_pick_share(&online, route), "s2") == 0;
+    CU_ASSERT(minor_count >= 28 && minor_count <= 32);
     hs_fleet_config_unref(config);
 }
 
-static void the_older_configuration_is_not_taken(void) {
+static void older_configuration_is_not_applied(void) {
     hs_config_source *source = hs_config_source_new(NULL, 1000);
     hs_fleet_config *newer = hs_fleet_config_new();
     newer->version = 9;
     hs_fleet_config *older = hs_fleet_config_new();
     older->version = 8;
-    CU_ASSERT_TRUE(hs_config_source_offer(source, newer));
-    CU_ASSERT_FALSE(hs_config_source_offer(source, older));
-    hs_fleet_config *now = hs_config_source_get(source);
-    CU_ASSERT_EQUAL(now->version, 9);
-    hs_fleet_config_unref(now);
+    CU_ASSERT_TRUE(hs_config_source_apply_if_newer(source, newer));
+    CU_ASSERT_FALSE(hs_config_source_apply_if_newer(source, older));
+    hs_fleet_config *current = hs_config_source_get(source);
+    CU_ASSERT_EQUAL(current->version, 9);
+    hs_fleet_config_unref(current);
     hs_config_source_free(source);
 }
 
-static void engine_heads_carry_what_callers_sent(void) {
+static void engine_request_heads_forward_caller_fields(void) {
     GArray *fields = hs_http_fields_new();
     hs_http_fields_add(fields, "Host", "a.example");
     hs_http_fields_add(fields, "Heathsail-Request-Id", "r1");
@@ -227,7 +228,7 @@
     hs_http_fields_free(fields);
 }
 
-static void callers_terms_are_read(void) {
+static void caller_terms_are_parsed(void) {
     GArray *fields = hs_http_fields_new();
     hs_http_fields_add(fields, "Heathsail-Token-Usage", "1460,80");
     hs_http_fields_add(fields, "Heathsail-Prompt-Prefix", "5c1e07a2:800,91bd3f06:410,e4402b7d:250");
@@ -239,17 +240,17 @@
     CU_ASSERT_EQUAL(terms.size.parts[2].id, 0xe4402b7dU);
     CU_ASSERT_EQUAL(hs_prompt_shared_tokens(&terms.size), 1210);
     hs_http_fields_free(fields);
-    static const char *const broken[] = {":", "zz", "1:", "1:2,", ",,,", "1:2:3", "1;2"};
-    for (size_t index = 0; index < G_N_ELEMENTS(broken); index++) {
-        GArray *odd = hs_http_fields_new();
-        hs_http_fields_add(odd, "Heathsail-Prompt-Prefix", broken[index]);
-        hs_platform_read_terms(odd, &terms);
+    static const char *const invalid[] = {":", "zz", "1:", "1:2,", ",,,", "1:2:3", "1;2"};
+    for (size_t index = 0; index < G_N_ELEMENTS(invalid); index++) {
+        GArray *invalid_fields = hs_http_fields_new();
+        hs_http_fields_add(invalid_fields, "Heathsail-Prompt-Prefix", invalid[index]);
+        hs_platform_read_terms(invalid_fields, &terms);
         CU_ASSERT(terms.size.part_count <= HS_PROMPT_PARTS_MAX);
-        hs_http_fields_free(odd);
+        hs_http_fields_free(invalid_fields);
     }
 }
 
-static void calls_are_sorted(void) {
+static void calls_are_classified(void) {
     char *id = NULL;
     CU_ASSERT_EQUAL(hs_platform_sort_call("GET", "/lots/ab?after=3", &id), HS_CALL_JOB_READ);
     CU_ASSERT_STRING_EQUAL(id, "ab");
@@ -268,7 +269,7 @@
     CU_ASSERT_FALSE(hs_platform_is_resolve("/resolver", &zone));
 }
 
-static void store_records_are_bounded(void) {
+static void store_record_reads_stay_in_bounds(void) {
     GByteArray *answer = g_byte_array_new();
     guint8 bounds[16] = {0};
     bounds[7] = 9;
@@ -286,7 +287,7 @@
     CU_ASSERT_TRUE(hs_platform_next_record(answer, true, &position, &record));
     CU_ASSERT(record.key_length == 1 && record.value_length == 1);
     CU_ASSERT_FALSE(hs_platform_next_record(answer, true, &position, &record));
-    while (answer->len > 0) { /* Cut anywhere, nothing is read beyond the end. */
+    while (answer->len > 0) { /* Truncated input is not read beyond its end. */
         g_byte_array_set_size(answer, answer->len - 1);
         position = 0;
         while (hs_platform_next_record(answer, false, &position, &record))
@@ -295,8 +296,8 @@
     g_byte_array_free(answer, TRUE);
 }
 
-static void broken_submissions_are_refused(void) {
-    static const char *const broken[] = {
+static void invalid_submissions_are_rejected(void) {
+    static const char *const invalid[] = {
         "",
         "[]",
         "{\"requests\":[]}",
@@ -308,18 +309,18 @@
         "{\"requests\":[{\"id\":\"a\",\"path\":\"/p\",\"body\":\"\",\"headers\":{\"X\":\"a\\r\\nB: "
         "c\"}}]}"};
     hs_error error = {0};
-    for (size_t index = 0; index < G_N_ELEMENTS(broken); index++)
+    for (size_t index = 0; index < G_N_ELEMENTS(invalid); index++)
         CU_ASSERT_PTR_NULL(
-            hs_platform_read_submission(broken[index], strlen(broken[index]), &error));
-    static const char sound[] = "{\"requests\":[{\"id\":\"a\",\"path\":\"/p\",\"headers\":{\"X\":"
+            hs_platform_read_submission(invalid[index], strlen(invalid[index]), &error));
+    static const char valid[] = "{\"requests\":[{\"id\":\"a\",\"path\":\"/p\",\"headers\":{\"X\":"
                                 "\"y\"},\"body\":\"AAE=\",\"tokens\":5}]}";
-    GArray *items = hs_platform_read_submission(sound, strlen(sound), &error);
+    GArray *items = hs_platform_read_submission(valid, strlen(valid), &error);
     CU_ASSERT_PTR_NOT_NULL_FATAL(items);
     CU_ASSERT_EQUAL(g_array_index(items, hs_submitted_item, 0).body_length, 2);
     g_array_free(items, TRUE);
 }
 
-static hs_engine_load load_of(const char *text) {
+static hs_engine_load read_load(const char *text) {
     GArray *fields = hs_http_fields_new();
     hs_http_fields_add(fields, "Heathsail-Server-Load", text);
     hs_engine_answer answer;
@@ -328,41 +329,44 @@
     return answer.load;
 }
 
-/** A load's fourth figure counts where an engine can mean it; the other three always do. */
-static void a_load_tells_how_long_work_takes(void) {
-    hs_engine_load three = load_of("3,1,8");
-    CU_ASSERT(three.present && three.running == 3 && three.waiting == 1 && three.slots == 8);
-    CU_ASSERT(three.slowdown_percent == 0 && !three.is_slowdown_rejected);
-    CU_ASSERT_EQUAL(load_of("3,1,8,250").slowdown_percent, 250);
-    CU_ASSERT_EQUAL(load_of("3, 1, 8, 60").slowdown_percent, 60);
-    CU_ASSERT_EQUAL(load_of("3,1,8,10").slowdown_percent, HS_SLOWDOWN_LEAST_PERCENT);
-    CU_ASSERT_EQUAL(load_of("3,1,8,10000").slowdown_percent, HS_SLOWDOWN_MOST_PERCENT);
-    static const char *const junk[] = {"3,1,8,",    "3,1,8,0",     "3,1,8,-250",
-                                       "3,1,8,9",   "3,1,8,10001", "3,1,8,18446744073709551716",
-                                       "3,1,8,1e3", "3,1,8,250%",  "3,1,8,nan"};
-    for (size_t index = 0; index < G_N_ELEMENTS(junk); index++) {
-        hs_engine_load load = load_of(junk[index]);
+/** An invalid slowdown is rejected without rejecting the other three figures of a load. */
+static void invalid_slowdown_of_a_load_is_rejected(void) {
+    hs_engine_load without_slowdown = read_load("3,1,8");
+    CU_ASSERT(without_slowdown.present && without_slowdown.running == 3 &&
+              without_slowdown.waiting == 1 && without_slowdown.slots == 8);
+    CU_ASSERT(without_slowdown.slowdown_percent == 0 && !without_slowdown.is_slowdown_rejected);
+    CU_ASSERT_EQUAL(read_load("3,1,8,250").slowdown_percent, 250);
+    CU_ASSERT_EQUAL(read_load("3, 1, 8, 60").slowdown_percent, 60);
+    CU_ASSERT_EQUAL(read_load("3,1,8,10").slowdown_percent, HS_SLOWDOWN_LEAST_PERCENT);
+    CU_ASSERT_EQUAL(read_load("3,1,8,10000").slowdown_percent, HS_SLOWDOWN_MOST_PERCENT);
+    static const char *const invalid[] = {"3,1,8,",    "3,1,8,0",     "3,1,8,-250",
+                                          "3,1,8,9",   "3,1,8,10001", "3,1,8,18446744073709551716",
+                                          "3,1,8,1e3", "3,1,8,250%",  "3,1,8,nan"};
+    for (size_t index = 0; index < G_N_ELEMENTS(invalid); index++) {
+        hs_engine_load load = read_load(invalid[index]);
         CU_ASSERT(load.present && load.running == 3 && load.waiting == 1 && load.slots == 8);
         CU_ASSERT(load.slowdown_percent == 0 && load.is_slowdown_rejected);
     }
-    CU_ASSERT_FALSE(load_of("3,1").present);
-    CU_ASSERT_FALSE(load_of("250").present);
+    CU_ASSERT_FALSE(read_load("3,1").present);
+    CU_ASSERT_FALSE(read_load("250").present);
 }
 
 const test_case fleet_tests[] = {
-    {"a_load_tells_how_long_work_takes", a_load_tells_how_long_work_takes},
-    {"events_are_whole_at_every_cut", events_are_whole_at_every_cut},
-    {"a_resumed_stream_neither_repeats_nor_skips", a_resumed_stream_neither_repeats_nor_skips},
-    {"a_run_that_begins_elsewhere_does_not_join", a_run_that_begins_elsewhere_does_not_join},
-    {"a_stream_without_ids_cannot_go_on", a_stream_without_ids_cannot_go_on},
-    {"fields_that_come_twice_are_kept", fields_that_come_twice_are_kept},
-    {"routes_go_by_host_and_longest_prefix", routes_go_by_host_and_longest_prefix},
-    {"a_broken_configuration_is_refused", a_broken_configuration_is_refused},
-    {"a_split_comes_close_to_its_weights_soon", a_split_comes_close_to_its_weights_soon},
-    {"the_older_configuration_is_not_taken", the_older_configuration_is_not_taken},
-    {"engine_heads_carry_what_callers_sent", engine_heads_carry_what_callers_sent},
-    {"callers_terms_are_read", callers_terms_are_read},
-    {"calls_are_sorted", calls_are_sorted},
-    {"store_records_are_bounded", store_records_are_bounded},
-    {"broken_submissions_are_refused", broken_submissions_are_refused},
+    {"invalid_slowdown_of_a_load_is_rejected", invalid_slowdown_of_a_load_is_rejected},
+    {"events_are_complete_if_input_arrives_byte_by_byte",
+     events_are_complete_if_input_arrives_byte_by_byte},
+    {"resumed_stream_rejects_repeated_and_skipped_events",
+     resumed_stream_rejects_repeated_and_skipped_events},
+    {"run_that_starts_at_another_event_is_rejected", run_that_starts_at_another_event_is_rejected},
+    {"stream_without_event_ids_cannot_be_resumed", stream_without_event_ids_cannot_be_resumed},
+    {"repeated_header_fields_are_kept", repeated_header_fields_are_kept},
+    {"routes_match_host_and_longest_prefix", routes_match_host_and_longest_prefix},
+    {"invalid_configuration_is_rejected", invalid_configuration_is_rejected},
+    {"traffic_split_converges_to_its_weights", traffic_split_converges_to_its_weights},
+    {"older_configuration_is_not_applied", older_configuration_is_not_applied},
+    {"engine_request_heads_forward_caller_fields", engine_request_heads_forward_caller_fields},
+    {"caller_terms_are_parsed", caller_terms_are_parsed},
+    {"calls_are_classified", calls_are_classified},
+    {"store_record_reads_stay_in_bounds", store_record_reads_stay_in_bounds},
+    {"invalid_submissions_are_rejected", invalid_submissions_are_rejected},
     {NULL, NULL}};
--- a/tests/unit/test_urgency.c
+++ b/tests/unit/test_urgency.c
@@ -1,7 +1,7 @@
 /**
  * @file test_urgency.c
- * Kinds of requests of one service under overload, played over the choice of an engine: a less
- * urgent kind is not served more often than a more urgent one, nor with a larger share in time.
+ * Simulates the choice of an engine under overload: a less urgent kind of requests is not served
+ * more often than a more urgent one, nor more often in time.
  */
 #include "fleet/config_source.h"
 #include "fleet/engine_choice.h"
@@ -10,72 +10,76 @@
 
 #include <string.h>
 
-enum { ENGINES = 3, SLOTS = 8, RUN_MS = 200, PLAY_MS = 20000, QUEUE_MOST = 256 };
-/** Share of asked requests served, and of its credit, by which a less urgent kind may lead. */
-#define SERVED_LEAD 0.05
-#define CREDIT_LEAD 0.15
+enum { ENGINES = 3, SLOTS = 8, RUN_MS = 200, SIMULATION_MS = 20000, MAX_QUEUE_LENGTH = 256 };
+/**
+ * Margins by which the served share, and the share served in time, of a less urgent kind may
+ * exceed that of a more urgent one.
+ */
+#define MAX_SERVED_LEAD 0.05
+#define MAX_IN_TIME_LEAD 0.15
 
 enum { URGENT, LESS_URGENT, BATCH, KINDS };
 
-/** A kind that may be answered later stands in queues that are too long for the urgent one. */
+/** A kind with a longer target latency accepts queues that are too long for the urgent kind. */
 static const int target_ms[KINDS] = {300, 1500, 20000};
 
 /** One request at an engine. */
 typedef struct {
     int kind;
-    int came_ms;
-    int left_ms; /**< Of its run. */
+    int arrived_ms;
+    int left_ms; /**< Remaining run time. */
 } run;
 
-/** Runs in the order in which they came; the first SLOTS are worked on. */
+/** Runs in the order of arrival; the first SLOTS are executed. */
 typedef struct {
-    run runs[QUEUE_MOST];
+    run runs[MAX_QUEUE_LENGTH];
     int count;
 } engine;
 
 typedef struct {
-    int asked[KINDS];
+    int requested[KINDS];
     int served[KINDS];
     int in_time[KINDS];
     int waiting_items;
     engine engines[ENGINES];
-} play;
+} simulation;
 
 static const hs_engine_speed speed = {
     .tokens_per_ms = 50, .run_ms = RUN_MS, .online_run_ms = RUN_MS, .first_byte_ms = 5};
 
-static int count_batch(const engine *at) {
+static int count_batch(const engine *target) {
     int batch = 0;
-    for (int index = 0; index < at->count; index++)
-        batch += at->runs[index].kind == BATCH;
+    for (int index = 0; index < target->count; index++)
+        batch += target->runs[index].kind == BATCH;
     return batch;
 }
 
-static void remove_run(engine *at, int index) {
-    memmove(&at->runs[index], &at->runs[index + 1], sizeof(run) * (size_t)(at->count - index - 1));
-    at->count--;
+static void remove_run(engine *target, int index) {
+    memmove(&target->runs[index], &target->runs[index + 1],
+            sizeof(run) * (size_t)(target->count - index - 1));
+    target->count--;
 }
 
-/** Batch items leave for requests, the newest first. */
-static void step_aside(play *played, engine *at) {
-    for (int index = at->count - 1; index >= 0 && at->count > SLOTS; index--)
-        if (at->runs[index].kind == BATCH) {
-            remove_run(at, index);
-            played->waiting_items++;
+/** Preempts batch items for online requests, the newest first. */
+static void preempt_items(simulation *simulated, engine *target) {
+    for (int index = target->count - 1; index >= 0 && target->count > SLOTS; index--)
+        if (target->runs[index].kind == BATCH) {
+            remove_run(target, index);
+            simulated->waiting_items++;
         }
 }
 
-static void candidates_of(const play *played, hs_engine_candidate *candidates) {
+static void list_candidates(const simulation *simulated, hs_engine_candidate *candidates) {
     for (int index = 0; index < ENGINES; index++)
         candidates[index] = (hs_engine_candidate){.slots = SLOTS,
-                                                  .running = played->engines[index].count,
-                                                  .batch = count_batch(&played->engines[index])};
+                                                  .running = simulated->engines[index].count,
+                                                  .batch = count_batch(&simulated->engines[index])};
 }
 
-static void ask(play *played, int kind, int now_ms) {
+static void send_request(simulation *simulated, int kind, int now_ms) {
     hs_engine_candidate candidates[ENGINES];
-    played->asked[kind]++;
-    candidates_of(played, candidates);
+    simulated->requested[kind]++;
+    list_candidates(simulated, candidates);
     int picked = hs_engine_choice_pick(candidates, ENGINES, (size_t)now_ms % ENGINES, &speed);
     double online = candidates[picked].running - candidates[picked].batch + 1;
     double wait_ms = hs_engine_choice_wait_ms(online, SLOTS, 0, &speed);
@@ -83,83 +87,85 @@
         hs_engine_choice_begin_ms((uint64_t)target_ms[kind], 0, kind == LESS_URGENT);
     if (!hs_engine_choice_is_quick(wait_ms, &speed, begin_ms))
         return;
-    engine *at = &played->engines[picked];
-    at->runs[at->count++] = (run){.kind = kind, .came_ms = now_ms, .left_ms = RUN_MS};
-    step_aside(played, at);
+    engine *target = &simulated->engines[picked];
+    target->runs[target->count++] = (run){.kind = kind, .arrived_ms = now_ms, .left_ms = RUN_MS};
+    preempt_items(simulated, target);
 }
 
-static void start_items(play *played, int now_ms) {
+static void start_items(simulation *simulated, int now_ms) {
     hs_engine_candidate candidates[ENGINES];
-    candidates_of(played, candidates);
+    list_candidates(simulated, candidates);
     int picked = hs_engine_choice_pick_spare(candidates, ENGINES, 0, &speed);
-    if (played->waiting_items == 0 || picked == HS_ENGINE_NONE)
+    if (simulated->waiting_items == 0 || picked == HS_ENGINE_NONE)
         return;
-    engine *at = &played->engines[picked];
-    at->runs[at->count++] = (run){.kind = BATCH, .came_ms = now_ms, .left_ms = RUN_MS};
-    played->waiting_items--;
+    engine *target = &simulated->engines[picked];
+    target->runs[target->count++] = (run){.kind = BATCH, .arrived_ms = now_ms, .left_ms = RUN_MS};
+    simulated->waiting_items--;
 }
 
-static void work(play *played, int now_ms) {
-    for (int at = 0; at < ENGINES; at++)
-        for (int index = MIN(played->engines[at].count, SLOTS) - 1; index >= 0; index--) {
-            run *worked = &played->engines[at].runs[index];
-            bool begins = worked->left_ms == RUN_MS;
-            if (begins && now_ms - worked->came_ms <= target_ms[worked->kind])
-                played->in_time[worked->kind]++;
-            if (--worked->left_ms > 0)
+static void execute_runs(simulation *simulated, int now_ms) {
+    for (int engine_index = 0; engine_index < ENGINES; engine_index++)
+        for (int index = MIN(simulated->engines[engine_index].count, SLOTS) - 1; index >= 0;
+             index--) {
+            run *executed = &simulated->engines[engine_index].runs[index];
+            bool is_starting = executed->left_ms == RUN_MS;
+            if (is_starting && now_ms - executed->arrived_ms <= target_ms[executed->kind])
+                simulated->in_time[executed->kind]++;
+            if (--executed->left_ms > 0)
                 continue;
-            played->served[worked->kind]++;
-            remove_run(&played->engines[at], index);
+            simulated->served[executed->kind]++;
+            remove_run(&simulated->engines[engine_index], index);
         }
 }
 
-/** @p asked_each_ms: of each kind; the engines together serve ENGINES * SLOTS / RUN_MS. */
-static play play_overload(const double *asked_each_ms) {
-    play played = {0};
+/** @p requests_per_ms is by kind. All engines together serve ENGINES * SLOTS / RUN_MS. */
+static simulation simulate_overload(const double *requests_per_ms) {
+    simulation simulated = {0};
     double due[KINDS] = {0};
-    for (int now_ms = 0; now_ms < PLAY_MS; now_ms++) {
+    for (int now_ms = 0; now_ms < SIMULATION_MS; now_ms++) {
         for (int kind = 0; kind < KINDS; kind++)
-            for (due[kind] += asked_each_ms[kind]; due[kind] >= 1; due[kind]--) {
+            for (due[kind] += requests_per_ms[kind]; due[kind] >= 1; due[kind]--) {
                 if (kind != BATCH)
-                    ask(&played, kind, now_ms);
-                played.asked[BATCH] += kind == BATCH;
-                played.waiting_items += kind == BATCH;
+                    send_request(&simulated, kind, now_ms);
+                simulated.requested[BATCH] += kind == BATCH;
+                simulated.waiting_items += kind == BATCH;
             }
-        start_items(&played, now_ms);
-        work(&played, now_ms);
+        start_items(&simulated, now_ms);
+        execute_runs(&simulated, now_ms);
     }
-    return played;
+    return simulated;
 }
 
-static void check_order(const play *played, int urgent, int less) {
-    double lead = (double)played->served[less] / played->asked[less] -
-                  (double)played->served[urgent] / played->asked[urgent];
-    CU_ASSERT(lead <= SERVED_LEAD);
-    lead = (double)played->in_time[less] / played->asked[less] -
-           (double)played->in_time[urgent] / played->asked[urgent];
-    CU_ASSERT(lead <= CREDIT_LEAD);
+static void check_priority(const simulation *simulated, int urgent, int less_urgent) {
+    double lead = (double)simulated->served[less_urgent] / simulated->requested[less_urgent] -
+                  (double)simulated->served[urgent] / simulated->requested[urgent];
+    CU_ASSERT(lead <= MAX_SERVED_LEAD);
+    lead = (double)simulated->in_time[less_urgent] / simulated->requested[less_urgent] -
+           (double)simulated->in_time[urgent] / simulated->requested[urgent];
+    CU_ASSERT(lead <= MAX_IN_TIME_LEAD);
 }
 
-/** From just over what the engines can do to four times that, in several mixes of the kinds. */
-static void overload_is_borne_by_the_less_urgent(void) {
+/** Covers loads from 1.5 to 6 times the capacity in several mixes of the kinds. */
+static void overload_reduces_less_urgent_requests_first(void) {
     static const double capacity = (double)ENGINES * SLOTS / RUN_MS;
     static const double mixes[][KINDS] = {{0.5, 0.5, 0.5}, {1.0, 0.2, 1.0}, {0.2, 1.0, 1.0},
                                           {1.0, 1.0, 0.2}, {2.0, 2.0, 2.0}, {3.0, 0.5, 0.5}};
     for (size_t index = 0; index < G_N_ELEMENTS(mixes); index++) {
-        double asked[KINDS];
+        double requested[KINDS];
         for (int kind = 0; kind < KINDS; kind++)
-            asked[kind] = mixes[index][kind] * capacity;
-        play played = play_overload(asked);
-        check_order(&played, URGENT, LESS_URGENT);
-        check_order(&played, URGENT, BATCH);
-        check_order(&played, LESS_URGENT, BATCH);
-        double all = played.served[URGENT] + played.served[LESS_URGENT] + played.served[BATCH];
-        CU_ASSERT(all > 0.9 * capacity * PLAY_MS); /* The engines stay busy. */
+            requested[kind] = mixes[index][kind] * capacity;
+        simulation simulated = simulate_overload(requested);
+        check_priority(&simulated, URGENT, LESS_URGENT);
+        check_priority(&simulated, URGENT, BATCH);
+        check_priority(&simulated, LESS_URGENT, BATCH);
+        double all =
+            simulated.served[URGENT] + simulated.served[LESS_URGENT] + simulated.served[BATCH];
+        CU_ASSERT(all > 0.9 * capacity * SIMULATION_MS); /* The engines stay busy. */
     }
 }
 
-/** Without the order by urgency the less urgent kind fills the queue that the urgent one needs. */
-static void only_a_more_urgent_online_kind_puts_one_behind(void) {
+/** Guards against less urgent requests filling the queue that urgent requests need. */
+static void only_online_routes_make_other_requests_less_urgent(void) {
     static const char *const text =
         "{\"version\":1,\"routes\":["
         "{\"name\":\"a\",\"host\":\"h\",\"path-prefix\":\"/a\",\"kind\":\"idempotent\","
@@ -189,7 +195,7 @@
 }
 
 const test_case urgency_tests[] = {
-    {"overload_is_borne_by_the_less_urgent", overload_is_borne_by_the_less_urgent},
-    {"only_a_more_urgent_online_kind_puts_one_behind",
-     only_a_more_urgent_online_kind_puts_one_behind},
+    {"overload_reduces_less_urgent_requests_first", overload_reduces_less_urgent_requests_first},
+    {"only_online_routes_make_other_requests_less_urgent",
+     only_online_routes_make_other_requests_less_urgent},
     {NULL, NULL}};
