--- a/src/fleet/engine_attempt.c
+++ b/src/fleet/engine_attempt.c
@@ -126,14 +126,14 @@
 
 /**
  * Takes a lease on an engine and confirms it with the engine's arbiter, since local estimates may
- * be outdated. If the engine is reported failing, or overloaded for an online request, another
- * engine is checked; an online request is sent to the last engine checked in any case. A batch item
- * that the engine would preempt ends as interrupted. Returns false if the request is not to be
+ * be outdated. An engine reported as failing is rejected and another one is checked, as is, for an
+ * online request, an overloaded one; after the last check an online request is sent anyway. A batch
+ * item that the engine would preempt ends as interrupted. Returns false if the request is not to be
  * sent.
  */
 static bool select_engine(hs_fleet_engines *engines, const hs_attempt_order *parameters,
                           hs_attempt *attempt) {
-    char rejected_id[sizeof attempt->engine_id] = "";
+    char rejected_engine_id[sizeof attempt->engine_id] = "";
     for (uint32_t check = 0; acquire_engine(engines, parameters, attempt); check++) {
         bool is_batch = parameters->query.work == HS_WORK_BATCH;
         hs_lease_word confirmation = hs_engine_lease_confirm(
@@ -145,11 +145,11 @@
             return false;
         }
         bool is_last_check =
-            check + 1 == MAX_ENGINE_CHECKS || strcmp(rejected_id, attempt->engine_id) == 0 ||
+            check + 1 == MAX_ENGINE_CHECKS || strcmp(rejected_engine_id, attempt->engine_id) == 0 ||
             (confirmation == HS_LEASE_CROWDED && has_no_free_slot(&attempt->reasons));
         if (is_last_check && !is_batch)
             return true;
-        g_strlcpy(rejected_id, attempt->engine_id, sizeof rejected_id);
+        g_strlcpy(rejected_engine_id, attempt->engine_id, sizeof rejected_engine_id);
         hs_engine_lease_release(attempt->lease, NULL, HS_ATTEMPT_DROPPED);
         attempt->lease = NULL;
         if (is_last_check)
--- a/src/fleet/engine_source.h
+++ b/src/fleet/engine_source.h
@@ -3,8 +3,8 @@
  * Reads the engines' entries from the store's engine topic into the engine table.
  *
  * A thread reads the topic at a fixed interval, because each engine writes an entry with every
- * heartbeat and long polls would return at once. A source may be used
- * by any thread from its creation until it is freed.
+ * heartbeat and long polls would return at once. A source may be used by
+ * any thread from its creation until it is freed.
  */
 #ifndef HS_FLEET_ENGINE_SOURCE_H
 #define HS_FLEET_ENGINE_SOURCE_H
