--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -88,7 +88,7 @@
 static bool may_serve(void *user_data) {
     hs_fleet_daemon *daemon = user_data;
     hs_fleet_config *config = hs_config_source_get(daemon->config);
-    bool known = config != NULL && hs_engine_source_heard_ms(daemon->engine_source) != 0;
+    bool known = config != NULL && hs_engine_source_last_received_ms(daemon->engine_source) != 0;
     hs_fleet_config_unref(config);
     return known && is_awake(daemon);
 }
@@ -309,7 +309,7 @@
     hs_fleet_daemon *daemon = data;
     uint64_t began_ms = hs_clock_monotonic_ms();
     hs_deadline deadline = began_ms + (uint64_t)((double)grace_ms(daemon) * HANDOVER_SHARE);
-    while (hs_engine_source_is_cut_off(daemon->engine_source) &&
+    while (hs_engine_source_is_disconnected(daemon->engine_source) &&
            hs_clock_monotonic_ms() < began_ms + grace_ms(daemon) / 2)
         hs_clock_sleep_ms(DRAIN_POLL_MS);
     hs_job_owner_drain(daemon->owner, deadline);
--- a/src/jobs/item_run.c
+++ b/src/jobs/item_run.c
@@ -128,8 +128,8 @@
             hs_engine_lease_note_received(attempt->lease);
         is_first = is_first && body->len == 0;
         if (!hs_event_stream_take(&run->events, body, NULL, run->texts)) {
-            hs_attempt_note_misplaced(attempt, run->item_id, run->events.last_id,
-                                      run->events.refused_id);
+            hs_attempt_note_resume_mismatch(attempt, run->item_id, run->events.last_id,
+                                            run->events.refused_id);
             return HS_ITEM_TRY_BROKEN;
         }
         hs_engine_lease_note_events(attempt->lease, run->events.run_events);
@@ -165,7 +165,7 @@
     case HS_ITEM_TRY_REFUSED:
         return attempt->answer.wrong_engine ? HS_ATTEMPT_WRONG_ENGINE : HS_ATTEMPT_REFUSED;
     case HS_ITEM_TRY_BROKEN:
-        return hs_attempt_failure(attempt);
+        return hs_attempt_classify_failure(attempt);
     case HS_ITEM_TRY_FAILED:
         return HS_ATTEMPT_FAILED;
     default:
@@ -176,7 +176,7 @@
 /** Send and read; an answer other than a stream is read to its end, so that the connection stays.
  */
 static hs_item_try run_once(hs_item_run *run, const hs_item_try_terms *terms,
-                            const hs_attempt_order *order) {
+                            const hs_attempt_parameters *order) {
     hs_attempt attempt;
     bool has_head = hs_attempt_start(terms->engines, order, &attempt);
     g_strlcpy(run->engine_id, attempt.engine_id, sizeof run->engine_id);
@@ -197,7 +197,7 @@
             end = HS_ITEM_TRY_BROKEN;
     }
     hs_attempt_finish(&attempt, engine_end(&attempt, end));
-    run->is_on_trial = run->is_on_trial && attempt.run == HS_RUN_DID_NOT;
+    run->is_on_trial = run->is_on_trial && attempt.run == HS_RUN_NOT_EXECUTED;
     return end;
 }
 
@@ -257,7 +257,7 @@
     hs_platform_read_terms(fields, &caller);
     const char *name = g_array_index(route->shares, hs_route_share, 0).service;
     const hs_fleet_service *service = hs_fleet_config_find_service(config, name);
-    hs_attempt_order order = {
+    hs_attempt_parameters order = {
         .query = {.service = name,
                   .size = caller.size.prompt_tokens > 0 ? &caller.size : NULL,
                   .work = HS_WORK_BATCH,
@@ -280,7 +280,7 @@
         .wait = {.deadline = run->give_up_ms,
                  .watched = HS_WATCH_NOTHING,
                  .interrupt = &run->interrupt},
-        .silence_ms = HEAD_SILENCE_MS,
+        .head_timeout_ms = HEAD_SILENCE_MS,
         .may_repeat = true,
     };
     hs_item_try end = run_once(run, terms, &order);
--- a/src/online/online_attempts.c
+++ b/src/online/online_attempts.c
@@ -29,9 +29,9 @@
     return hs_clock_monotonic_ms() - request->inbound->received_ms;
 }
 
-static hs_attempt_order make_order(const hs_online_request *request) {
+static hs_attempt_parameters make_order(const hs_online_request *request) {
     const hs_inbound *inbound = request->inbound;
-    hs_attempt_order order = {
+    hs_attempt_parameters order = {
         .query = {.service = request->service,
                   .tenant = request->tenant,
                   .size = request->terms.size.prompt_tokens > 0 ? &request->terms.size : NULL,
@@ -48,9 +48,9 @@
                     .body_length = inbound->body->len},
         .body = inbound->body->data,
         .wait = {.deadline = request->deadline, .watched = inbound->descriptor},
-        .may_be_refused = request->run == HS_RUN_DID_NOT,
+        .refuse_if_late = request->run == HS_RUN_NOT_EXECUTED,
     };
-    order.query.has_wait_limit = request->run == HS_RUN_DID_NOT;
+    order.query.has_wait_limit = request->run == HS_RUN_NOT_EXECUTED;
     order.query.max_start_wait_ms = hs_engine_choice_start_limit_ms(
         request->route->target_latency_ms, request->age_ms + waited_ms(request),
         request->is_less_urgent);
@@ -65,9 +65,9 @@
     order.may_repeat =
         hs_online_may_repeat(request) && request->runs + 1 < request->route->max_attempts;
     if (order.may_repeat) {
-        order.silence_ms =
+        order.head_timeout_ms =
             MAX(HS_ONLINE_SILENCE_LEAST_MS, SILENCE_TARGETS * request->route->target_latency_ms);
-        order.kept_silence_ms = request->route->target_latency_ms / KEPT_SILENCE_PARTS;
+        order.reused_head_timeout_ms = request->route->target_latency_ms / KEPT_SILENCE_PARTS;
     }
     return order;
 }
@@ -81,7 +81,7 @@
  * ended it; a short time-out of the caller or the route says nothing.
  */
 static hs_attempt_end judge_failure(const hs_online_request *request) {
-    hs_attempt_end end = hs_attempt_failure(&request->attempt);
+    hs_attempt_end end = hs_attempt_classify_failure(&request->attempt);
     if (request->attempt.step == HS_STEP_LOST)
         return HS_ATTEMPT_DROPPED;
     bool waited_long = waited_ms(request) >= HS_ONLINE_SILENCE_LEAST_MS;
@@ -109,7 +109,7 @@
     bool caller_gone = attempt->step == HS_STEP_CALLER_GONE;
     log_attempt(request, end);
     request->run = MAX(request->run, attempt->run);
-    request->runs += attempt->run != HS_RUN_DID_NOT;
+    request->runs += attempt->run != HS_RUN_NOT_EXECUTED;
     if (attempt->step == HS_STEP_LOST) /* Its engine may be sound, and have read the prompt. */
         request->lost_connection = true;
     else
@@ -120,10 +120,10 @@
         return HS_NEXT_END;
     }
     if (hs_clock_monotonic_ms() >= request->deadline) {
-        *reason = request->run == HS_RUN_DID_NOT ? HS_END_LATE_NOT_RUN : HS_END_LATE;
+        *reason = request->run == HS_RUN_NOT_EXECUTED ? HS_END_LATE_NOT_RUN : HS_END_LATE;
         return HS_NEXT_END;
     }
-    if (attempt->run == HS_RUN_DID_NOT)
+    if (attempt->run == HS_RUN_NOT_EXECUTED)
         return HS_NEXT_TRY;
     *reason = HS_END_BROKEN;
     return hs_online_may_repeat(request) && request->runs < request->route->max_attempts
@@ -133,7 +133,7 @@
 
 /** No engine is left to try: wait for one as long as one is expected in time, or end. */
 static hs_next_move after_no_engine(hs_online_request *request, hs_end_reason *reason) {
-    bool has_run = request->run != HS_RUN_DID_NOT;
+    bool has_run = request->run != HS_RUN_NOT_EXECUTED;
     hs_refusal_choice choice = hs_online_choose_refusal(request);
     if (choice.verdict == HS_REFUSAL_HOLD && (!has_run || hs_online_may_repeat(request))) {
         hs_queue_priority claim = hs_online_queue_priority(request);
@@ -154,7 +154,7 @@
     hs_crash_quarantine hold;
     if (watch == NULL || !hs_crash_watch_is_quarantined(watch, request->content, &hold))
         return false;
-    bool is_unsent = request->is_on_trial && request->run == HS_RUN_DID_NOT;
+    bool is_unsent = request->is_on_trial && request->run == HS_RUN_NOT_EXECUTED;
     hs_trial_verdict verdict =
         is_unsent ? HS_TRIAL_GRANTED : hs_crash_watch_request_trial(watch, request->content, false);
     request->is_on_trial = verdict == HS_TRIAL_GRANTED;
@@ -162,7 +162,7 @@
         return false;
     uint64_t now_ms = hs_clock_monotonic_ms();
     request->retry_after_ms = hold.until_ms > now_ms ? hold.until_ms - now_ms : 0;
-    *reason = request->run == HS_RUN_DID_NOT ? HS_END_HELD_BACK : HS_END_BROKEN;
+    *reason = request->run == HS_RUN_NOT_EXECUTED ? HS_END_HELD_BACK : HS_END_BROKEN;
     hs_log_info("request_held_back",
                 "request=%s content=%016" G_GINT64_MODIFIER
                 "x engines_lost=%u explained=%u trial=%s hold_left_ms=%" G_GUINT64_FORMAT
@@ -191,7 +191,7 @@
         g_free(request->tenant);
         request->tenant = tenant != NULL ? g_strdup(tenant->name) : NULL;
     } else {
-        *reason = request->run == HS_RUN_DID_NOT ? HS_END_KEY_UNKNOWN : HS_END_BROKEN;
+        *reason = request->run == HS_RUN_NOT_EXECUTED ? HS_END_KEY_UNKNOWN : HS_END_BROKEN;
         hs_log_info("request_no_longer_allowed",
                     "request=%s tenant=%s version=%" G_GUINT64_FORMAT " before=%" G_GUINT64_FORMAT
                     " run=%s sends=%u",
@@ -219,7 +219,7 @@
             move = after_no_engine(request, reason);
             continue;
         }
-        hs_attempt_order order = make_order(request);
+        hs_attempt_parameters order = make_order(request);
         bool has_head = hs_attempt_start(request->online->engines, &order, &request->attempt);
         if (request->attempt.prospect.will_miss_deadline) {
             hs_online_refuse_unsent(request, reason);
--- a/src/online/online_refusal.c
+++ b/src/online/online_refusal.c
@@ -71,7 +71,7 @@
         .waited_ms = hs_clock_monotonic_ms() - request->inbound->received_ms,
         .age_ms = request->age_ms,
         .was_tried = request->tries > 0,
-        .may_have_run = request->run != HS_RUN_DID_NOT,
+        .may_have_run = request->run != HS_RUN_NOT_EXECUTED,
         .is_less_urgent = request->is_less_urgent,
     };
     request->admission = hs_admission_choose(&request->admitted_by);
@@ -104,7 +104,7 @@
          * best-effort requests get no slots in a shortage, however soon the shortage ends. */
         .drain_ms = is_pressure_known ? 0 : held.expected_ms,
         .waited_ms = now_ms - request->inbound->received_ms,
-        .may_have_run = request->run != HS_RUN_DID_NOT,
+        .may_have_run = request->run != HS_RUN_NOT_EXECUTED,
     };
     hs_refusal_choice choice = hs_refusal_choose(&view);
     if (choice.verdict == HS_REFUSAL_HOLD && request->admission.verdict == HS_ADMISSION_REFUSE) {
--- a/src/online/online_request.c
+++ b/src/online/online_request.c
@@ -111,7 +111,7 @@
     hs_attempt *attempt = &request->attempt;
     bool succeeded = hs_online_is_success(attempt->status);
     if (is_promise(attempt->status) || (succeeded && !attempt->answer.has_signature)) {
-        request->run = HS_RUN_DID;
+        request->run = HS_RUN_EXECUTED;
         hs_attempt_finish(attempt, HS_ATTEMPT_BROKEN);
         end_own(request, HS_END_BROKEN);
         return;
@@ -122,7 +122,7 @@
     hs_http_fields_free(fields);
     hs_end_reason reason = succeeded ? HS_END_SERVED : HS_END_ENGINE_STATUS;
     bool failed = attempt->status >= STATUS_FAILURE;
-    request->run = HS_RUN_DID;
+    request->run = HS_RUN_EXECUTED;
     hs_attempt_finish(attempt, failed ? HS_ATTEMPT_FAILED : HS_ATTEMPT_SERVED);
     hs_online_request_end(request, reason);
     hs_online_count(request->online, reason, request->first_byte_ms);
@@ -144,8 +144,8 @@
         }
     }
     hs_end_reason reason = HS_END_BROKEN;
-    hs_attempt_end end =
-        attempt->step == HS_STEP_COMPLETE ? HS_ATTEMPT_FAILED : hs_attempt_failure(attempt);
+    hs_attempt_end end = attempt->step == HS_STEP_COMPLETE ? HS_ATTEMPT_FAILED
+                                                           : hs_attempt_classify_failure(attempt);
     if (hs_online_after_failure(request, end, &reason) == HS_NEXT_TRY)
         return false;
     end_own(request, reason);
--- a/src/online/online_stream.c
+++ b/src/online/online_stream.c
@@ -23,7 +23,7 @@
 /** No more comes of the stream. */
 static void finish_run(hs_online_request *request, hs_attempt_end end) {
     request->stream_ended = true;
-    request->run = HS_RUN_DID;
+    request->run = HS_RUN_EXECUTED;
     hs_attempt_finish(&request->attempt, end);
 }
 
@@ -81,8 +81,8 @@
         hs_engine_lease_note_received(attempt->lease);
     }
     if (!hs_event_stream_take(&request->events, body, request->ready, NULL)) {
-        hs_attempt_note_misplaced(attempt, request->request_id, request->events.last_id,
-                                  request->events.refused_id);
+        hs_attempt_note_resume_mismatch(attempt, request->request_id, request->events.last_id,
+                                        request->events.refused_id);
         attempt->step = HS_STEP_INVALID;
     }
     hs_engine_lease_note_events(attempt->lease, request->events.run_events);
@@ -114,7 +114,7 @@
         finish_stream(request, HS_ATTEMPT_DROPPED, HS_END_STREAM_LATE);
         return false;
     }
-    return resume_stream(request, hs_attempt_failure(attempt));
+    return resume_stream(request, hs_attempt_classify_failure(attempt));
 }
 
 /** Give back what a stream holds. */
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -48,7 +48,7 @@
 
 static void write_config(GString *text, hs_config_source *source) {
     hs_fleet_config *config = hs_config_source_get(source);
-    uint64_t heard_ms = hs_config_source_heard_ms(source);
+    uint64_t heard_ms = hs_config_source_last_received_ms(source);
     uint64_t age_ms = heard_ms > 0 ? hs_clock_monotonic_ms() - heard_ms : 0;
     g_string_append_printf(text,
                            "heathsail_config_version %" G_GUINT64_FORMAT
@@ -74,7 +74,7 @@
     for (int fault = HS_ENTRY_SOUND + 1; fault < HS_ENTRY_FAULT_COUNT; fault++)
         g_string_append_printf(text, "heathsail_engine_entries_rejected{reason=\"%s\"} %u\n",
                                hs_entry_fault_name((hs_entry_fault)fault),
-                               hs_engine_source_rejected(source, (hs_entry_fault)fault));
+                               hs_engine_source_rejected_count(source, (hs_entry_fault)fault));
 }
 
 static void write_limits(GString *text, hs_daemon_directory *members) {
