--- a/src/jobs/job_room.c
+++ b/src/jobs/job_capacity.c
@@ -1,5 +1,5 @@
 /** @file job_room.c  See job_room.h. */
-#include "jobs/job_room.h"
+#include "jobs/job_capacity.h"
 
 /**
  * Not all daemons have items to start at one time. What they start too much together, engines'
--- a/src/jobs/job_starts.c
+++ b/src/jobs/job_starts.c
@@ -3,7 +3,7 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "jobs/job_room.h"
+#include "jobs/job_capacity.h"
 
 /** A forecast that failed is logged this often, in ms. */
 #define FAILED_LOG_INTERVAL_MS 1000
--- a/src/jobs/start_pace.c
+++ b/src/jobs/start_throttle.c
@@ -1,5 +1,5 @@
 /** @file start_pace.c  See start_pace.h. */
-#include "jobs/start_pace.h"
+#include "jobs/start_throttle.h"
 
 #include <glib.h>
 #include <math.h>
--- a/tests/unit/test_item_plan.c
+++ b/tests/unit/test_item_plan.c
@@ -1,8 +1,8 @@
 /** @file test_item_plan.c  Which batch items start, and what they are expected to need. */
 #include "jobs/item_choice.h"
 #include "jobs/item_estimate.h"
-#include "jobs/job_room.h"
-#include "jobs/start_pace.h"
+#include "jobs/job_capacity.h"
+#include "jobs/start_throttle.h"
 #include "tests/unit/unit_tests.h"
 
 /** A daemon starts its part of the free slots among a third of all daemons, whole slots only. */
