--- a/src/jobs/item_choice.c
+++ b/src/jobs/item_choice.c
@@ -6,80 +6,83 @@
 #include <math.h>
 #include <stdlib.h>
 
-/** Share of its time within which an item is meant to end: the rest is for what no estimate saw. */
-#define TIME_USED 0.7
+/** Share of the time until its deadline that an item may use; the rest covers estimation errors. */
+#define MAX_DEADLINE_SHARE 0.7
 
-/** The rule of Moore and Hodgson as it stands: all items are of one claimant. */
-static bool is_over_at_once(const hs_tenant_deal *taken, const hs_choice_item *item, double speed) {
-    return (double)hs_tenant_deal_work_ms(taken) / speed > (double)item->left_ms;
+static bool misses_deadline_in_one_group(const hs_tenant_allocation *selection,
+                                         const hs_choice_item *item, double speed) {
+    return (double)hs_tenant_allocation_work_ms(selection) / speed > (double)item->left_ms;
 }
 
 /**
- * The same where claimants share the slots: the item that starts last still runs alone, so that
- * somebody's heap may not fill the time to the last moment.
+ * With several groups the last item is counted at the speed of a single slot, so that a burst of
+ * one tenant does not fill the time up to the deadlines of the others.
  */
-static bool is_over_shared(const hs_tenant_deal *taken, const hs_choice_item *item, double speed) {
-    double needs_ms = (double)item->remaining_ms;
-    double before_ms = (double)hs_tenant_deal_work_ms(taken) - needs_ms;
-    return before_ms / speed + needs_ms > (double)item->left_ms;
+static bool misses_deadline_across_groups(const hs_tenant_allocation *selection,
+                                          const hs_choice_item *item, double speed) {
+    double run_ms = (double)item->remaining_ms;
+    double before_ms = (double)hs_tenant_allocation_work_ms(selection) - run_ms;
+    return before_ms / speed + run_ms > (double)item->left_ms;
 }
 
-/** All are of one claimant. Returns the work taken. */
-static uint64_t choose_at_once(hs_choice_item *items, size_t count, double speed) {
-    hs_tenant_deal *taken = hs_tenant_deal_new();
+/** Plain Moore-Hodgson selection. Returns the selected work. */
+static uint64_t select_in_one_group(hs_choice_item *items, size_t count, double speed) {
+    hs_tenant_allocation *selection = hs_tenant_allocation_new();
     for (size_t index = 0; index < count; index++) {
-        if (items[index].is_left_out)
+        if (items[index].is_excluded)
             continue;
-        hs_tenant_deal_take(taken, 0, index, items[index].remaining_ms);
-        if (is_over_at_once(taken, &items[index], speed))
-            items[hs_tenant_deal_leave_out(taken)].is_left_out = true;
+        hs_tenant_allocation_add(selection, 0, index, items[index].remaining_ms);
+        if (misses_deadline_in_one_group(selection, &items[index], speed))
+            items[hs_tenant_allocation_exclude_item(selection)].is_excluded = true;
     }
-    uint64_t work_ms = hs_tenant_deal_work_ms(taken);
-    hs_tenant_deal_free(taken);
+    uint64_t work_ms = hs_tenant_allocation_work_ms(selection);
+    hs_tenant_allocation_free(selection);
     return work_ms;
 }
 
-/** They are of several claimants. Returns the work taken. */
-static uint64_t choose_shared(hs_choice_item *items, size_t count, double speed) {
-    hs_tenant_deal *taken = hs_tenant_deal_new();
-    bool is_dealt = false;
+/** Selection with max-min fairness between tenant groups. Returns the selected work. */
+static uint64_t select_across_groups(hs_choice_item *items, size_t count, double speed) {
+    hs_tenant_allocation *selection = hs_tenant_allocation_new();
+    bool is_allocated = false;
     for (size_t index = 0; index < count; index++) {
         hs_choice_item *item = &items[index];
-        if (item->is_left_out)
+        if (item->is_excluded)
             continue;
-        hs_tenant_deal_take(taken, item->claimant, index, item->remaining_ms);
-        while (!item->is_left_out && is_over_shared(taken, item, speed)) {
-            items[hs_tenant_deal_leave_out(taken)].is_left_out = true;
-            is_dealt = true;
+        hs_tenant_allocation_add(selection, item->tenant_group, index, item->remaining_ms);
+        while (!item->is_excluded && misses_deadline_across_groups(selection, item, speed)) {
+            items[hs_tenant_allocation_exclude_item(selection)].is_excluded = true;
+            is_allocated = true;
         }
     }
     for (size_t index = 0; index < count; index++)
-        items[index].is_dealt = is_dealt;
-    uint64_t work_ms = hs_tenant_deal_work_ms(taken);
-    hs_tenant_deal_free(taken);
+        items[index].is_allocated = is_allocated;
+    uint64_t work_ms = hs_tenant_allocation_work_ms(selection);
+    hs_tenant_allocation_free(selection);
     return work_ms;
 }
 
-uint64_t hs_item_choice_make(hs_choice_item *items, size_t count, double slots) {
+uint64_t hs_item_choice_select(hs_choice_item *items, size_t count, double slots) {
     double speed = fmax(slots, 1.0);
-    bool is_shared = false;
+    bool has_several_groups = false;
     for (size_t index = 0; index < count; index++) {
-        items[index].is_dealt = false;
-        items[index].is_left_out = items[index].left_ms < (int64_t)items[index].remaining_ms;
-        is_shared = is_shared || items[index].claimant != items[0].claimant;
+        items[index].is_allocated = false;
+        items[index].is_excluded = items[index].left_ms < (int64_t)items[index].remaining_ms;
+        has_several_groups =
+            has_several_groups || items[index].tenant_group != items[0].tenant_group;
     }
-    return is_shared ? choose_shared(items, count, speed) : choose_at_once(items, count, speed);
+    return has_several_groups ? select_across_groups(items, count, speed)
+                              : select_in_one_group(items, count, speed);
 }
 
-bool hs_item_choice_is_scarce(const hs_choice_item *items, size_t count, double slots) {
+bool hs_item_choice_is_capacity_scarce(const hs_choice_item *items, size_t count, double slots) {
     double speed = fmax(slots, 1.0);
     double before_ms = 0;
     for (size_t index = 0; index < count; index++) {
-        double needs_ms = (double)items[index].remaining_ms;
-        double left_ms = (double)items[index].left_ms * TIME_USED;
-        if (items[index].is_left_out || needs_ms <= 0 || before_ms / speed + needs_ms > left_ms)
+        double run_ms = (double)items[index].remaining_ms;
+        double left_ms = (double)items[index].left_ms * MAX_DEADLINE_SHARE;
+        if (items[index].is_excluded || run_ms <= 0 || before_ms / speed + run_ms > left_ms)
             return true;
-        before_ms += needs_ms;
+        before_ms += run_ms;
     }
     return false;
 }
--- a/src/jobs/item_choice.h
+++ b/src/jobs/item_choice.h
@@ -1,12 +1,13 @@
 /**
  * @file item_choice.h
- * Which items of a queue are to end in time when not all can: the rule of Moore and Hodgson for the
- * least number of late jobs, with several servers taken as one that is as fast as all. Pure.
+ * Selects the items of a queue that can meet their deadlines if not all of them can: the
+ * Moore-Hodgson algorithm for the minimum number of late jobs, with several servers treated as one
+ * server of their combined speed. Pure functions.
  *
- * Items are taken in the order in which they are due. Whenever the work taken so far would end
- * after the item at hand is due, one is left out: of the claimant that has most of it taken the
- * item that needs most. What is left out runs in what the others leave, and is considered anew each
- * time.
+ * Items are added in order of their deadlines. Whenever the selected work would end after the
+ * deadline of the item just added, the longest item of the tenant group with most selected work is
+ * excluded. Excluded items run on slots that the others leave free; the selection is repeated in
+ * each scheduler pass.
  */
 #ifndef HS_JOBS_ITEM_CHOICE_H
 #define HS_JOBS_ITEM_CHOICE_H
@@ -15,26 +16,26 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** An item as far as the choice goes. */
+/** The properties of an item that the selection needs, and its result. */
 typedef struct {
-    int64_t left_ms;       /**< Until it is due. */
-    uint64_t remaining_ms; /**< It still needs a slot for so long. */
-    uint32_t claimant;     /**< Whose it is, a small number: see tenant_deal.h. */
-    bool is_dealt;         /**< Set by the choice: claimants share, and not all of it fits. */
-    bool is_left_out;      /**< Set by the choice. */
+    int64_t left_ms;       /**< Time until the item's deadline; negative if it has passed. */
+    uint64_t remaining_ms; /**< Expected time for which the item still needs a slot. */
+    uint32_t tenant_group; /**< Dense index of the item's group; see tenant_allocation.h. */
+    bool is_allocated;     /**< Result: groups compete, and not all of their work fits. */
+    bool is_excluded;      /**< Result: the item is not selected to end in time. */
 } hs_choice_item;
 
 /**
- * Choose among @p items, in order of left_ms, for @p slots that run them side by side. Returns the
- * work of those that are to end in time, in ms of a slot.
+ * Selects among @p items, sorted by left_ms, for @p slots that run them in parallel. Returns the
+ * work of the selected items in slot milliseconds.
  */
-uint64_t hs_item_choice_make(hs_choice_item *items, size_t count, double slots);
+uint64_t hs_item_choice_select(hs_choice_item *items, size_t count, double slots);
 
 /**
- * Whether @p items, in the order in which they are to run, leave no time to wait for more room: one
- * was left out, needs nobody knows how long (0), or would end late in @p slots alone, or with
- * little time to spare.
+ * Reports whether @p items, in the order in which they run, cannot wait for more capacity: one is
+ * excluded, has an unknown run time (0), or would end late or with little time to spare on @p
+ * slots.
  */
-bool hs_item_choice_is_scarce(const hs_choice_item *items, size_t count, double slots);
+bool hs_item_choice_is_capacity_scarce(const hs_choice_item *items, size_t count, double slots);
 
 #endif
--- a/src/jobs/item_estimate.h
+++ b/src/jobs/item_estimate.h
@@ -1,24 +1,30 @@
 /**
  * @file item_estimate.h
- * How long an item still runs, from what was observed of those that ended: events for each token of
- * an item's size, and time for each event. Pure.
+ * Estimates the remaining run time of an item from completed items: events per token of an item's
+ * size, and time per event. Pure functions; the caller synchronises access.
  */
 #ifndef HS_JOBS_ITEM_ESTIMATE_H
 #define HS_JOBS_ITEM_ESTIMATE_H
 
 #include <stdint.h>
 
-/** What was observed; zero-initialise. Both are 0 until an item has ended. */
+/** Running means over completed items; zero-initialise. Both are 0 until an item has completed. */
 typedef struct {
-    double events_per_token; /**< Of an item's size: its prompt and the most it may make. */
+    double events_per_token; /**< Per token of an item's size: its prompt and its output limit. */
     double ms_per_event;
 } hs_item_pace;
 
-/** An item of @p tokens ended with @p events, the last @p run_events of them in @p run_ms. */
+/**
+ * Records that an item of @p tokens completed with @p events, of which its last run produced
+ * @p run_events in @p run_ms.
+ */
 void hs_item_pace_note(hs_item_pace *pace, uint32_t tokens, uint64_t events, uint64_t run_events,
                        uint64_t run_ms);
 
-/** Expected ms that an item of @p tokens with @p events made so far still runs; 0: not known. */
+/**
+ * Returns the expected remaining run time in ms of an item of @p tokens that has produced
+ * @p events; 0: unknown.
+ */
 uint64_t hs_item_pace_remaining_ms(const hs_item_pace *pace, uint32_t tokens, uint64_t events);
 
 #endif
--- a/src/jobs/item_run.c
+++ b/src/jobs/item_run.c
@@ -9,13 +9,13 @@
 
 #include <string.h>
 
-#define CONTENT_LIMIT_MS 2000
-#define HEAD_SILENCE_MS 5000
-#define EVENT_SILENCE_MS 2500
-#define ANSWER_LIMIT_BYTES (4U * 1024 * 1024)
+#define CONTENT_READ_TIMEOUT_MS 2000
+#define RESPONSE_HEAD_TIMEOUT_MS 5000
+#define EVENT_TIMEOUT_MS 2500
+#define MAX_ANSWER_BYTES (4U * 1024 * 1024)
 #define ITEM_METHOD "POST"
 #define STATUS_OK 200
-#define STATUS_IMPOSSIBLE 422
+#define STATUS_UNPROCESSABLE 422
 
 static void free_text(gpointer data) {
     g_string_free(data, TRUE);
@@ -60,7 +60,7 @@
     g_free(run);
 }
 
-/** Pieces from @p first on, separated by line feeds. */
+/** Joins the texts from index @p first on by line feeds. */
 static GString *join_texts(const hs_item_run *run, guint first) {
     GString *text = g_string_new(NULL);
     for (guint index = first; index < run->texts->len; index++) {
@@ -78,32 +78,32 @@
 
 hs_job_progress hs_item_run_progress(hs_item_run *run, uint64_t known_event) {
     bool follows = known_event != 0 && known_event == run->stored_event;
-    hs_job_progress made = {.job_id = run->job_id,
-                            .item = run->index,
-                            .from_event = follows ? known_event : 0,
-                            .last_event = run->events.last_id,
-                            .text = join_texts(run, follows ? run->stored_texts : 0),
-                            .writer = run->writer,
-                            .base_event = run->base_event};
+    hs_job_progress progress = {.job_id = run->job_id,
+                                .item = run->index,
+                                .from_event = follows ? known_event : 0,
+                                .last_event = run->events.last_id,
+                                .text = join_texts(run, follows ? run->stored_texts : 0),
+                                .writer = run->writer,
+                                .base_event = run->base_event};
     run->stored_event = run->events.last_id;
     run->stored_texts = run->texts->len;
-    return made;
+    return progress;
 }
 
-static GArray *fields_of(const Hs__JobItemContent *content) {
+static GArray *build_header_fields(const Hs__JobItemContent *content) {
     GArray *fields = hs_http_fields_new();
     for (size_t index = 0; index < content->n_headers; index++)
         hs_http_fields_add(fields, content->headers[index]->name, content->headers[index]->value);
     return fields;
 }
 
-/** Why a try was interrupted; a request to step aside is taken back with it. */
-static hs_item_try interruption(hs_item_run *run) {
+/** Returns why an attempt was interrupted, and clears a preemption request. */
+static hs_item_try resolve_interruption(hs_item_run *run) {
     return hs_interrupt_withdraw(&run->interrupt, HS_INTERRUPT_YIELD) ? HS_ITEM_TRY_YIELDED
                                                                       : HS_ITEM_TRY_ABANDONED;
 }
 
-/** Read the stream to its end, its break or the caller's word. */
+/** Reads the event stream until it ends, breaks or the run is interrupted. */
 static hs_item_try read_stream(hs_item_run *run, const hs_item_try_terms *terms,
                                hs_attempt *attempt) {
     GByteArray *body = hs_client_connection_body(attempt->connection);
@@ -118,7 +118,7 @@
                 run->job_id, run->item_id, attempt->engine_id, (guint64)run->events.last_id,
                 (guint64)run->base_event, (guint64)run->writer);
     while (true) {
-        hs_wait wait = {.deadline = hs_clock_monotonic_ms() + EVENT_SILENCE_MS,
+        hs_wait wait = {.deadline = hs_clock_monotonic_ms() + EVENT_TIMEOUT_MS,
                         .watched = HS_WATCH_NOTHING,
                         .interrupt = &run->interrupt};
         attempt->step = hs_client_connection_read_body(attempt->connection, &wait);
@@ -130,7 +130,7 @@
         if (!hs_event_stream_take(&run->events, body, NULL, run->texts)) {
             hs_attempt_note_misplaced(attempt, run->item_id, run->events.last_id,
                                       run->events.refused_id);
-            return HS_ITEM_TRY_BROKEN;
+            return HS_ITEM_ATTEMPT_BROKEN;
         }
         hs_engine_lease_note_events(attempt->lease, run->events.run_events);
         if (first_ms == 0)
@@ -138,33 +138,33 @@
         run->try_events = run->events.event_count - events_before;
         run->try_ms = hs_clock_monotonic_ms() - first_ms;
         if (attempt->step == HS_STEP_COMPLETE)
-            return body->len == 0 ? HS_ITEM_TRY_DONE : HS_ITEM_TRY_BROKEN;
+            return body->len == 0 ? HS_ITEM_TRY_DONE : HS_ITEM_ATTEMPT_BROKEN;
         if (attempt->step == HS_STEP_CALLER_GONE ||
             hs_interrupt_get(&run->interrupt) != HS_INTERRUPT_NONE)
-            return interruption(run);
+            return resolve_interruption(run);
         if (attempt->step != HS_STEP_PROGRESS)
-            return HS_ITEM_TRY_BROKEN;
+            return HS_ITEM_ATTEMPT_BROKEN;
         terms->checkpoint(run, terms->user_data);
     }
 }
 
-static hs_item_try judge_answer(hs_item_run *run, const hs_item_try_terms *terms,
-                                hs_attempt *attempt) {
+static hs_item_try evaluate_answer(hs_item_run *run, const hs_item_try_terms *terms,
+                                   hs_attempt *attempt) {
     if (attempt->answer.not_executed)
-        return HS_ITEM_TRY_REFUSED;
+        return HS_ITEM_ATTEMPT_REFUSED;
     if (attempt->status == STATUS_OK)
         return attempt->answer.has_signature ? read_stream(run, terms, attempt)
-                                             : HS_ITEM_TRY_BROKEN;
-    return attempt->status == STATUS_IMPOSSIBLE ? HS_ITEM_TRY_IMPOSSIBLE : HS_ITEM_TRY_FAILED;
+                                             : HS_ITEM_ATTEMPT_BROKEN;
+    return attempt->status == STATUS_UNPROCESSABLE ? HS_ITEM_TRY_IMPOSSIBLE : HS_ITEM_TRY_FAILED;
 }
 
-static hs_attempt_end engine_end(const hs_attempt *attempt, hs_item_try end) {
+static hs_attempt_end to_attempt_end(const hs_attempt *attempt, hs_item_try end) {
     switch (end) {
     case HS_ITEM_TRY_DONE:
         return HS_ATTEMPT_SERVED;
-    case HS_ITEM_TRY_REFUSED:
+    case HS_ITEM_ATTEMPT_REFUSED:
         return attempt->answer.wrong_engine ? HS_ATTEMPT_WRONG_ENGINE : HS_ATTEMPT_REFUSED;
-    case HS_ITEM_TRY_BROKEN:
+    case HS_ITEM_ATTEMPT_BROKEN:
         return hs_attempt_failure(attempt);
     case HS_ITEM_TRY_FAILED:
         return HS_ATTEMPT_FAILED;
@@ -173,35 +173,37 @@
     }
 }
 
-/** Send and read; an answer other than a stream is read to its end, so that the connection stays.
+/**
+ * Sends the item and reads the answer. The body of an answer other than an event stream is read to
+ * its end, so that the connection can be reused.
  */
-static hs_item_try run_once(hs_item_run *run, const hs_item_try_terms *terms,
-                            const hs_attempt_order *order) {
+static hs_item_try send_and_read(hs_item_run *run, const hs_item_try_terms *terms,
+                                 const hs_attempt_order *order) {
     hs_attempt attempt;
     bool has_head = hs_attempt_start(terms->engines, order, &attempt);
     g_strlcpy(run->engine_id, attempt.engine_id, sizeof run->engine_id);
     run->was_sent = attempt.connection != NULL;
     if (attempt.lease == NULL)
         return HS_ITEM_TRY_NO_ROOM;
-    hs_item_try end = HS_ITEM_TRY_BROKEN;
+    hs_item_try end = HS_ITEM_ATTEMPT_BROKEN;
     if (has_head)
-        end = judge_answer(run, terms, &attempt);
+        end = evaluate_answer(run, terms, &attempt);
     else if (attempt.step == HS_STEP_CALLER_GONE)
-        end = interruption(run);
-    bool is_plain = has_head && (end == HS_ITEM_TRY_REFUSED || end == HS_ITEM_TRY_FAILED ||
-                                 end == HS_ITEM_TRY_IMPOSSIBLE);
-    if (is_plain) {
+        end = resolve_interruption(run);
+    bool reads_body = has_head && (end == HS_ITEM_ATTEMPT_REFUSED || end == HS_ITEM_TRY_FAILED ||
+                                   end == HS_ITEM_TRY_IMPOSSIBLE);
+    if (reads_body) {
         hs_step step =
-            hs_client_connection_read_all(attempt.connection, ANSWER_LIMIT_BYTES, &order->wait);
-        if (step != HS_STEP_COMPLETE && end != HS_ITEM_TRY_REFUSED)
-            end = HS_ITEM_TRY_BROKEN;
+            hs_client_connection_read_all(attempt.connection, MAX_ANSWER_BYTES, &order->wait);
+        if (step != HS_STEP_COMPLETE && end != HS_ITEM_ATTEMPT_REFUSED)
+            end = HS_ITEM_ATTEMPT_BROKEN;
     }
-    hs_attempt_finish(&attempt, engine_end(&attempt, end));
+    hs_attempt_finish(&attempt, to_attempt_end(&attempt, end));
     run->is_on_trial = run->is_on_trial && attempt.run == HS_RUN_DID_NOT;
     return end;
 }
 
-static uint64_t content_of(const hs_item_run *run) {
+static uint64_t hash_content(const hs_item_run *run) {
     return hs_request_content_hash(&(hs_request_content){.method = ITEM_METHOD,
                                                          .host = run->host,
                                                          .target = run->content->path,
@@ -210,16 +212,16 @@
 }
 
 /**
- * Whether the item is not to be sent now. Being held back it claims a trial each time, since only a
- * run of its own can clear it; a trial that was granted is kept until an engine has run it, as
- * there may be no room now, or the engine may refuse.
+ * Reports whether the item must not be sent now. If its content is quarantined, a trial run is
+ * requested, since only a successful run can clear the content. A granted trial is kept until an
+ * engine has run the item: engines may lack capacity or refuse it.
  */
-static bool is_held_back(hs_item_run *run, hs_fleet_engines *engines, uint64_t content) {
+static bool is_quarantined(hs_item_run *run, hs_fleet_engines *engines, uint64_t content) {
     hs_crash_watch *watch = hs_fleet_engines_crash_watch(engines);
-    hs_crash_hold hold;
-    bool is_held = watch != NULL && hs_crash_watch_is_held(watch, content, &hold);
-    run->is_on_trial = run->is_on_trial && is_held;
-    if (!is_held || run->is_on_trial)
+    hs_crash_hold quarantine;
+    bool is_suspect = watch != NULL && hs_crash_watch_is_held(watch, content, &quarantine);
+    run->is_on_trial = run->is_on_trial && is_suspect;
+    if (!is_suspect || run->is_on_trial)
         return false;
     hs_trial_verdict verdict = hs_crash_watch_claim_trial(watch, content, true);
     run->is_on_trial = verdict == HS_TRIAL_GRANTED;
@@ -228,31 +230,31 @@
     hs_log_info("item_held_back",
                 "job=%s item=%s content=%016" G_GINT64_MODIFIER
                 "x engines_lost=%u explained=%u trial=%s",
-                run->job_id, run->item_id, (guint64)content, hold.engines, hold.explained,
-                hs_trial_verdict_name(verdict));
+                run->job_id, run->item_id, (guint64)content, quarantine.engines,
+                quarantine.explained, hs_trial_verdict_name(verdict));
     return true;
 }
 
 hs_item_try hs_item_run_try(hs_item_run *run, const hs_item_try_terms *terms) {
     const hs_fleet_config *config = terms->config;
-    if (!hs_event_stream_can_go_on(&run->events)) { /* Its text begins anew. */
+    if (!hs_event_stream_can_go_on(&run->events)) { /* The output restarts from the beginning. */
         g_ptr_array_set_size(run->texts, 0);
         run->events = (hs_event_stream){0};
     }
     hs_store_outcome outcome = HS_STORE_DONE;
     if (run->content == NULL)
-        run->content =
-            hs_job_partition_read_content(terms->partition, run->content_offset, run->content_bytes,
-                                          hs_clock_monotonic_ms() + CONTENT_LIMIT_MS, &outcome);
+        run->content = hs_job_partition_read_content(
+            terms->partition, run->content_offset, run->content_bytes,
+            hs_clock_monotonic_ms() + CONTENT_READ_TIMEOUT_MS, &outcome);
     if (run->content == NULL)
-        return HS_ITEM_TRY_NO_CONTENT;
+        return HS_ITEM_ATTEMPT_NO_CONTENT;
     const hs_fleet_route *route = hs_fleet_config_find_route(config, run->host, run->content->path);
     if (route == NULL)
         return HS_ITEM_TRY_NO_ROUTE;
-    uint64_t content = content_of(run);
-    if (is_held_back(run, terms->engines, content))
+    uint64_t content = hash_content(run);
+    if (is_quarantined(run, terms->engines, content))
         return HS_ITEM_TRY_HELD_BACK;
-    GArray *fields = fields_of(run->content);
+    GArray *fields = build_header_fields(run->content);
     hs_caller_terms caller;
     hs_platform_read_terms(fields, &caller);
     const char *name = g_array_index(route->shares, hs_route_share, 0).service;
@@ -261,7 +263,8 @@
         .query = {.service = name,
                   .size = caller.size.prompt_tokens > 0 ? &caller.size : NULL,
                   .work = HS_WORK_BATCH,
-                  .yield = run->is_on_trial ? NULL : &run->interrupt, /* It has one run. */
+                  /* A granted trial is a single run, so it is not preempted. */
+                  .yield = run->is_on_trial ? NULL : &run->interrupt,
                   .rank_ms = terms->rank_ms,
                   .memory_tokens = service != NULL ? service->memory_tokens : 0,
                   .max_connections = service != NULL ? service->max_connections : 0},
@@ -279,10 +282,10 @@
         .wait = {.deadline = run->give_up_ms,
                  .watched = HS_WATCH_NOTHING,
                  .interrupt = &run->interrupt},
-        .silence_ms = HEAD_SILENCE_MS,
+        .silence_ms = RESPONSE_HEAD_TIMEOUT_MS,
         .may_repeat = true,
     };
-    hs_item_try end = run_once(run, terms, &order);
+    hs_item_try end = send_and_read(run, terms, &order);
     hs_interrupt_release(&run->interrupt);
     hs_http_fields_free(fields);
     return end;
@@ -292,11 +295,11 @@
     static const char *const names[] = {
         [HS_ITEM_TRY_DONE] = "done",
         [HS_ITEM_TRY_NO_ROOM] = "no_room",
-        [HS_ITEM_TRY_REFUSED] = "refused",
-        [HS_ITEM_TRY_BROKEN] = "broken",
+        [HS_ITEM_ATTEMPT_REFUSED] = "refused",
+        [HS_ITEM_ATTEMPT_BROKEN] = "broken",
         [HS_ITEM_TRY_FAILED] = "failed",
         [HS_ITEM_TRY_IMPOSSIBLE] = "impossible",
-        [HS_ITEM_TRY_NO_CONTENT] = "no_content",
+        [HS_ITEM_ATTEMPT_NO_CONTENT] = "no_content",
         [HS_ITEM_TRY_HELD_BACK] = "held_back",
         [HS_ITEM_TRY_NO_ROUTE] = "no_route",
         [HS_ITEM_TRY_YIELDED] = "yielded",
--- a/src/jobs/job_capacity.c
+++ b/src/jobs/job_capacity.c
@@ -1,23 +1,23 @@
-/** @file job_room.c  See job_room.h. */
+/** @file job_capacity.c  See job_capacity.h. */
 #include "jobs/job_capacity.h"
 
 /**
- * Not all daemons have items to start at one time. What they start too much together, engines'
- * arbiters send back before it reaches an engine.
+ * Share of the daemons assumed to have items to start at a time. If they start more items than
+ * there are free slots, the engines' arbiters reject the excess before it reaches an engine.
  */
-#define STARTERS_SHARE (1.0 / 3.0)
+#define STARTING_DAEMONS_SHARE (1.0 / 3.0)
 
-uint32_t hs_job_room(const hs_service_room *room, uint32_t daemons, uint32_t partitions) {
-    double spare = room->slots - room->batch - room->online;
-    if (spare < 1)
+uint32_t hs_job_room(const hs_service_room *capacity, uint32_t daemons, uint32_t partitions) {
+    double free_slots = capacity->slots - capacity->batch - capacity->online;
+    if (free_slots < 1)
         return 0;
-    double starters = MAX(MIN(daemons * STARTERS_SHARE, (double)partitions), 1.0);
-    return MAX((uint32_t)(spare / starters), 1);
+    double starting_daemons = MAX(MIN(daemons * STARTING_DAEMONS_SHARE, (double)partitions), 1.0);
+    return MAX((uint32_t)(free_slots / starting_daemons), 1);
 }
 
-uint32_t hs_job_room_left(const hs_service_room *room, double expected_online, uint32_t daemons,
+uint32_t hs_job_room_left(const hs_service_room *capacity, double expected_online, uint32_t daemons,
                           uint32_t partitions) {
-    hs_service_room expected = *room;
-    expected.online = MAX(room->online, expected_online);
+    hs_service_room expected = *capacity;
+    expected.online = MAX(capacity->online, expected_online);
     return hs_job_room(&expected, daemons, partitions);
 }
--- a/src/jobs/job_capacity.h
+++ b/src/jobs/job_capacity.h
@@ -1,31 +1,31 @@
 /**
- * @file job_room.h
- * How many batch items may start now: as many as there are free slots. Online requests that come
- * later find their slots by making items step aside (directory/slot_arbiter.h). Pure.
+ * @file job_capacity.h
+ * Computes how many batch items may start now from the free slots. Online requests that arrive
+ * later obtain slots by preempting items (directory/slot_arbiter.h). Pure functions.
  */
-#ifndef HS_JOBS_JOB_ROOM_H
-#define HS_JOBS_JOB_ROOM_H
+#ifndef HS_JOBS_JOB_CAPACITY_H
+#define HS_JOBS_JOB_CAPACITY_H
 
 #include "fleet/fleet_engines.h"
 
 /**
- * A run of an item (a piece of it, as it may be cut and go on later) is worth its start from this
- * length on, in ms: a shorter one pays a connection and the reading of its prompt for little.
+ * Minimum length of a run, in ms, that is worth its start. If an item is preempted earlier, the
+ * cost of connecting and processing the prompt exceeds the progress.
  */
-#define HS_ITEM_PIECE_MS 1000
+#define HS_MIN_USEFUL_RUN_MS 1000
 
 /**
- * Items that this daemon, one of @p daemons, may start now: its part of the free slots among those
- * daemons that have items to start, which are no more than there are @p partitions; at least one
- * where a slot is free.
+ * Returns how many items this daemon, one of @p daemons, may start now: its share of the free slots
+ * among the daemons that have items to start, at most one for each of @p partitions. At least 1 if
+ * a slot is free.
  */
-uint32_t hs_job_room(const hs_service_room *room, uint32_t daemons, uint32_t partitions);
+uint32_t hs_job_room(const hs_service_room *capacity, uint32_t daemons, uint32_t partitions);
 
 /**
- * The same where online requests are expected to hold @p expected_online slots soon, which may be
- * more than they hold now. Items that are pressing start by hs_job_room all the same.
+ * Like hs_job_room, but keeps slots free for online requests that are expected to need
+ * @p expected_online slots soon. Items that are not urgent are limited by this number.
  */
-uint32_t hs_job_room_left(const hs_service_room *room, double expected_online, uint32_t daemons,
+uint32_t hs_job_room_left(const hs_service_room *capacity, double expected_online, uint32_t daemons,
                           uint32_t partitions);
 
 #endif
--- a/src/jobs/job_plan.h
+++ b/src/jobs/job_plan.h
@@ -1,7 +1,7 @@
 /**
  * @file job_plan.h
- * The order in which a daemon's open items start: those that are to end in time first, the one due
- * first first, then those left out, the one that needs least first.
+ * Orders the open items of a daemon for starting: first the items selected to meet their deadlines
+ * (see item_choice.h), earliest deadline first, then the excluded items, shortest first.
  */
 #ifndef HS_JOBS_JOB_PLAN_H
 #define HS_JOBS_JOB_PLAN_H
@@ -9,31 +9,35 @@
 #include "jobs/item_choice.h"
 #include "jobs/job_owner_state.h"
 
-/** Ranks of items that are not meant to end in time begin here. */
-#define HS_RANK_LEFT_OUT 1000000000
+/** Excluded items have ranks from this value on. */
+#define HS_EXCLUDED_RANK_BASE 1000000000
 
-/** An item without a result, and what decides its place. */
+/** An item without a result, as seen by one scheduler pass. */
 typedef struct {
     hs_owned_partition_state *home;
     hs_owned_item *item;
-    const char *service; /**< Interned; NULL: no route any more. */
-    int64_t left_ms;     /**< Until it is due. */
-    uint64_t remaining_ms;
-    int32_t rank_ms;  /**< Set by the plan; see hs_engine_query. */
-    bool is_pressing; /**< Set by the plan: it may not wait for more room. */
+    const char *service;   /**< Interned; NULL: the configuration has no route for the item. */
+    int64_t left_ms;       /**< Time until the deadline; negative if it has passed. */
+    uint64_t remaining_ms; /**< Expected remaining run time; 0: unknown. */
+    int32_t rank_ms;       /**< Set by the plan; see hs_engine_query. */
+    bool is_pressing;      /**< Set by the plan: the item must not wait for more capacity. */
     uint32_t max_attempts;
-    bool may_start; /**< It waits, and its pause is over. */
-    bool gives_up;  /**< Its time is over: list it as dead. */
+    bool may_start; /**< The item is waiting, and its retry delay is over. */
+    bool gives_up;  /**< The retention time is over; the item is to be listed as dead. */
 } hs_open_item;
 
 /**
- * The lower, the sooner an item starts and the longer it stays. Of items that are due together the
- * one that needs least goes first: work spread over all of them ends none in time. Where claimants
- * share too little room, the one that must start first goes first, so that each has its part.
+ * Returns the rank of an item: items of lower rank start first and are preempted last. Of items
+ * with equal deadlines the shortest ranks first, so that slots are not spread over items that all
+ * end late. If tenants compete for scarce slots, ranks follow the latest start time instead, so
+ * that every tenant obtains its allocation.
  */
 int32_t hs_job_plan_rank(const hs_choice_item *item);
 
-/** Order @p open (of hs_open_item) and set slack. The caller holds the owner's lock. */
+/**
+ * Sorts @p open (of hs_open_item) by rank, and sets rank_ms and is_pressing of each item. The
+ * caller holds the owner's lock.
+ */
 void hs_job_plan_make(hs_job_owner *owner, GArray *open);
 
 #endif
--- a/src/jobs/job_quota.c
+++ b/src/jobs/job_quota.c
@@ -1,4 +1,4 @@
-/** @file job_quota.c  Reservations, and the sum they are decided by; see job_quota.h. */
+/** @file job_quota.c  See job_quota.h. */
 #include "jobs/job_quota.h"
 
 #include "base/clock.h"
@@ -10,21 +10,21 @@
 
 #include <string.h>
 
-#define QUOTA_PART 0
-#define READ_MAX_KB 1024
+#define QUOTA_PARTITION 0
+#define MAX_READ_KB 1024
 #define RETRY_PAUSE_MS 40
-#define RELEASE_LIMIT_MS 3000
-/** Between two levels of a partition. */
+#define RELEASE_TIMEOUT_MS 3000
+/** Minimum interval between two levels of a partition. */
 #define LEVEL_INTERVAL_MS 700
-/** An unchanged level is told again after this long, before the log forgets it. */
+/** An unchanged level is reported again after this time, before the log's retention drops it. */
 #define LEVEL_REPEAT_MS 60000
 
 struct hs_job_quota {
     hs_store_client *store;
-    GMutex lock; /**< Guards what follows. */
+    GMutex lock; /**< Guards fold and counters. */
     hs_quota_fold *fold;
     hs_quota_counters counters;
-    GThreadPool *releases; /**< One thread; answers to callers do not wait for it. */
+    GThreadPool *releases; /**< One thread that appends releases in the background. */
 };
 
 static void run_release(gpointer submission, gpointer data);
@@ -54,7 +54,7 @@
     hs__quota_record__pack(record, bytes);
     GByteArray *records = g_byte_array_new();
     hs_platform_frame_record(records, bytes, length);
-    hs_store_call call = hs_platform_append(HS_TOPIC_QUOTA, QUOTA_PART, records);
+    hs_store_call call = hs_platform_append(HS_TOPIC_QUOTA, QUOTA_PARTITION, records);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome = hs_store_client_send(quota->store, &call, deadline, NULL, answer);
     if (outcome == HS_STORE_DONE && !hs_platform_read_appended(answer, offset))
@@ -64,17 +64,17 @@
     return outcome;
 }
 
-/** Append until the record is known to stand in the log; it may then stand there twice. */
+/** Appends the record until the store confirms it. Retries may store the record twice. */
 static bool append_until_stored(hs_job_quota *quota, const Hs__QuotaRecord *record,
                                 hs_deadline deadline, uint64_t *offset) {
-    uint64_t stored_at = 0;
+    uint64_t stored_offset = 0;
     uint32_t attempt = 0;
     while (hs_clock_monotonic_ms() < deadline) {
-        uint64_t patience_ms = hs_store_client_patience_ms(quota->store, attempt++, 0);
-        hs_deadline until = MIN(deadline, hs_clock_monotonic_ms() + patience_ms);
-        hs_store_outcome outcome = append(quota, record, until, &stored_at);
+        uint64_t timeout_ms = hs_store_client_patience_ms(quota->store, attempt++, 0);
+        hs_deadline attempt_deadline = MIN(deadline, hs_clock_monotonic_ms() + timeout_ms);
+        hs_store_outcome outcome = append(quota, record, attempt_deadline, &stored_offset);
         if (outcome == HS_STORE_DONE && offset != NULL)
-            *offset = stored_at;
+            *offset = stored_offset;
         if (outcome == HS_STORE_DONE)
             return true;
         hs_clock_sleep_ms(RETRY_PAUSE_MS);
@@ -82,27 +82,28 @@
     return false;
 }
 
-/** Name under which a tenant's jobs on a route are summed. Free with g_free. */
-static char *account_name(const char *route, const char *tenant) {
+/** Returns the key under which the tokens of a tenant on a route are summed. Free with g_free. */
+static char *quota_key(const char *route, const char *tenant) {
     return *tenant != '\0' ? g_strdup_printf("%s\n%s", route, tenant) : g_strdup(route);
 }
 
-static bool reserve(hs_job_quota *quota, const hs_quota_claim *claim, hs_quota_account *account) {
+static bool append_reservation(hs_job_quota *quota, const hs_quota_claim *request,
+                               hs_quota_account *decision) {
     Hs__QuotaReservation reservation = HS__QUOTA_RESERVATION__INIT;
-    g_autofree char *name = account_name(claim->route->name, claim->tenant);
-    reservation.job_id = (char *)claim->job_id;
-    reservation.submission = account->submission;
+    g_autofree char *name = quota_key(request->route->name, request->tenant);
+    reservation.job_id = (char *)request->job_id;
+    reservation.submission = decision->submission;
     reservation.route = name;
-    reservation.tokens = claim->tokens;
-    reservation.partition = claim->partition;
+    reservation.tokens = request->tokens;
+    reservation.partition = request->partition;
     Hs__QuotaRecord record = HS__QUOTA_RECORD__INIT;
     record.kind_case = HS__QUOTA_RECORD__KIND_RESERVATION;
     record.reservation = &reservation;
-    return append_until_stored(quota, &record, claim->deadline, &account->offset);
+    return append_until_stored(quota, &record, request->deadline, &decision->offset);
 }
 
-/** Apply what a read brought. The caller holds the lock. */
-static void apply_answer(hs_job_quota *quota, const GByteArray *answer, uint64_t from) {
+/** Applies the records of a read that began at @p from. The caller holds the lock. */
+static void apply_records(hs_job_quota *quota, const GByteArray *answer, uint64_t from) {
     size_t position = 0;
     hs_store_record record;
     uint64_t offset = from;
@@ -111,30 +112,30 @@
         /* Another thread may have read the same records. */
         if (offset == hs_quota_fold_next(quota->fold) &&
             !hs_quota_fold_apply(quota->fold, offset, record.value, record.value_length, now_ms))
-            hs_log_warning("admission_record_unreadable", "offset=%" G_GUINT64_FORMAT,
-                           (guint64)offset);
+            hs_log_warning("quota_record_unreadable", "offset=%" G_GUINT64_FORMAT, (guint64)offset);
         offset++;
     }
 }
 
-/** Read the log beyond @p offset. */
-static bool read_beyond(hs_job_quota *quota, uint64_t offset, hs_deadline deadline) {
+/** Reads the log until the record at @p offset is applied. False: the deadline passed first. */
+static bool read_past(hs_job_quota *quota, uint64_t offset, hs_deadline deadline) {
     GByteArray *answer = g_byte_array_new();
-    bool is_read = false;
-    while (!is_read) {
+    bool has_read = false;
+    while (!has_read) {
         g_mutex_lock(&quota->lock);
         uint64_t from = hs_quota_fold_next(quota->fold);
         g_mutex_unlock(&quota->lock);
-        is_read = from > offset;
-        if (is_read || hs_clock_monotonic_ms() >= deadline)
+        has_read = from > offset;
+        if (has_read || hs_clock_monotonic_ms() >= deadline)
             break;
-        hs_store_call call = hs_platform_read(HS_TOPIC_QUOTA, QUOTA_PART, from, READ_MAX_KB, 0);
+        hs_store_call call =
+            hs_platform_read(HS_TOPIC_QUOTA, QUOTA_PARTITION, from, MAX_READ_KB, 0);
         hs_store_outcome outcome =
             hs_store_client_send(quota->store, &call, deadline, NULL, answer);
         uint64_t first = 0;
         g_mutex_lock(&quota->lock);
         if (outcome == HS_STORE_DONE)
-            apply_answer(quota, answer, from);
+            apply_records(quota, answer, from);
         else if (outcome == HS_STORE_GONE && hs_platform_read_first_kept(answer, &first))
             hs_quota_fold_skip_to(quota->fold, first);
         g_mutex_unlock(&quota->lock);
@@ -142,7 +143,7 @@
             hs_clock_sleep_ms(RETRY_PAUSE_MS);
     }
     g_byte_array_free(answer, TRUE);
-    return is_read;
+    return has_read;
 }
 
 static uint64_t unfinished_tokens(const hs_job *job) {
@@ -154,23 +155,24 @@
     return tokens;
 }
 
-/** Decide by the log up to the claim's own reservation. */
-static hs_quota_verdict decide(hs_job_quota *quota, const hs_quota_claim *claim,
-                               hs_quota_account *account) {
-    g_autofree char *route = account_name(claim->route->name, claim->tenant);
+/** Decides by the log up to the request's own reservation. */
+static hs_quota_verdict decide(hs_job_quota *quota, const hs_quota_claim *request,
+                               hs_quota_account *decision) {
+    g_autofree char *route = quota_key(request->route->name, request->tenant);
     g_mutex_lock(&quota->lock);
-    account->unfinished = hs_quota_fold_unfinished(quota->fold, route);
-    account->reserved = hs_quota_fold_reserved(quota->fold, route, claim->job_id, account->offset);
-    account->drain = hs_quota_fold_drain(quota->fold, route, hs_clock_monotonic_ms());
+    decision->unfinished = hs_quota_fold_unfinished(quota->fold, route);
+    decision->reserved =
+        hs_quota_fold_reserved(quota->fold, route, request->job_id, decision->offset);
+    decision->drain = hs_quota_fold_drain(quota->fold, route, hs_clock_monotonic_ms());
     g_mutex_unlock(&quota->lock);
-    uint64_t all = account->unfinished + account->reserved + claim->tokens;
-    uint64_t excess = all - MIN(all, claim->route->waiting_tokens_most);
-    account->room_ms = hs_retry_after_drain_ms(excess, account->drain.tokens,
-                                               account->drain.observed_ms, LEVEL_INTERVAL_MS);
-    return all <= claim->route->waiting_tokens_most ? HS_QUOTA_FITS : HS_QUOTA_FULL;
+    uint64_t all = decision->unfinished + decision->reserved + request->tokens;
+    uint64_t excess = all - MIN(all, request->route->waiting_tokens_most);
+    decision->room_ms = hs_retry_after_drain_ms(excess, decision->drain.tokens,
+                                                decision->drain.observed_ms, LEVEL_INTERVAL_MS);
+    return all <= request->route->waiting_tokens_most ? HS_QUOTA_FITS : HS_QUOTA_FULL;
 }
 
-static void count(hs_job_quota *quota, hs_quota_verdict verdict) {
+static void count_verdict(hs_job_quota *quota, hs_quota_verdict verdict) {
     g_mutex_lock(&quota->lock);
     quota->counters.fitted += verdict == HS_QUOTA_FITS;
     quota->counters.refused += verdict == HS_QUOTA_FULL;
@@ -178,37 +180,38 @@
     g_mutex_unlock(&quota->lock);
 }
 
-static void log_verdict(const hs_quota_claim *claim, const hs_quota_account *account,
-                        hs_quota_verdict verdict) {
+static void log_decision(const hs_quota_claim *request, const hs_quota_account *decision,
+                         hs_quota_verdict verdict) {
     hs_log_info("job_admission",
                 "job=%s route=%s tenant=%s config=%" G_GUINT64_FORMAT
                 " verdict=%s tokens=%" G_GUINT64_FORMAT " unfinished=%" G_GUINT64_FORMAT
                 " reserved=%" G_GUINT64_FORMAT " limit=%" G_GUINT64_FORMAT
                 " offset=%" G_GUINT64_FORMAT " drained=%" G_GUINT64_FORMAT
                 " drained_in_ms=%" G_GUINT64_FORMAT " room_ms=%" G_GUINT64_FORMAT,
-                claim->job_id, claim->route->name, claim->tenant, (guint64)claim->config->version,
-                hs_quota_verdict_name(verdict), (guint64)claim->tokens,
-                (guint64)account->unfinished, (guint64)account->reserved,
-                (guint64)claim->route->waiting_tokens_most, (guint64)account->offset,
-                (guint64)account->drain.tokens, (guint64)account->drain.observed_ms,
-                (guint64)account->room_ms);
+                request->job_id, request->route->name, request->tenant,
+                (guint64)request->config->version, hs_quota_verdict_name(verdict),
+                (guint64)request->tokens, (guint64)decision->unfinished,
+                (guint64)decision->reserved, (guint64)request->route->waiting_tokens_most,
+                (guint64)decision->offset, (guint64)decision->drain.tokens,
+                (guint64)decision->drain.observed_ms, (guint64)decision->room_ms);
 }
 
-hs_quota_verdict hs_job_quota_claim(hs_job_quota *quota, const hs_quota_claim *claim,
-                                    hs_quota_account *account) {
-    *account = (hs_quota_account){0};
-    if (claim->route->waiting_tokens_most == 0)
+hs_quota_verdict hs_job_quota_claim(hs_job_quota *quota, const hs_quota_claim *request,
+                                    hs_quota_account *decision) {
+    *decision = (hs_quota_account){0};
+    if (request->route->waiting_tokens_most == 0)
         return HS_QUOTA_FITS;
-    account->submission = ((uint64_t)g_random_int() << 32) | g_random_int();
+    decision->submission = ((uint64_t)g_random_int() << 32) | g_random_int();
     hs_quota_verdict verdict = HS_QUOTA_UNKNOWN;
-    if (reserve(quota, claim, account) && read_beyond(quota, account->offset, claim->deadline))
-        verdict = decide(quota, claim, account);
-    count(quota, verdict);
-    log_verdict(claim, account, verdict);
+    if (append_reservation(quota, request, decision) &&
+        read_past(quota, decision->offset, request->deadline))
+        verdict = decide(quota, request, decision);
+    count_verdict(quota, verdict);
+    log_decision(request, decision, verdict);
     return verdict;
 }
 
-/** Tell the log; where that fails the reservation counts until it is settled. */
+/** Appends a release. If that fails, the reservation counts until it is settled or expires. */
 static void run_release(gpointer submission, gpointer data) {
     hs_job_quota *quota = data;
     Hs__QuotaRelease release = HS__QUOTA_RELEASE__INIT;
@@ -217,7 +220,7 @@
     record.kind_case = HS__QUOTA_RECORD__KIND_RELEASE;
     record.release = &release;
     bool is_stored =
-        append_until_stored(quota, &record, hs_clock_monotonic_ms() + RELEASE_LIMIT_MS, NULL);
+        append_until_stored(quota, &record, hs_clock_monotonic_ms() + RELEASE_TIMEOUT_MS, NULL);
     g_mutex_lock(&quota->lock);
     quota->counters.released += is_stored;
     g_mutex_unlock(&quota->lock);
@@ -229,8 +232,8 @@
         g_thread_pool_push(quota->releases, g_memdup2(&submission, sizeof submission), NULL);
 }
 
-/** An open job of a limited route as a level's entry; NULL: it is not one. Free with free_entry. */
-static Hs__QuotaJob *entry_of(const hs_job *job, const hs_fleet_config *config) {
+/** Returns a level's entry for an open job of a limited route, else NULL. Free with free_entry. */
+static Hs__QuotaJob *make_entry(const hs_job *job, const hs_fleet_config *config) {
     const hs_fleet_route *route =
         hs_job_is_open(job) ? hs_fleet_config_find_route(config, job->host, job->target) : NULL;
     if (route == NULL || route->waiting_tokens_most == 0)
@@ -238,7 +241,7 @@
     Hs__QuotaJob *entry = g_new(Hs__QuotaJob, 1);
     hs__quota_job__init(entry);
     entry->job_id = g_strdup(job->id);
-    entry->route = account_name(route->name, job->tenant);
+    entry->route = quota_key(route->name, job->tenant);
     entry->tokens = unfinished_tokens(job);
     return entry;
 }
@@ -257,7 +260,7 @@
     return false;
 }
 
-/** Open jobs of limited routes: of Hs__QuotaJob*, and where the fold stands. */
+/** Returns the open jobs of limited routes (Hs__QuotaJob*), and the partition's next offset. */
 static GPtrArray *collect_entries(hs_job_partition *partition, const hs_fleet_config *config,
                                   uint64_t *fold_offset) {
     GPtrArray *entries = g_ptr_array_new_with_free_func(free_entry);
@@ -265,7 +268,7 @@
     g_autoptr(GPtrArray) jobs = hs_job_state_list(state);
     *fold_offset = hs_job_state_next(state);
     for (guint index = 0; index < jobs->len; index++) {
-        Hs__QuotaJob *entry = entry_of(jobs->pdata[index], config);
+        Hs__QuotaJob *entry = make_entry(jobs->pdata[index], config);
         if (entry != NULL)
             g_ptr_array_add(entries, entry);
     }
@@ -273,7 +276,7 @@
     return entries;
 }
 
-static uint64_t content_hash(const GPtrArray *entries) {
+static uint64_t hash_entries(const GPtrArray *entries) {
     uint64_t hash = entries->len;
     for (guint index = 0; index < entries->len; index++) {
         const Hs__QuotaJob *entry = entries->pdata[index];
@@ -283,18 +286,21 @@
 }
 
 void hs_job_quota_tell(hs_job_quota *quota, hs_job_partition *partition,
-                       const hs_fleet_config *config, hs_quota_told *told, hs_deadline deadline) {
+                       const hs_fleet_config *config, hs_quota_told *reported,
+                       hs_deadline deadline) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    if (!has_limit(config) || (told->told_ms != 0 && now_ms < told->told_ms + LEVEL_INTERVAL_MS))
+    if (!has_limit(config) ||
+        (reported->reported_ms != 0 && now_ms < reported->reported_ms + LEVEL_INTERVAL_MS))
         return;
     Hs__QuotaLevel level = HS__QUOTA_LEVEL__INIT;
     level.partition = hs_job_partition_number(partition);
     g_autoptr(GPtrArray) entries = collect_entries(partition, config, &level.fold_offset);
     level.n_jobs = entries->len;
     level.jobs = (Hs__QuotaJob **)entries->pdata;
-    uint64_t content = content_hash(entries);
-    bool is_news = content != told->content || now_ms > told->told_ms + LEVEL_REPEAT_MS;
-    if (!is_news)
+    uint64_t content = hash_entries(entries);
+    bool must_report =
+        content != reported->content || now_ms > reported->reported_ms + LEVEL_REPEAT_MS;
+    if (!must_report)
         return;
     Hs__QuotaRecord record = HS__QUOTA_RECORD__INIT;
     record.kind_case = HS__QUOTA_RECORD__KIND_LEVEL;
@@ -302,7 +308,7 @@
     uint64_t offset = 0;
     if (append(quota, &record, deadline, &offset) != HS_STORE_DONE)
         return;
-    *told = (hs_quota_told){.content = content, .told_ms = now_ms};
+    *reported = (hs_quota_told){.content = content, .reported_ms = now_ms};
     g_mutex_lock(&quota->lock);
     quota->counters.levels++;
     g_mutex_unlock(&quota->lock);
--- a/src/jobs/job_quota.h
+++ b/src/jobs/job_quota.h
@@ -1,14 +1,15 @@
 /**
  * @file job_quota.h
- * Keeps the tokens of a route's unfinished items within the operator's limit, over all daemons: of
- * each tenant, or of all callers where there are no tenants.
+ * Limits the tokens of a route's unfinished items across all daemons: for each tenant, or for all
+ * callers together if there are no tenants.
  *
- * Before a job is stored, its daemon appends a reservation to one log that all daemons share. The
- * order of that log decides: a job fits when what owners of partitions told to be unfinished, what
- * was reserved before it and is not told yet, and its own tokens are within the limit. Each daemon
- * decides its own jobs alone; since each counts all that stand before, no two can both take the
- * last room. A refused job releases its reservation. Finished items count until their owner tells,
- * so that a job may be refused for about a second too long, and never accepted too soon.
+ * Before a job is stored, its daemon appends a reservation to a log shared by all daemons. The
+ * order of the log decides: a job fits if its tokens, the unfinished tokens reported by partition
+ * owners, and the earlier reservations not covered by these reports are within the limit. Each
+ * daemon decides its own jobs; as it counts all earlier reservations, two daemons cannot both use
+ * the last capacity. The reservation of a refused job is released. Finished items count until their
+ * owner reports them, so a job may be refused for about a second too long but is never accepted
+ * beyond the limit. Thread-safe.
  */
 #ifndef HS_JOBS_JOB_QUOTA_H
 #define HS_JOBS_JOB_QUOTA_H
@@ -20,29 +21,29 @@
 /** Whether a job may be stored. */
 typedef enum {
     HS_QUOTA_FITS,
-    HS_QUOTA_FULL,    /**< It does not fit now. */
-    HS_QUOTA_UNKNOWN, /**< The store did not tell; nothing may be promised but a refusal. */
+    HS_QUOTA_FULL,    /**< The job exceeds the limit now. */
+    HS_QUOTA_UNKNOWN, /**< The log could not be written or read; the job must be refused. */
 } hs_quota_verdict;
 
-/** A job that asks for room. All borrowed. */
+/** A job to reserve tokens for; all borrowed. */
 typedef struct {
     const char *job_id;
     uint32_t partition;
     uint64_t tokens;
     const hs_fleet_config *config;
     const hs_fleet_route *route;
-    const char *tenant; /**< The limit is each tenant's; "": of all callers together. */
+    const char *tenant; /**< The limit applies to this tenant; "": to all callers together. */
     hs_deadline deadline;
 } hs_quota_claim;
 
-/** What decided, for logs. */
+/** The figures that a verdict is based on. */
 typedef struct {
-    uint64_t submission;  /**< Names the reservation; see hs_job_quota_release. */
-    uint64_t offset;      /**< Its place in the log. */
-    uint64_t unfinished;  /**< Tokens that owners told last. */
-    uint64_t reserved;    /**< Tokens reserved before by jobs that no owner told yet. */
-    uint64_t room_ms;     /**< HS_QUOTA_FULL: expected time in ms until there is room. */
-    hs_quota_drain drain; /**< By which. */
+    uint64_t submission;  /**< Id of the reservation; see hs_job_quota_release. */
+    uint64_t offset;      /**< Offset of the reservation in the log. */
+    uint64_t unfinished;  /**< Unfinished tokens by the latest levels of all partitions. */
+    uint64_t reserved;    /**< Tokens of earlier reservations that no level covers. */
+    uint64_t room_ms;     /**< HS_QUOTA_FULL: expected time in ms until the job fits. */
+    hs_quota_drain drain; /**< The drain that this time is estimated from. */
 } hs_quota_account;
 
 /** Counters for metrics. */
@@ -50,8 +51,8 @@
     uint64_t fitted;
     uint64_t refused;
     uint64_t unknown;
-    uint64_t released; /**< Releases that the log has. */
-    uint64_t levels;   /**< Told by this daemon. */
+    uint64_t released; /**< Releases stored in the log. */
+    uint64_t levels;   /**< Levels reported by this daemon. */
 } hs_quota_counters;
 
 typedef struct hs_job_quota hs_job_quota;
@@ -60,28 +61,33 @@
 hs_job_quota *hs_job_quota_new(hs_store_client *store);
 void hs_job_quota_free(hs_job_quota *quota);
 
-/** Reserve room for a job and decide. A route without a limit has room for all. */
-hs_quota_verdict hs_job_quota_claim(hs_job_quota *quota, const hs_quota_claim *claim,
-                                    hs_quota_account *account);
+/**
+ * Reserves the tokens of a job and decides whether it may be stored. Blocks up to the deadline of
+ * @p request. Without a limit of the route every job fits.
+ */
+hs_quota_verdict hs_job_quota_claim(hs_job_quota *quota, const hs_quota_claim *request,
+                                    hs_quota_account *decision);
 
-/** The submission was refused: its room is free again. Returns at once; 0 is no submission. */
+/** Releases the reservation of a refused submission, asynchronously. 0: there is none. */
 void hs_job_quota_release(hs_job_quota *quota, uint64_t submission);
 
-/** What an owner told of a partition last; zero-initialise. */
+/** The latest level reported for a partition; zero-initialise. */
 typedef struct {
-    uint64_t content; /**< A hash of it. */
-    uint64_t told_ms; /**< 0: nothing was told. */
+    uint64_t content;     /**< Hash of the level's jobs. */
+    uint64_t reported_ms; /**< Monotonic time of the report; 0: none. */
 } hs_quota_told;
 
 /**
- * Tell the open jobs of an owned partition, when they changed or were told long ago; at most once
- * in a while. Nothing is told where no route has a limit.
+ * Reports the open jobs of an owned partition to the log if they have changed or the last report
+ * is old. Does nothing if the last report is very recent or no route has a limit.
  */
 void hs_job_quota_tell(hs_job_quota *quota, hs_job_partition *partition,
-                       const hs_fleet_config *config, hs_quota_told *told, hs_deadline deadline);
+                       const hs_fleet_config *config, hs_quota_told *reported,
+                       hs_deadline deadline);
 
 hs_quota_counters hs_job_quota_counters(hs_job_quota *quota);
 
+/** Returns the name used in log lines. */
 const char *hs_quota_verdict_name(hs_quota_verdict verdict);
 
 #endif
--- a/src/jobs/job_starts.c
+++ b/src/jobs/job_starts.c
@@ -5,8 +5,8 @@
 #include "base/log.h"
 #include "jobs/job_capacity.h"
 
-/** A forecast that failed is logged this often, in ms. */
-#define FAILED_LOG_INTERVAL_MS 1000
+/** Minimum interval between log lines about a failed forecast of one service. */
+#define FORECAST_LOG_INTERVAL_MS 1000
 
 hs_service_starts *hs_job_starts_of(hs_job_owner *owner, const char *service) {
     hs_service_starts *starts = g_hash_table_lookup(owner->services, service);
@@ -17,40 +17,40 @@
     return starts;
 }
 
-/** A start was seen to reach an engine, or not to. */
-static void note_send(hs_service_starts *starts, hs_owned_item *item, bool did_well) {
+/** Records once for each start whether the item reached an engine. */
+static void record_send(hs_service_starts *starts, hs_owned_item *item, bool has_succeeded) {
     if (item->is_sent_noted)
         return;
     item->is_sent_noted = true;
-    hs_start_pace_note(&starts->sends, did_well);
+    hs_start_throttle_record(&starts->sends, has_succeeded);
 }
 
-/** A start was seen to be worth it. */
-static void note_piece(hs_service_starts *starts, hs_owned_item *item) {
+/** Records once for each start that the item ran for at least HS_MIN_USEFUL_RUN_MS. */
+static void record_useful_run(hs_service_starts *starts, hs_owned_item *item) {
     if (!item->is_piece_noted)
-        hs_start_pace_note(&starts->pieces, true);
+        hs_start_throttle_record(&starts->pieces, true);
     item->is_piece_noted = true;
 }
 
 void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_order *order, hs_item_try end) {
     hs_owned_item *item = order->item;
     uint64_t ran_ms = hs_clock_monotonic_ms() - item->started_ms;
-    bool is_cut = end == HS_ITEM_TRY_YIELDED && item->run->was_sent;
-    bool is_sent_back = end == HS_ITEM_TRY_NO_ROOM || (end == HS_ITEM_TRY_YIELDED && !is_cut);
-    owner->sent_back += is_sent_back;
-    owner->cut_soon += is_cut && ran_ms < HS_ITEM_PIECE_MS;
-    owner->cut_later += is_cut && ran_ms >= HS_ITEM_PIECE_MS;
+    bool is_preempted = end == HS_ITEM_TRY_YIELDED && item->run->was_sent;
+    bool is_rejected = end == HS_ITEM_TRY_NO_ROOM || (end == HS_ITEM_TRY_YIELDED && !is_preempted);
+    owner->sent_back += is_rejected;
+    owner->cut_soon += is_preempted && ran_ms < HS_MIN_USEFUL_RUN_MS;
+    owner->cut_later += is_preempted && ran_ms >= HS_MIN_USEFUL_RUN_MS;
     if (order->service == NULL)
         return;
     hs_service_starts *starts = hs_job_starts_of(owner, order->service);
-    if (is_sent_back)
-        note_send(starts, item, false);
-    if (is_cut) /* However long it ran: engines fill up, and the next start would be cut sooner. */
-        hs_start_pace_note(&starts->pieces, false);
+    if (is_rejected)
+        record_send(starts, item, false);
+    if (is_preempted) /* Counts even after a long run: the engines are filling up. */
+        hs_start_throttle_record(&starts->pieces, false);
 }
 
-/** What runs for a while was sent, and was worth it. */
-static void note_running(hs_job_owner *owner, const GArray *open) {
+/** Records the starts of running items as successful once they have run for long enough. */
+static void record_running(hs_job_owner *owner, const GArray *open) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (guint index = 0; index < open->len; index++) {
         const hs_open_item *entry = &g_array_index(open, hs_open_item, index);
@@ -59,9 +59,9 @@
         hs_service_starts *starts = hs_job_starts_of(owner, entry->service);
         uint64_t ran_ms = now_ms - entry->item->started_ms;
         if (ran_ms >= HS_JOB_PASS_MS)
-            note_send(starts, entry->item, true);
-        if (ran_ms >= HS_ITEM_PIECE_MS)
-            note_piece(starts, entry->item);
+            record_send(starts, entry->item, true);
+        if (ran_ms >= HS_MIN_USEFUL_RUN_MS)
+            record_useful_run(starts, entry->item);
     }
 }
 
@@ -84,25 +84,25 @@
                                "heathsail_demand_came_slots{service=\"%s\"} %.1f\n"
                                "heathsail_job_starts_tried_share{service=\"%s\"} %.2f\n",
                                (const char *)service, starts->expected_online,
-                               (const char *)service, starts->outlook.now, (const char *)service,
-                               1 - starts->pieces.held_back);
+                               (const char *)service, starts->outlook.current,
+                               (const char *)service, 1 - starts->pieces.held_back);
     }
     g_mutex_unlock(&owner->lock);
 }
 
 static void log_failed_forecast(hs_service_starts *starts, const char *service, uint64_t now_ms) {
-    if (!starts->outlook.has_failed || now_ms < starts->failed_logged_ms + FAILED_LOG_INTERVAL_MS)
+    if (!starts->outlook.has_failed || now_ms < starts->failed_logged_ms + FORECAST_LOG_INTERVAL_MS)
         return;
     starts->failed_logged_ms = now_ms;
     hs_log_info("demand_forecast_failed",
                 "service=%s online=%.1f expected=%.1f away_ms=%" G_GUINT64_FORMAT
-                " longest_ms=%" G_GUINT64_FORMAT " outcome=what_is_held_now",
-                service, starts->outlook.now, starts->outlook.level,
-                (guint64)starts->outlook.below_ms, (guint64)starts->outlook.longest_gap_ms);
+                " longest_ms=%" G_GUINT64_FORMAT " outcome=current_demand_assumed",
+                service, starts->outlook.current, starts->outlook.high_level,
+                (guint64)starts->outlook.below_high_ms, (guint64)starts->outlook.longest_gap_ms);
 }
 
-/** Take what online requests hold now, of each service that had items here. */
-static void note_demand(hs_job_owner *owner) {
+/** Records the current online demand of each service that has had items at this owner. */
+static void record_demand(hs_job_owner *owner) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     GHashTableIter iterator;
     gpointer service = NULL;
@@ -110,15 +110,15 @@
     g_hash_table_iter_init(&iterator, owner->services);
     while (g_hash_table_iter_next(&iterator, &service, &value)) {
         hs_service_starts *starts = value;
-        hs_service_room room = hs_fleet_engines_room(owner->settings.engines, service);
-        hs_demand_forecast_note(&starts->demand, room.online, now_ms);
+        hs_service_room capacity = hs_fleet_engines_room(owner->settings.engines, service);
+        hs_demand_forecast_note(&starts->demand, capacity.online, now_ms);
         starts->outlook = hs_demand_forecast_read(&starts->demand);
-        starts->expected_online = hs_demand_outlook_expect(&starts->outlook, HS_ITEM_PIECE_MS);
+        starts->expected_online = hs_demand_outlook_expect(&starts->outlook, HS_MIN_USEFUL_RUN_MS);
         log_failed_forecast(starts, service, now_ms);
     }
 }
 
 void hs_job_starts_observe(hs_job_owner *owner, const GArray *open) {
-    note_demand(owner);
-    note_running(owner, open);
+    record_demand(owner);
+    record_running(owner, open);
 }
--- a/src/jobs/job_starts.h
+++ b/src/jobs/job_starts.h
@@ -1,20 +1,26 @@
 /**
  * @file job_starts.h
- * What an owner observes for its next starts, by service: what online requests hold, and what
- * became of the items that it started. The caller holds the owner's lock, but for metrics.
+ * Collects the observations of an owner that decide its next starts, by service: demand of online
+ * requests, and results of started items. The caller holds the owner's lock.
  */
 #ifndef HS_JOBS_JOB_STARTS_H
 #define HS_JOBS_JOB_STARTS_H
 
 #include "jobs/job_plan.h"
 
-/** What is known of @p service (interned); made at its first item, kept with the owner. */
+/**
+ * Returns the observations of @p service (interned), creating them at the first call. The owner
+ * keeps them until it is freed.
+ */
 hs_service_starts *hs_job_starts_of(hs_job_owner *owner, const char *service);
 
-/** Look at the demand of now, and at those of @p open (of hs_open_item) that run; once a pass. */
+/**
+ * Records the current demand, and the starts that succeeded among @p open (of hs_open_item).
+ * Called once in each scheduler pass.
+ */
 void hs_job_starts_observe(hs_job_owner *owner, const GArray *open);
 
-/** A try ended by @p end: note what it says of starts. */
+/** Records what the end of an attempt shows about its start. */
 void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_order *order, hs_item_try end);
 
 #endif
--- a/src/jobs/quota_fold.c
+++ b/src/jobs/quota_fold.c
@@ -1,4 +1,4 @@
-/** @file quota_fold.c  The fold of the admission log; see quota_fold.h. */
+/** @file quota_fold.c  See quota_fold.h. */
 #include "jobs/quota_fold.h"
 
 #include "gen/job.pb-c.h"
@@ -6,30 +6,30 @@
 #include <math.h>
 #include <string.h>
 
-/** Releases are remembered, since a reservation whose answer was lost may come after its own. */
-#define RELEASES_MOST 4096
+/** Releases are kept because a retried append may store a reservation after its release. */
+#define MAX_REMEMBERED_RELEASES 4096
 
 /**
- * A reserved job that is in no level of its partition after this long will not come: its daemon
- * gave up (a submission's call limit) and an append without an answer was done by then, if ever.
+ * A reserved job that no level of its partition includes after this time is not stored any more:
+ * the submission and all of its appends have reached their deadlines.
  */
-#define NEVER_STORED_MS 12000
+#define RESERVATION_EXPIRY_MS 12000
 
-/** What was finished fades with this time, several times that between two levels of a partition. */
-#define DRAIN_FADE_MS 8000.0
+/** Time constant of the decay of drains; several times the interval between levels. */
+#define DRAIN_DECAY_MS 8000.0
 
-/** What levels showed to be finished on a route. */
+/** Tokens of a route that levels show as finished. */
 typedef struct {
-    double tokens; /**< Faded, as of at_ms. */
+    double tokens; /**< Decayed up to at_ms. */
     uint64_t first_ms;
     uint64_t at_ms;
 } route_drain;
 
-/** What a partition's owner told last. */
+/** The latest level of a partition. */
 typedef struct {
     uint32_t partition;
     uint64_t fold_offset;
-    uint64_t read_ms;   /**< When the level told last was read. */
+    uint64_t read_ms;   /**< Monotonic time at which this daemon read it. */
     GHashTable *tokens; /**< route -> uint64_t* */
 } partition_level;
 
@@ -77,27 +77,27 @@
 }
 
 static void apply_reservation(hs_quota_fold *fold, uint64_t offset,
-                              const Hs__QuotaReservation *told, uint64_t now_ms) {
-    if (g_hash_table_contains(fold->released, &told->submission))
+                              const Hs__QuotaReservation *reported, uint64_t now_ms) {
+    if (g_hash_table_contains(fold->released, &reported->submission))
         return;
     hs_quota_reservation *reservation = g_new0(hs_quota_reservation, 1);
-    reservation->job_id = g_strdup(told->job_id);
-    reservation->route = g_strdup(told->route);
-    reservation->submission = told->submission;
-    reservation->tokens = told->tokens;
-    reservation->partition = told->partition;
+    reservation->job_id = g_strdup(reported->job_id);
+    reservation->route = g_strdup(reported->route);
+    reservation->submission = reported->submission;
+    reservation->tokens = reported->tokens;
+    reservation->partition = reported->partition;
     reservation->offset = offset;
-    reservation->seen_ms = now_ms;
+    reservation->read_ms = now_ms;
     g_ptr_array_add(fold->reservations, reservation);
 }
 
-/** Tells whether a reservation counts no longer. */
-typedef bool (*reservation_is_settled)(const hs_quota_reservation *reservation, const void *data);
+typedef bool (*reservation_predicate)(const hs_quota_reservation *reservation, const void *data);
 
-/** Forget the reservations that @p is_settled names. */
-static void settle(hs_quota_fold *fold, reservation_is_settled is_settled, const void *data) {
+/** Removes the reservations for which @p predicate holds. */
+static void remove_reservations(hs_quota_fold *fold, reservation_predicate predicate,
+                                const void *data) {
     for (guint index = fold->reservations->len; index > 0; index--)
-        if (is_settled(fold->reservations->pdata[index - 1], data))
+        if (predicate(fold->reservations->pdata[index - 1], data))
             g_ptr_array_remove_index(fold->reservations, index - 1);
 }
 
@@ -111,9 +111,9 @@
     uint64_t *key = g_memdup2(&submission, sizeof submission);
     g_hash_table_add(fold->released, key);
     g_queue_push_tail(&fold->released_order, key);
-    if (g_queue_get_length(&fold->released_order) > RELEASES_MOST)
+    if (g_queue_get_length(&fold->released_order) > MAX_REMEMBERED_RELEASES)
         g_hash_table_remove(fold->released, g_queue_pop_head(&fold->released_order));
-    settle(fold, is_of_submission, &submission);
+    remove_reservations(fold, is_of_submission, &submission);
 }
 
 static uint64_t *tokens_of(partition_level *level, const char *route) {
@@ -136,22 +136,22 @@
     return level;
 }
 
-/** A level that was just told, and when it was read. */
+/** A level being applied, and when it was read. */
 typedef struct {
-    const Hs__QuotaLevel *told;
+    const Hs__QuotaLevel *reported;
     GHashTable *jobs; /**< Set of its jobs' ids. */
     uint64_t now_ms;
 } read_level;
 
-static bool is_settled_by(const hs_quota_reservation *reservation, const void *data) {
+static bool is_settled_by_level(const hs_quota_reservation *reservation, const void *data) {
     const read_level *level = data;
-    return reservation->partition == level->told->partition &&
+    return reservation->partition == level->reported->partition &&
            (g_hash_table_contains(level->jobs, reservation->job_id) ||
-            level->now_ms > reservation->seen_ms + NEVER_STORED_MS);
+            level->now_ms > reservation->read_ms + RESERVATION_EXPIRY_MS);
 }
 
-static double faded(const route_drain *drain, uint64_t now_ms) {
-    return drain->tokens * exp(-(double)(now_ms - MIN(drain->at_ms, now_ms)) / DRAIN_FADE_MS);
+static double decayed_tokens(const route_drain *drain, uint64_t now_ms) {
+    return drain->tokens * exp(-(double)(now_ms - MIN(drain->at_ms, now_ms)) / DRAIN_DECAY_MS);
 }
 
 static route_drain *drain_of(hs_quota_fold *fold, const char *route, uint64_t since_ms) {
@@ -164,19 +164,20 @@
     return drain;
 }
 
-/** What @p before had and the level has no longer. */
+/** Adds to the drains the tokens of @p before that the level no longer includes. */
 static void note_drains(hs_quota_fold *fold, GHashTable *before, const partition_level *level,
                         uint64_t now_ms) {
     GHashTableIter iterator;
     gpointer route = NULL;
-    gpointer had = NULL;
+    gpointer previous = NULL;
     g_hash_table_iter_init(&iterator, before);
-    while (g_hash_table_iter_next(&iterator, &route, &had)) {
-        const uint64_t *has = g_hash_table_lookup(level->tokens, route);
-        uint64_t left = has != NULL ? *has : 0;
-        uint64_t was = *(const uint64_t *)had;
+    while (g_hash_table_iter_next(&iterator, &route, &previous)) {
+        const uint64_t *remaining = g_hash_table_lookup(level->tokens, route);
+        uint64_t remaining_tokens = remaining != NULL ? *remaining : 0;
+        uint64_t previous_tokens = *(const uint64_t *)previous;
         route_drain *drain = drain_of(fold, route, level->read_ms);
-        drain->tokens = faded(drain, now_ms) + (double)(was - MIN(was, left));
+        drain->tokens = decayed_tokens(drain, now_ms) +
+                        (double)(previous_tokens - MIN(previous_tokens, remaining_tokens));
         drain->at_ms = now_ms;
     }
 }
@@ -185,28 +186,28 @@
     const route_drain *drain = g_hash_table_lookup(fold->drains, route);
     if (drain == NULL)
         return (hs_quota_drain){0};
-    double observed_ms = fmin((double)(now_ms - MIN(drain->first_ms, now_ms)), DRAIN_FADE_MS);
-    return (hs_quota_drain){.tokens = (uint64_t)faded(drain, now_ms),
+    double observed_ms = fmin((double)(now_ms - MIN(drain->first_ms, now_ms)), DRAIN_DECAY_MS);
+    return (hs_quota_drain){.tokens = (uint64_t)decayed_tokens(drain, now_ms),
                             .observed_ms = (uint64_t)observed_ms};
 }
 
-static void apply_level(hs_quota_fold *fold, const Hs__QuotaLevel *told, uint64_t now_ms) {
-    partition_level *level = level_of(fold, told->partition);
-    if (told->fold_offset < level->fold_offset)
-        return; /* Of an owner that was paused or cut off. */
-    level->fold_offset = told->fold_offset;
+static void apply_level(hs_quota_fold *fold, const Hs__QuotaLevel *reported, uint64_t now_ms) {
+    partition_level *level = level_of(fold, reported->partition);
+    if (reported->fold_offset < level->fold_offset)
+        return; /* Sent by an outdated owner that was paused or disconnected. */
+    level->fold_offset = reported->fold_offset;
     g_autoptr(GHashTable) before = level->tokens;
     level->tokens = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     g_autoptr(GHashTable) jobs = g_hash_table_new(g_str_hash, g_str_equal);
-    for (size_t index = 0; index < told->n_jobs; index++) {
-        const Hs__QuotaJob *job = told->jobs[index];
+    for (size_t index = 0; index < reported->n_jobs; index++) {
+        const Hs__QuotaJob *job = reported->jobs[index];
         *tokens_of(level, job->route) += job->tokens;
         g_hash_table_add(jobs, job->job_id);
     }
     note_drains(fold, before, level, now_ms);
     level->read_ms = now_ms;
-    read_level read = {.told = told, .jobs = jobs, .now_ms = now_ms};
-    settle(fold, is_settled_by, &read);
+    read_level read = {.reported = reported, .jobs = jobs, .now_ms = now_ms};
+    remove_reservations(fold, is_settled_by_level, &read);
 }
 
 bool hs_quota_fold_apply(hs_quota_fold *fold, uint64_t offset, const uint8_t *bytes, size_t length,
@@ -215,7 +216,7 @@
     Hs__QuotaRecord *record = hs__quota_record__unpack(NULL, length, bytes);
     if (record == NULL)
         return false;
-    bool known = true;
+    bool is_known = true;
     if (record->kind_case == HS__QUOTA_RECORD__KIND_RESERVATION)
         apply_reservation(fold, offset, record->reservation, now_ms);
     else if (record->kind_case == HS__QUOTA_RECORD__KIND_RELEASE)
@@ -223,9 +224,9 @@
     else if (record->kind_case == HS__QUOTA_RECORD__KIND_LEVEL)
         apply_level(fold, record->level, now_ms);
     else
-        known = false;
+        is_known = false;
     hs__quota_record__free_unpacked(record, NULL);
-    return known;
+    return is_known;
 }
 
 uint64_t hs_quota_fold_next(const hs_quota_fold *fold) {
--- a/src/jobs/start_throttle.c
+++ b/src/jobs/start_throttle.c
@@ -1,48 +1,49 @@
-/** @file start_pace.c  See start_pace.h. */
+/** @file start_throttle.c  See start_throttle.h. */
 #include "jobs/start_throttle.h"
 
 #include <glib.h>
 #include <math.h>
 
-/** Least starts a pass: one in five passes, which take half a second. */
-#define TRIED_LEAST 0.2
-/** Share of the room that is always tried: three good passes from it to all. */
-#define TRIED_SHARE_LEAST (1.0 / 64)
-/** Factor by which more is tried when starts do well: faster up than down. */
-#define GROWTH 4.0
-/** Room this many times that of the last failure counts as new, and all of it is tried. */
-#define MORE_ROOM 1.5
+/** Minimum mean number of starts in a pass, so that recovery is always detected. */
+#define MIN_STARTS_PER_PASS 0.2
+/** Minimum share of the capacity that is used: three successful passes restore the full share. */
+#define MIN_STARTED_SHARE (1.0 / 64)
+/** Factor by which the share grows after a successful pass: growth is faster than decrease. */
+#define GROWTH_FACTOR 4.0
+/** Growth of the free slots since the last failure from which all capacity is used again. */
+#define MORE_CAPACITY_FACTOR 1.5
 
-void hs_start_pace_note(hs_start_pace *pace, bool did_well) {
-    pace->good += did_well;
-    pace->bad += !did_well;
+void hs_start_throttle_record(hs_start_pace *throttle, bool has_succeeded) {
+    throttle->succeeded += has_succeeded;
+    throttle->failed += !has_succeeded;
 }
 
-/** Judge what was seen since the last pass. */
-static void judge(hs_start_pace *pace, double spare) {
-    double tried = 1 - pace->held_back;
-    if (pace->bad > pace->good) {
-        tried = fmax(tried / 2, TRIED_SHARE_LEAST);
-        pace->spare = spare;
-    } else if (pace->good > 0) {
-        tried = tried * GROWTH;
+/** Adapts the share of the capacity that is used to the results since the last pass. */
+static void update_share(hs_start_pace *throttle, double free_slots) {
+    double share = 1 - throttle->held_back;
+    if (throttle->failed > throttle->succeeded) {
+        share = fmax(share / 2, MIN_STARTED_SHARE);
+        throttle->failure_free_slots = free_slots;
+    } else if (throttle->succeeded > 0) {
+        share = share * GROWTH_FACTOR;
     }
-    pace->held_back = 1 - fmin(tried, 1);
-    pace->good = 0;
-    pace->bad = 0;
+    throttle->held_back = 1 - fmin(share, 1);
+    throttle->succeeded = 0;
+    throttle->failed = 0;
 }
 
-uint32_t hs_start_pace_begin(hs_start_pace *pace, uint32_t room, double spare) {
-    judge(pace, spare);
-    if (pace->held_back > 0 && spare > pace->spare * MORE_ROOM + 1)
-        pace->held_back = 0;
-    if (pace->held_back <= 0 || room == 0) {
-        pace->owed = 0;
-        return room;
+uint32_t hs_start_pace_begin(hs_start_pace *throttle, uint32_t capacity, double free_slots) {
+    update_share(throttle, free_slots);
+    if (throttle->held_back > 0 &&
+        free_slots > throttle->failure_free_slots * MORE_CAPACITY_FACTOR + 1)
+        throttle->held_back = 0;
+    if (throttle->held_back <= 0 || capacity == 0) {
+        throttle->fractional_starts = 0;
+        return capacity;
     }
-    double tried = fmax(room * (1 - pace->held_back), TRIED_LEAST);
-    pace->owed = fmin(pace->owed, 1) + tried;
-    uint32_t allowed = MIN((uint32_t)pace->owed, room);
-    pace->owed -= allowed;
+    double starts = fmax(capacity * (1 - throttle->held_back), MIN_STARTS_PER_PASS);
+    throttle->fractional_starts = fmin(throttle->fractional_starts, 1) + starts;
+    uint32_t allowed = MIN((uint32_t)throttle->fractional_starts, capacity);
+    throttle->fractional_starts -= allowed;
     return allowed;
 }
--- a/src/jobs/start_throttle.h
+++ b/src/jobs/start_throttle.h
@@ -1,36 +1,36 @@
 /**
- * @file start_pace.h
- * How many of the items for which a daemon believes to have room it starts in one pass. Pure.
+ * @file start_throttle.h
+ * Limits how many of the items for which a daemon estimates free capacity it starts in one pass.
  *
- * For times when online demand fills the engines. What is believed of them is some hundred ms old,
- * and room of all together is not room at each: engines' arbiters send back what starts, or cut it
- * soon, again in each pass of each owner. Where more starts come to nothing than do well, the next
- * pass tries half as much of the room, down to a start in several passes; where more do well, four
- * times as much. When clearly more room is believed than was at the last failure, all of it is
- * tried.
+ * Estimates lag behind by some hundred ms, and free slots of a service are not free on each engine.
+ * While online demand fills the engines, arbiters would reject the started items, or preempt them
+ * soon, in each pass of each owner. If more starts fail than succeed, the share of the capacity
+ * that is used is halved, down to one start in several passes; if more succeed, it is multiplied by
+ * four. If the estimated free slots clearly exceed those at the last failure, all of them are used.
+ * Pure functions; the caller synchronises access.
  */
-#ifndef HS_JOBS_START_PACE_H
-#define HS_JOBS_START_PACE_H
+#ifndef HS_JOBS_START_THROTTLE_H
+#define HS_JOBS_START_THROTTLE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What became of the starts of late; zero-initialise. */
+/** State of one throttle; zero-initialise. */
 typedef struct {
-    double held_back; /**< Share of the room that is left untried: 0 to below 1. */
-    double owed;      /**< Parts of a start that earlier passes left over. */
-    double spare;     /**< Free slots that were believed when starts came to nothing last. */
-    uint32_t good;    /**< Starts that were seen to do well since the last pass, */
-    uint32_t bad;     /**< and that were seen to come to nothing. */
+    double held_back;          /**< Share of the capacity that is not used: 0 to below 1. */
+    double fractional_starts;  /**< Fraction of a start carried over from earlier passes. */
+    double failure_free_slots; /**< Estimated free slots of the service at the last failure. */
+    uint32_t succeeded;        /**< Starts that succeeded since the last pass. */
+    uint32_t failed;           /**< Starts that failed since the last pass. */
 } hs_start_pace;
 
-/** It was seen what became of a start: it came to nothing, or did well. */
-void hs_start_pace_note(hs_start_pace *pace, bool did_well);
+/** Records the result of a start. */
+void hs_start_throttle_record(hs_start_pace *throttle, bool has_succeeded);
 
 /**
- * Begin a pass with room for @p room items by @p spare free slots of all: how many of them may
- * start. All of them where no start came to nothing of late.
+ * Begins a pass. Returns how many of @p capacity items may start, given @p free_slots estimated
+ * for the service; all of them unless starts have failed recently.
  */
-uint32_t hs_start_pace_begin(hs_start_pace *pace, uint32_t room, double spare);
+uint32_t hs_start_pace_begin(hs_start_pace *throttle, uint32_t capacity, double free_slots);
 
 #endif
--- a/src/jobs/tenant_allocation.h
+++ b/src/jobs/tenant_allocation.h
@@ -1,31 +1,36 @@
 /**
- * @file tenant_deal.h
- * Whose item is left out when not all can end in time: max-min fair by slot time. Pure.
+ * @file tenant_allocation.h
+ * Allocates slot time among tenant groups: max-min fair exclusion of items if not all of them can
+ * meet their deadlines.
  *
- * For the case that one tenant submits a heap of jobs, several times all others' together. Each
- * item that does not fit costs the claimant that has most work taken its biggest one, so that
- * whoever has less than an equal part loses nothing, and the heap keeps all that the others leave.
- * With one claimant it is the rule of Moore and Hodgson as it stands; see item_choice.h.
+ * Each time the selected work does not fit, the longest item of the group with most selected work
+ * is excluded. A group with less than an equal share therefore loses nothing, and a burst of one
+ * tenant still receives the capacity that the others leave. With a single group this is the
+ * Moore-Hodgson algorithm; see item_choice.h. Not thread-safe.
  */
-#ifndef HS_JOBS_TENANT_DEAL_H
-#define HS_JOBS_TENANT_DEAL_H
+#ifndef HS_JOBS_TENANT_ALLOCATION_H
+#define HS_JOBS_TENANT_ALLOCATION_H
 
 #include <stddef.h>
 #include <stdint.h>
 
-/** Items taken so far, by claimant: a tenant, or all jobs without one. */
-typedef struct hs_tenant_deal hs_tenant_deal;
+/** Selected items by tenant group: one group for each tenant, and one for jobs without a tenant. */
+typedef struct hs_tenant_allocation hs_tenant_allocation;
 
-hs_tenant_deal *hs_tenant_deal_new(void);
-void hs_tenant_deal_free(hs_tenant_deal *deal);
+hs_tenant_allocation *hs_tenant_allocation_new(void);
+void hs_tenant_allocation_free(hs_tenant_allocation *allocation);
 
-/** Take an item of @p claimant, a small number, that needs a slot for @p work_ms. */
-void hs_tenant_deal_take(hs_tenant_deal *deal, uint32_t claimant, size_t item, uint64_t work_ms);
+/** Adds an item that needs a slot for @p work_ms to @p group, a small index. */
+void hs_tenant_allocation_add(hs_tenant_allocation *allocation, uint32_t group, size_t item,
+                              uint64_t work_ms);
 
-/** Leave one item out: returns it. Some item must be taken. */
-size_t hs_tenant_deal_leave_out(hs_tenant_deal *deal);
+/**
+ * Removes the longest item of the group with most work and returns its number. At least one item
+ * must be selected.
+ */
+size_t hs_tenant_allocation_exclude_item(hs_tenant_allocation *allocation);
 
-/** Work of all items that are taken, in ms of a slot. */
-uint64_t hs_tenant_deal_work_ms(const hs_tenant_deal *deal);
+/** Returns the work of all selected items in slot milliseconds. */
+uint64_t hs_tenant_allocation_work_ms(const hs_tenant_allocation *allocation);
 
 #endif
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -1,4 +1,4 @@
-/** @file test_quota.c  The limit of a route's unfinished tokens, over several daemons. */
+/** @file test_quota.c  Tests the limit on a route's unfinished tokens across several daemons. */
 #include "base/clock.h"
 #include "jobs/job_quota.h"
 #include "jobs/quota_fold.h"
@@ -9,7 +9,7 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-#define PARTS 4
+#define PARTITION_COUNT 4
 #define LIMIT 1000
 #define JOB_TOKENS 90
 
@@ -39,8 +39,8 @@
     CU_ASSERT_TRUE(hs_quota_fold_apply(fold, hs_quota_fold_next(fold), bytes, length, 1));
 }
 
-/** Only what stands before counts, each job once, and nothing that was released. */
-static void reservations_count_in_the_logs_order(void) {
+/** Only earlier reservations count, each job once, and released ones do not. */
+static void reservations_count_in_log_order(void) {
     hs_quota_fold *fold = hs_quota_fold_new();
     apply_reservation(fold, "a", 1, 100);
     apply_reservation(fold, "b", 2, 200);
@@ -52,13 +52,13 @@
     CU_ASSERT_EQUAL(hs_quota_fold_reserved(fold, "other", "c", 9), 0);
     apply_release(fold, 2);
     CU_ASSERT_EQUAL(hs_quota_fold_reserved(fold, "r", "x", 9), 500);
-    apply_release(fold, 1); /* The job's second submission still holds. */
+    apply_release(fold, 1); /* The job's second reservation still counts. */
     CU_ASSERT_EQUAL(hs_quota_fold_reserved(fold, "r", "x", 9), 500);
     hs_quota_fold_free(fold);
 }
 
-/** A reservation whose answer was lost may reach the log after its release. */
-static void a_late_copy_of_a_released_reservation_is_void(void) {
+/** A retried append may store a reservation after its release. */
+static void a_late_copy_of_a_released_reservation_is_ignored(void) {
     hs_quota_fold *fold = hs_quota_fold_new();
     apply_release(fold, 7);
     apply_reservation(fold, "a", 7, 100);
@@ -69,7 +69,7 @@
     hs_quota_fold_free(fold);
 }
 
-/** One daemon's view: its own client, partitions and quota over the shared store. */
+/** A daemon: client, partitions and quota on the shared store. */
 typedef struct {
     hs_store_client *client;
     GPtrArray *partitions;
@@ -84,11 +84,11 @@
     started->client = hs_store_client_new(INADDR_LOOPBACK, log_store_port(store));
     started->partitions = g_ptr_array_new_with_free_func(free_partition);
     hs_job_store_settings settings = {.store = started->client,
-                                      .part_count = PARTS,
+                                      .part_count = PARTITION_COUNT,
                                       .record_bytes = 4096,
                                       .call_bytes = 65536,
                                       .status_ms = 60000};
-    for (uint32_t part = 0; part < PARTS; part++)
+    for (uint32_t part = 0; part < PARTITION_COUNT; part++)
         g_ptr_array_add(started->partitions, hs_job_partition_new(&settings, part));
     started->quota = hs_job_quota_new(started->client);
 }
@@ -109,21 +109,22 @@
     return hs_platform_read_config(text, strlen(text), &error);
 }
 
-static hs_quota_verdict claim(test_daemon *daemon, const hs_fleet_config *config, const char *job,
-                              hs_quota_account *account) {
-    hs_quota_claim asked = {.job_id = job,
-                            .partition = hs_job_partition_of(job, PARTS),
-                            .tokens = JOB_TOKENS,
-                            .config = config,
-                            .route = config->routes->pdata[0],
-                            .tenant = "",
-                            .deadline = hs_clock_monotonic_ms() + 3000};
-    return hs_job_quota_claim(daemon->quota, &asked, account);
+static hs_quota_verdict reserve(test_daemon *daemon, const hs_fleet_config *config, const char *job,
+                                hs_quota_account *decision) {
+    hs_quota_claim request = {.job_id = job,
+                              .partition = hs_job_partition_of(job, PARTITION_COUNT),
+                              .tokens = JOB_TOKENS,
+                              .config = config,
+                              .route = config->routes->pdata[0],
+                              .tenant = "",
+                              .deadline = hs_clock_monotonic_ms() + 3000};
+    return hs_job_quota_claim(daemon->quota, &request, decision);
 }
 
 /** Append a record to the partition of @p job. */
 static void append_record(test_daemon *daemon, const char *job, const Hs__JobRecord *record) {
-    hs_job_partition *partition = daemon->partitions->pdata[hs_job_partition_of(job, PARTS)];
+    hs_job_partition *partition =
+        daemon->partitions->pdata[hs_job_partition_of(job, PARTITION_COUNT)];
     CU_ASSERT_EQUAL(hs_job_partition_append(partition, record, hs_clock_monotonic_ms() + 1000),
                     HS_STORE_DONE);
 }
@@ -155,32 +156,32 @@
     append_record(daemon, job, &record);
 }
 
-/** As the owner of all partitions: read them and tell what is open. */
-static void tell_levels(test_daemon *daemon, const hs_fleet_config *config) {
+/** Reads all partitions and reports their levels, as their owner does. */
+static void report_levels(test_daemon *daemon, const hs_fleet_config *config) {
     for (guint part = 0; part < daemon->partitions->len; part++) {
         hs_job_partition *partition = daemon->partitions->pdata[part];
-        hs_quota_told told = {0};
+        hs_quota_told reported = {0};
         hs_deadline deadline = hs_clock_monotonic_ms() + 1000;
         CU_ASSERT_TRUE(hs_job_partition_catch_up(partition, deadline));
-        hs_job_quota_tell(daemon->quota, partition, config, &told, deadline);
-        CU_ASSERT(told.told_ms != 0);
+        hs_job_quota_tell(daemon->quota, partition, config, &reported, deadline);
+        CU_ASSERT(reported.reported_ms != 0);
     }
 }
 
-/** A thread that submits jobs at one daemon. */
+/** A thread that submits jobs to one daemon. */
 typedef struct {
     test_daemon *daemon;
     const hs_fleet_config *config;
     int number;
-    int taken;
+    int accepted;
 } submitter;
 
-#define JOBS_EACH 8
-#define RELEASES_LIMIT_MS 5000
+#define JOBS_PER_SUBMITTER 8
+#define RELEASES_TIMEOUT_MS 5000
 
-/** Releases go to the log beside; wait until @p count are there. */
+/** Waits until the background thread has stored @p count releases. */
 static void wait_for_releases(test_daemon *daemon, uint64_t count) {
-    hs_deadline limit = hs_clock_monotonic_ms() + RELEASES_LIMIT_MS;
+    hs_deadline limit = hs_clock_monotonic_ms() + RELEASES_TIMEOUT_MS;
     while (hs_job_quota_counters(daemon->quota).released < count && hs_clock_monotonic_ms() < limit)
         hs_clock_sleep_ms(5);
     CU_ASSERT_EQUAL(hs_job_quota_counters(daemon->quota).released, count);
@@ -188,22 +189,22 @@
 
 static gpointer submit_jobs(gpointer data) {
     submitter *self = data;
-    for (int job = 0; job < JOBS_EACH; job++) {
+    for (int job = 0; job < JOBS_PER_SUBMITTER; job++) {
         g_autofree char *id = g_strdup_printf("job-%d-%d", self->number, job);
-        hs_quota_account account;
-        hs_quota_verdict verdict = claim(self->daemon, self->config, id, &account);
+        hs_quota_account decision;
+        hs_quota_verdict verdict = reserve(self->daemon, self->config, id, &decision);
         if (verdict == HS_QUOTA_FITS) {
             store_job(self->daemon, id);
-            self->taken++;
+            self->accepted++;
         } else {
-            hs_job_quota_release(self->daemon->quota, account.submission);
+            hs_job_quota_release(self->daemon->quota, decision.submission);
         }
     }
     return NULL;
 }
 
-/** Daemons that submit at once never take more than fits; restarted ones know what was taken. */
-static void daemons_together_keep_the_limit(void) {
+/** Concurrent submissions never exceed the limit, and a restarted daemon counts accepted jobs. */
+static void daemons_jointly_enforce_the_limit(void) {
     log_store *store = log_store_start(0);
     hs_fleet_config *config = config_of(1, LIMIT);
     test_daemon daemons[3];
@@ -215,78 +216,83 @@
     }
     for (int index = 0; index < 3; index++)
         threads[index] = g_thread_new("submit", submit_jobs, &submitters[index]);
-    int taken = 0;
+    int accepted = 0;
     for (int index = 0; index < 3; index++) {
         g_thread_join(threads[index]);
-        taken += submitters[index].taken;
-        wait_for_releases(&daemons[index], JOBS_EACH - (uint64_t)submitters[index].taken);
+        accepted += submitters[index].accepted;
+        wait_for_releases(&daemons[index],
+                          JOBS_PER_SUBMITTER - (uint64_t)submitters[index].accepted);
         stop_daemon(&daemons[index]);
     }
-    CU_ASSERT(taken * JOB_TOKENS <= LIMIT);
-    CU_ASSERT(taken > 0);
+    CU_ASSERT(accepted * JOB_TOKENS <= LIMIT);
+    CU_ASSERT(accepted > 0);
     test_daemon restarted;
     start_daemon(&restarted, store);
-    hs_quota_account account;
+    hs_quota_account decision;
     bool fits = true;
     while (fits) {
-        g_autofree char *id = g_strdup_printf("more-%d", taken);
-        fits = claim(&restarted, config, id, &account) == HS_QUOTA_FITS;
+        g_autofree char *id = g_strdup_printf("more-%d", accepted);
+        fits = reserve(&restarted, config, id, &decision) == HS_QUOTA_FITS;
         if (fits)
             store_job(&restarted, id);
-        taken += fits;
+        accepted += fits;
     }
-    CU_ASSERT_EQUAL(taken, LIMIT / JOB_TOKENS); /* Released room can be taken again. */
-    tell_levels(&restarted, config); /* What owners tell takes the place of reservations. */
-    CU_ASSERT_EQUAL(claim(&restarted, config, "last", &account), HS_QUOTA_FULL);
-    CU_ASSERT_EQUAL(account.unfinished, (uint64_t)taken * JOB_TOKENS);
-    CU_ASSERT_EQUAL(account.reserved, JOB_TOKENS); /* The refused one before, not released here. */
+    /* Released tokens are available again. */
+    CU_ASSERT_EQUAL(accepted, LIMIT / JOB_TOKENS);
+    /* Levels replace reservations. */
+    report_levels(&restarted, config);
+    CU_ASSERT_EQUAL(reserve(&restarted, config, "last", &decision), HS_QUOTA_FULL);
+    CU_ASSERT_EQUAL(decision.unfinished, (uint64_t)accepted * JOB_TOKENS);
+    /* The reservation of the job refused above, which is not released. */
+    CU_ASSERT_EQUAL(decision.reserved, JOB_TOKENS);
     stop_daemon(&restarted);
     hs_fleet_config_unref(config);
     log_store_stop(store);
 }
 
-/** A lowered limit holds at once; ended jobs make room. */
-static void a_lowered_limit_holds_until_jobs_end(void) {
+/** A lowered limit applies at once; ended jobs free capacity. */
+static void a_lowered_limit_applies_until_jobs_end(void) {
     log_store *store = log_store_start(0);
     hs_fleet_config *wide = config_of(1, LIMIT);
     hs_fleet_config *narrow = config_of(2, JOB_TOKENS + 1);
     test_daemon daemon;
     start_daemon(&daemon, store);
-    hs_quota_account account;
+    hs_quota_account decision;
     static const char *const jobs[] = {"a", "b"};
     for (int index = 0; index < 2; index++) {
-        CU_ASSERT_EQUAL(claim(&daemon, wide, jobs[index], &account), HS_QUOTA_FITS);
+        CU_ASSERT_EQUAL(reserve(&daemon, wide, jobs[index], &decision), HS_QUOTA_FITS);
         store_job(&daemon, jobs[index]);
     }
-    CU_ASSERT_EQUAL(claim(&daemon, narrow, "c", &account), HS_QUOTA_FULL);
-    hs_job_quota_release(daemon.quota, account.submission);
-    tell_levels(&daemon, narrow);
+    CU_ASSERT_EQUAL(reserve(&daemon, narrow, "c", &decision), HS_QUOTA_FULL);
+    hs_job_quota_release(daemon.quota, decision.submission);
+    report_levels(&daemon, narrow);
     end_job(&daemon, "a");
     end_job(&daemon, "b");
-    CU_ASSERT_EQUAL(claim(&daemon, narrow, "d", &account), HS_QUOTA_FULL); /* Not told yet. */
-    hs_job_quota_release(daemon.quota, account.submission);
+    /* The end of the jobs is not reported yet. */
+    CU_ASSERT_EQUAL(reserve(&daemon, narrow, "d", &decision), HS_QUOTA_FULL);
+    hs_job_quota_release(daemon.quota, decision.submission);
     wait_for_releases(&daemon, 2);
-    tell_levels(&daemon, narrow);
-    CU_ASSERT_EQUAL(claim(&daemon, narrow, "e", &account), HS_QUOTA_FITS);
+    report_levels(&daemon, narrow);
+    CU_ASSERT_EQUAL(reserve(&daemon, narrow, "e", &decision), HS_QUOTA_FITS);
     stop_daemon(&daemon);
     hs_fleet_config_unref(wide);
     hs_fleet_config_unref(narrow);
     log_store_stop(store);
 }
 
-/** Where the store does not take or tell reservations, nothing is taken and nothing called full. */
-static void an_unread_store_gives_no_verdict(void) {
+/** If reservations cannot be stored or read, jobs are neither accepted nor refused as full. */
+static void an_unavailable_store_gives_no_verdict(void) {
     log_store *store = log_store_start(0);
     hs_fleet_config *config = config_of(1, LIMIT);
     test_daemon daemon;
     start_daemon(&daemon, store);
-    hs_quota_account account;
+    hs_quota_account decision;
     log_store_set_mode(store, LOG_STORE_REFUSES, "/log-read?topic=quota", 100000);
-    CU_ASSERT_EQUAL(claim(&daemon, config, "a", &account), HS_QUOTA_UNKNOWN);
+    CU_ASSERT_EQUAL(reserve(&daemon, config, "a", &decision), HS_QUOTA_UNKNOWN);
     log_store_set_mode(store, LOG_STORE_REFUSES, "/log-append?topic=quota", 100000);
-    CU_ASSERT_EQUAL(claim(&daemon, config, "b", &account), HS_QUOTA_UNKNOWN);
+    CU_ASSERT_EQUAL(reserve(&daemon, config, "b", &decision), HS_QUOTA_UNKNOWN);
     log_store_set_mode(store, LOG_STORE_SOUND, NULL, 1);
-    CU_ASSERT_EQUAL(claim(&daemon, config, "c", &account), HS_QUOTA_FITS);
+    CU_ASSERT_EQUAL(reserve(&daemon, config, "c", &decision), HS_QUOTA_FITS);
     stop_daemon(&daemon);
     hs_fleet_config_unref(config);
     log_store_stop(store);
@@ -312,8 +318,8 @@
     CU_ASSERT_TRUE(hs_quota_fold_apply(fold, hs_quota_fold_next(fold), bytes, length, now_ms));
 }
 
-/** What levels no longer have was finished; it fades, and a level that grew shows nothing. */
-static void what_was_finished_of_late_is_known(void) {
+/** Tokens that a level no longer includes are drained, with decay; a growing level drains none. */
+static void drains_show_recently_finished_tokens(void) {
     hs_quota_fold *fold = hs_quota_fold_new();
     CU_ASSERT_EQUAL(hs_quota_fold_drain(fold, "r", 5).observed_ms, 0);
     apply_level(fold, 1, "a", 1000);
@@ -327,21 +333,20 @@
     hs_quota_fold_free(fold);
 }
 
-/** A level settles its jobs' reservations; a stale one counts for nothing; the dead are forgotten.
- */
-static void levels_take_the_place_of_reservations(void) {
+/** A level settles the reservations of its jobs; stale levels are ignored; reservations expire. */
+static void levels_replace_reservations(void) {
     hs_quota_fold *fold = hs_quota_fold_new();
     apply_reservation(fold, "a", 1, 100);
     apply_reservation(fold, "b", 2, 200);
     apply_level(fold, 5, "a", 10);
     CU_ASSERT_EQUAL(hs_quota_fold_unfinished(fold, "r"), 70);
     CU_ASSERT_EQUAL(hs_quota_fold_reserved(fold, "r", "x", 9), 200);
-    apply_level(fold, 4, NULL, 20); /* Of an owner that was paused. */
+    apply_level(fold, 4, NULL, 20); /* From an outdated owner that was paused. */
     CU_ASSERT_EQUAL(hs_quota_fold_unfinished(fold, "r"), 70);
     apply_level(fold, 6, NULL, 30);
     CU_ASSERT_EQUAL(hs_quota_fold_unfinished(fold, "r"), 0);
     CU_ASSERT_EQUAL(hs_quota_fold_reserved(fold, "r", "x", 9), 200);
-    apply_level(fold, 7, NULL, 11000); /* The job may still be on its way. */
+    apply_level(fold, 7, NULL, 11000); /* The job may still be stored. */
     CU_ASSERT_EQUAL(hs_quota_fold_reserved(fold, "r", "x", 9), 200);
     apply_level(fold, 8, NULL, 13000);
     CU_ASSERT_EQUAL(hs_quota_fold_reserved(fold, "r", "x", 9), 0);
@@ -349,13 +354,13 @@
 }
 
 const test_case quota_tests[] = {
-    {"reservations_count_in_the_logs_order", reservations_count_in_the_logs_order},
-    {"a_late_copy_of_a_released_reservation_is_void",
-     a_late_copy_of_a_released_reservation_is_void},
-    {"daemons_together_keep_the_limit", daemons_together_keep_the_limit},
-    {"a_lowered_limit_holds_until_jobs_end", a_lowered_limit_holds_until_jobs_end},
-    {"an_unread_store_gives_no_verdict", an_unread_store_gives_no_verdict},
-    {"what_was_finished_of_late_is_known", what_was_finished_of_late_is_known},
-    {"levels_take_the_place_of_reservations", levels_take_the_place_of_reservations},
+    {"reservations_count_in_log_order", reservations_count_in_log_order},
+    {"a_late_copy_of_a_released_reservation_is_ignored",
+     a_late_copy_of_a_released_reservation_is_ignored},
+    {"daemons_jointly_enforce_the_limit", daemons_jointly_enforce_the_limit},
+    {"a_lowered_limit_applies_until_jobs_end", a_lowered_limit_applies_until_jobs_end},
+    {"an_unavailable_store_gives_no_verdict", an_unavailable_store_gives_no_verdict},
+    {"drains_show_recently_finished_tokens", drains_show_recently_finished_tokens},
+    {"levels_replace_reservations", levels_replace_reservations},
     {NULL, NULL},
 };
