--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -61,8 +61,9 @@
 GString *hs_item_run_text(const hs_item_run *run);
 
 /**
- * Returns the progress to store if the store has the events up to @p known_event: the events that
- * follow if these are known, otherwise all. The caller frees the text.
+ * Returns the progress to store, given the last event that the store has: the output after
+ * @p known_event if it is the event passed on last, otherwise all output. The caller frees the
+ * text.
  */
 hs_job_progress hs_item_run_progress(hs_item_run *run, uint64_t known_event);
 
--- a/src/jobs/job_capacity.h
+++ b/src/jobs/job_capacity.h
@@ -16,8 +16,8 @@
 
 /**
  * Returns how many items this daemon, one of @p daemons, may start now: its share of the free slots
- * among the daemons that have items to start, at most one for each of @p partitions. At least 1 if
- * a slot is free.
+ * among the daemons assumed to have items to start, of which there are at most @p partitions. At
+ * least 1 if a slot is free.
  */
 uint32_t hs_job_room(const hs_service_room *capacity, uint32_t daemons, uint32_t partitions);
 
--- a/src/jobs/job_plan.c
+++ b/src/jobs/job_plan.c
@@ -35,7 +35,7 @@
 
 /**
  * Returns the slots available to this daemon's items: the slots that online requests leave free,
- * shared among daemons in proportion to their selected work.
+ * shared among daemons in proportion to the work of their items.
  */
 static double estimate_own_slots(hs_job_owner *owner, const char *service, uint64_t own_work_ms) {
     hs_service_room capacity = hs_fleet_engines_room(owner->settings.engines, service);
@@ -57,7 +57,7 @@
 #define NO_TENANT ""
 
 /** Assigns each item the index of its tenant's group. */
-static void number_claimants(const GArray *open, hs_choice_item *items) {
+static void assign_tenant_groups(const GArray *open, hs_choice_item *items) {
     g_autoptr(GHashTable) group_indexes = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint index = 0; index < open->len; index++) {
         const hs_item_run *run = g_array_index(open, hs_open_item, index).item->run;
@@ -97,7 +97,7 @@
         items[index].left_ms = entry->left_ms;
         items[index].remaining_ms = entry->remaining_ms;
     }
-    number_claimants(open, items);
+    assign_tenant_groups(open, items);
     uint64_t work_ms = 0;
     double slots = 0;
     if (open->len > 0) {
