--- a/tests/unit/test_forecast.c
+++ b/tests/unit/test_forecast.c
@@ -290,8 +290,7 @@
             simulation_result *result = &results[index][policy];
             *result = run_simulation(&simulations[index], policy);
             if (g_getenv("FORECAST_TABLE") != NULL)
-                printf("%-22s policy %d without wait %.3f preemptions/item %.2f in time %.3f idle "
-                       "%.3f\n",
+                printf("%-22s policy %d no wait %.3f preempted %.2f in time %.3f idle %.3f\n",
                        simulations[index].name, policy, share_without_wait(result),
                        preemptions_per_item(result), share_in_time(result),
                        result->idle / result->total_slots);
