--- a/src/jobs/item_choice.c
+++ b/src/jobs/item_choice.c
@@ -1,7 +1,7 @@
 /** @file item_choice.c  See item_choice.h. */
 #include "jobs/item_choice.h"
 
-#include "jobs/tenant_allocation.h"
+#include "jobs/tenant_deal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- a/src/jobs/item_choice.h
+++ b/src/jobs/item_choice.h
@@ -20,7 +20,7 @@
 typedef struct {
     int64_t left_ms;       /**< Time until the item's deadline; negative if it has passed. */
     uint64_t remaining_ms; /**< Expected time for which the item still needs a slot. */
-    uint32_t tenant_group; /**< Dense index of the item's group; see tenant_allocation.h. */
+    uint32_t tenant_group; /**< Dense index of the item's group; see tenant_deal.h. */
     bool is_allocated;     /**< Result: groups compete, and not all of their work fits. */
     bool is_excluded;      /**< Result: the item is not selected to end in time. */
 } hs_choice_item;
--- a/src/jobs/job_capacity.c
+++ b/src/jobs/job_room.c
@@ -1,5 +1,5 @@
-/** @file job_capacity.c  See job_capacity.h. */
-#include "jobs/job_capacity.h"
+/** @file job_room.c  See job_room.h. */
+#include "jobs/job_room.h"
 
 /**
  * Share of the daemons assumed to have items to start at a time. If they start more items than
--- a/src/jobs/job_capacity.h
+++ b/src/jobs/job_room.h
@@ -1,10 +1,10 @@
 /**
- * @file job_capacity.h
+ * @file job_room.h
  * Computes how many batch items may start now from the free slots. Online requests that arrive
  * later obtain slots by preempting items (directory/slot_arbiter.h). Pure functions.
  */
-#ifndef HS_JOBS_JOB_CAPACITY_H
-#define HS_JOBS_JOB_CAPACITY_H
+#ifndef HS_JOBS_JOB_ROOM_H
+#define HS_JOBS_JOB_ROOM_H
 
 #include "fleet/fleet_engines.h"
 
--- a/src/jobs/job_starts.c
+++ b/src/jobs/job_starts.c
@@ -3,7 +3,7 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "jobs/job_capacity.h"
+#include "jobs/job_room.h"
 
 /** Minimum interval between log lines about a failed forecast of one service. */
 #define FORECAST_LOG_INTERVAL_MS 1000
--- a/src/jobs/start_throttle.c
+++ b/src/jobs/start_pace.c
@@ -1,5 +1,5 @@
-/** @file start_throttle.c  See start_throttle.h. */
-#include "jobs/start_throttle.h"
+/** @file start_pace.c  See start_pace.h. */
+#include "jobs/start_pace.h"
 
 #include <glib.h>
 #include <math.h>
--- a/src/jobs/start_throttle.h
+++ b/src/jobs/start_pace.h
@@ -1,5 +1,5 @@
 /**
- * @file start_throttle.h
+ * @file start_pace.h
  * Limits how many of the items for which a daemon estimates free capacity it starts in one pass.
  *
  * Estimates lag behind by some hundred ms, and free slots of a service are not free on each engine.
@@ -9,8 +9,8 @@
  * four. If the estimated free slots clearly exceed those at the last failure, all of them are used.
  * Pure functions; the caller synchronises access.
  */
-#ifndef HS_JOBS_START_THROTTLE_H
-#define HS_JOBS_START_THROTTLE_H
+#ifndef HS_JOBS_START_PACE_H
+#define HS_JOBS_START_PACE_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/jobs/tenant_allocation.c
+++ b/src/jobs/tenant_deal.c
@@ -1,5 +1,5 @@
-/** @file tenant_allocation.c  See tenant_allocation.h. */
-#include "jobs/tenant_allocation.h"
+/** @file tenant_deal.c  See tenant_deal.h. */
+#include "jobs/tenant_deal.h"
 
 #include <glib.h>
 #include <stdbool.h>
--- a/src/jobs/tenant_allocation.h
+++ b/src/jobs/tenant_deal.h
@@ -1,5 +1,5 @@
 /**
- * @file tenant_allocation.h
+ * @file tenant_deal.h
  * Allocates slot time among tenant groups: max-min fair exclusion of items if not all of them can
  * meet their deadlines.
  *
@@ -8,8 +8,8 @@
  * tenant still receives the capacity that the others leave. With a single group this is the
  * Moore-Hodgson algorithm; see item_choice.h. Not thread-safe.
  */
-#ifndef HS_JOBS_TENANT_ALLOCATION_H
-#define HS_JOBS_TENANT_ALLOCATION_H
+#ifndef HS_JOBS_TENANT_DEAL_H
+#define HS_JOBS_TENANT_DEAL_H
 
 #include <stddef.h>
 #include <stdint.h>
--- a/tests/unit/test_forecast.c
+++ b/tests/unit/test_forecast.c
@@ -4,7 +4,7 @@
  */
 #include "jobs/demand_forecast.h"
 #include "jobs/item_choice.h"
-#include "jobs/job_capacity.h"
+#include "jobs/job_room.h"
 #include "tests/unit/unit_tests.h"
 
 #include <glib.h>
--- a/tests/unit/test_item_plan.c
+++ b/tests/unit/test_item_plan.c
@@ -1,8 +1,8 @@
 /** @file test_item_plan.c  Tests which batch items start, and the estimates of their run times. */
 #include "jobs/item_choice.h"
 #include "jobs/item_estimate.h"
-#include "jobs/job_capacity.h"
-#include "jobs/start_throttle.h"
+#include "jobs/job_room.h"
+#include "jobs/start_pace.h"
 #include "tests/unit/unit_tests.h"
 
 /** A daemon uses its share of the whole free slots among a third of all daemons. */
