--- a/src/jobs/job_owner.c
+++ b/src/jobs/job_owner.c
@@ -56,12 +56,12 @@
 }
 
 /** Tell what of the partition counts towards its routes' limits. */
-static void tell_level(hs_owned_partition_state *home, hs_quota_told *told) {
+static void tell_level(hs_owned_partition_state *home, hs_quota_reported *told) {
     hs_job_owner *owner = home->owner;
     hs_fleet_config *config = hs_config_source_get(owner->settings.config);
     if (config != NULL)
-        hs_job_quota_tell(hs_job_service_quota(owner->settings.jobs), home->partition, config, told,
-                          hs_clock_monotonic_ms() + LEVEL_LIMIT_MS);
+        hs_job_quota_report(hs_job_service_quota(owner->settings.jobs), home->partition, config,
+                            told, hs_clock_monotonic_ms() + LEVEL_LIMIT_MS);
     hs_fleet_config_unref(config);
 }
 
@@ -70,7 +70,7 @@
     hs_owned_partition_state *home = data;
     hs_job_owner *owner = home->owner;
     uint64_t next_trim_ms = hs_clock_monotonic_ms() + TRIM_INTERVAL_MS;
-    hs_quota_told told = {0};
+    hs_quota_reported told = {0};
     uint32_t taken_count = 0;
     g_mutex_lock(&owner->lock);
     while (home->owned && !owner->stopping) {
@@ -90,7 +90,7 @@
         }
         g_mutex_lock(&owner->lock);
         if (taken_count != home->taken_count) /* Another owner may have told in between. */
-            told = (hs_quota_told){0};
+            told = (hs_quota_reported){0};
         taken_count = home->taken_count;
         g_cond_broadcast(&owner->changed);
     }
--- a/src/jobs/job_owner_state.h
+++ b/src/jobs/job_owner_state.h
@@ -60,8 +60,8 @@
     hs_demand_forecast demand;
     hs_demand_outlook outlook; /**< As of the latest pass. */
     double expected_online;    /**< Slots that online requests are expected to hold soon. */
-    hs_start_pace sends;       /**< Of all starts: do they reach an engine. */
-    hs_start_pace pieces;      /**< Of those that are not pressing: do they run for long. */
+    hs_start_throttle sends;   /**< Of all starts: do they reach an engine. */
+    hs_start_throttle pieces;  /**< Of those that are not pressing: do they run for long. */
     uint64_t failed_logged_ms; /**< When it was last said that the forecast failed. */
 } hs_service_starts;
 
@@ -94,7 +94,7 @@
     uint32_t max_attempts;
     int32_t rank_ms;     /**< See hs_engine_query. */
     const char *service; /**< Interned; NULL: no route any more. */
-    bool gives_up;       /**< Its time is over: list it as dead. */
+    bool is_expired;     /**< Its time is over: list it as dead. */
     bool hands_over;     /**< Only store what there is of it, for the next owner. */
 } hs_item_order;
 
--- a/src/jobs/job_scheduler.c
+++ b/src/jobs/job_scheduler.c
@@ -69,12 +69,12 @@
             .left_ms = (int64_t)(job->submitted_ms + job->due_ms) - (int64_t)wall_ms,
             .remaining_ms = remaining_ms(home, item, now_ms),
             .may_start = is_waiting && item->next_try_ms <= now_ms,
-            .gives_up = is_waiting && is_time_over(job, item, wall_ms, now_ms),
+            .is_expired = is_waiting && is_time_over(job, item, wall_ms, now_ms),
             .max_attempts = route != NULL ? route->max_attempts : DEFAULT_MAX_ATTEMPTS,
             .service = route != NULL ? g_intern_string(
                                            g_array_index(route->shares, hs_route_share, 0).service)
                                      : NULL};
-        if (item->stage != HS_ITEM_STORED && (route != NULL || entry.gives_up))
+        if (item->stage != HS_ITEM_STORED && (route != NULL || entry.is_expired))
             g_array_append_val(open, entry);
     }
 }
@@ -114,7 +114,7 @@
                 " expected_online=%.1f pressing=%d sends_share=%.2f pieces_share=%.2f",
                 run->job_id, run->item_id, open->item->tries, (guint64)run->events.last_id,
                 (gint64)open->left_ms, (guint64)open->remaining_ms, open->rank_ms, count,
-                room->slots, room->online, room->batch, starts->expected_online, open->is_pressing,
+                room->slots, room->online, room->batch, starts->expected_online, open->is_urgent,
                 1 - starts->sends.held_back, 1 - starts->pieces.held_back);
 }
 
@@ -125,7 +125,7 @@
     order->max_attempts = open->max_attempts;
     order->rank_ms = open->rank_ms;
     order->service = open->service;
-    order->gives_up = open->gives_up;
+    order->is_expired = open->is_expired;
     open->item->stage = HS_ITEM_RUNNING;
     open->item->started_ms = hs_clock_monotonic_ms();
     open->item->remaining_ms = open->remaining_ms;
@@ -159,12 +159,12 @@
     pass_count *count = g_hash_table_lookup(pass->counts, service);
     if (count != NULL)
         return count;
-    hs_service_starts *starts = hs_job_starts_of(owner, service);
-    uint32_t all = hs_job_room(room, pass->daemons, owner->partitions->len);
+    hs_service_starts *starts = hs_job_starts_for_service(owner, service);
+    uint32_t all = hs_job_capacity_now(room, pass->daemons, owner->partitions->len);
     double spare = room->slots - room->online - room->batch;
     count = g_new0(pass_count, 1);
-    count->most = hs_start_pace_begin(&starts->sends, all, spare);
-    count->most_waiting = hs_start_pace_begin(&starts->pieces, all, spare);
+    count->most = hs_start_throttle_begin_pass(&starts->sends, all, spare);
+    count->most_waiting = hs_start_throttle_begin_pass(&starts->pieces, all, spare);
     g_hash_table_insert(pass->counts, (gpointer)service, count);
     return count;
 }
@@ -172,11 +172,11 @@
 /** How many items may start with this one: fewer before a wave or in it, unless it is pressing. */
 static uint32_t most_of(hs_job_owner *owner, const hs_open_item *entry,
                         const hs_service_capacity *room, const pass_starts *pass) {
-    if (entry->is_pressing)
-        return hs_job_room(room, pass->daemons, owner->partitions->len);
+    if (entry->is_urgent)
+        return hs_job_capacity_now(room, pass->daemons, owner->partitions->len);
     const pass_count *count = count_of(owner, entry->service, room, pass);
-    double expected = hs_job_starts_of(owner, entry->service)->expected_online;
-    uint32_t left = hs_job_room_left(room, expected, pass->daemons, owner->partitions->len);
+    double expected = hs_job_starts_for_service(owner, entry->service)->expected_online;
+    uint32_t left = hs_job_capacity_expected(room, expected, pass->daemons, owner->partitions->len);
     return MIN(MIN(count->most, count->most_waiting), left);
 }
 
@@ -192,7 +192,7 @@
         return false;
     }
     count->started++;
-    log_start(entry, &room, hs_job_starts_of(owner, entry->service), open_count);
+    log_start(entry, &room, hs_job_starts_for_service(owner, entry->service), open_count);
     return true;
 }
 
@@ -216,11 +216,11 @@
                         .daemons = owner->settings.live_daemons(owner->settings.user_data)};
     for (guint index = 0; index < open->len && !owner->draining; index++) {
         const hs_open_item *entry = &g_array_index(open, hs_open_item, index);
-        if (!entry->may_start && !entry->gives_up)
+        if (!entry->may_start && !entry->is_expired)
             continue;
         if (owner->running >= HS_JOB_WORKERS_MAX)
             break;
-        if (entry->gives_up || take_room(owner, entry, &pass, open->len))
+        if (entry->is_expired || take_room(owner, entry, &pass, open->len))
             start_item(owner, entry);
     }
 }
--- a/src/jobs/job_submission.c
+++ b/src/jobs/job_submission.c
@@ -176,19 +176,19 @@
 /** Admit the job and store it; answers it. */
 static void take_job(hs_job_service *service, const submission *job,
                      const hs_fleet_config *config) {
-    hs_quota_claim claim = {.job_id = job->terms->request_id,
-                            .partition = hs_job_partition_number(job->partition),
-                            .tokens = tokens_of(job->items),
-                            .config = config,
-                            .route = job->route,
-                            .tenant = job->tenant,
-                            .deadline = job->refuse_at};
-    hs_quota_account account;
-    hs_quota_verdict verdict = hs_job_quota_claim(service->quota, &claim, &account);
+    hs_quota_request claim = {.job_id = job->terms->request_id,
+                              .partition = hs_job_partition_number(job->partition),
+                              .tokens = tokens_of(job->items),
+                              .config = config,
+                              .route = job->route,
+                              .tenant = job->tenant,
+                              .deadline = job->refuse_at};
+    hs_quota_decision account;
+    hs_quota_verdict verdict = hs_job_quota_reserve(service->quota, &claim, &account);
     uint32_t status = verdict == HS_QUOTA_FITS ? store_job(job) : held_back(job, verdict);
     const char *text = status == 202 ? "" : "the job was not taken by this answer\n";
     if (status == 429)
-        hs_job_refuse(job->inbound, status, text, account.room_ms);
+        hs_job_refuse(job->inbound, status, text, account.available_in_ms);
     else
         hs_job_reply_text(job->inbound, status, text);
     bool may_be_taken = status == 202 || status == 504;
--- a/src/jobs/job_worker.c
+++ b/src/jobs/job_worker.c
@@ -66,16 +66,18 @@
 }
 
 /** What a try means for the item. True: it is listed. */
-static bool settle_try(const hs_item_order *order, hs_item_try end) {
+static bool settle_try(const hs_item_order *order, hs_item_attempt_end end) {
     hs_owned_item *item = order->item;
-    if (end != HS_ITEM_TRY_NO_ROOM && end != HS_ITEM_TRY_DONE && end != HS_ITEM_TRY_HELD_BACK)
+    if (end != HS_ITEM_ATTEMPT_NO_CAPACITY && end != HS_ITEM_ATTEMPT_DONE &&
+        end != HS_ITEM_ATTEMPT_QUARANTINED)
         hs_log_info("item_try_ended", "job=%s item=%s engine=%s end=%s tries=%u events=%u",
                     item->run->job_id, item->run->item_id, item->run->engine_id,
-                    hs_item_try_name(end), item->tries, (unsigned)item->run->events.event_count);
-    item->failures += end == HS_ITEM_TRY_FAILED;
-    if (end == HS_ITEM_TRY_DONE)
+                    hs_item_attempt_end_name(end), item->tries,
+                    (unsigned)item->run->events.event_count);
+    item->failures += end == HS_ITEM_ATTEMPT_FAILED;
+    if (end == HS_ITEM_ATTEMPT_DONE)
         return conclude(order, HS_ITEM_COMPLETED);
-    if (end == HS_ITEM_TRY_IMPOSSIBLE || item->failures >= order->max_attempts)
+    if (end == HS_ITEM_ATTEMPT_IMPOSSIBLE || item->failures >= order->max_attempts)
         return conclude(order, HS_ITEM_DEAD);
     return false;
 }
@@ -118,41 +120,41 @@
     hs_owned_item *item = order->item;
     hs_fleet_config *config = hs_config_source_get(owner->settings.config);
     bool listed = false;
-    hs_item_try end = HS_ITEM_TRY_NO_ROUTE;
+    hs_item_attempt_end end = HS_ITEM_ATTEMPT_NO_ROUTE;
     if (order->hands_over) {
-        end = HS_ITEM_TRY_ABANDONED;
-    } else if (order->gives_up) {
+        end = HS_ITEM_ATTEMPT_ABANDONED;
+    } else if (order->is_expired) {
         listed = conclude(order, HS_ITEM_DEAD);
     } else if (config != NULL) {
-        hs_item_try_terms terms = {.partition = order->home->partition,
-                                   .engines = owner->settings.engines,
-                                   .config = config,
-                                   .rank_ms = order->rank_ms,
-                                   .checkpoint = hs_job_checkpoint_take,
-                                   .user_data = order};
-        end = hs_item_run_try(item->run, &terms);
+        hs_item_attempt_terms terms = {.partition = order->home->partition,
+                                       .engines = owner->settings.engines,
+                                       .config = config,
+                                       .rank_ms = order->rank_ms,
+                                       .checkpoint = hs_job_checkpoint_take,
+                                       .user_data = order};
+        end = hs_item_run_attempt(item->run, &terms);
         listed = settle_try(order, end);
     }
     hs_fleet_config_unref(config);
-    if (!listed && end != HS_ITEM_TRY_DONE && changes_owner(owner, order->home))
+    if (!listed && end != HS_ITEM_ATTEMPT_DONE && changes_owner(owner, order->home))
         hand_over(order);
     g_mutex_lock(&owner->lock);
-    if (end == HS_ITEM_TRY_DONE)
+    if (end == HS_ITEM_ATTEMPT_DONE)
         hs_item_pace_note(&owner->pace, item->run->tokens, item->run->events.last_id,
-                          item->run->try_events, item->run->try_ms);
+                          item->run->attempt_events, item->run->attempt_ms);
     hs_job_starts_note_end(owner, order, end);
     item->stage = listed ? HS_ITEM_STORED : HS_ITEM_WAITING;
-    item->tries += end != HS_ITEM_TRY_NO_ROOM && end != HS_ITEM_TRY_HELD_BACK;
+    item->tries += end != HS_ITEM_ATTEMPT_NO_CAPACITY && end != HS_ITEM_ATTEMPT_QUARANTINED;
     uint64_t pause_ms = backoff_ms(item->failures);
-    if (end == HS_ITEM_TRY_NO_ROOM)
+    if (end == HS_ITEM_ATTEMPT_NO_CAPACITY)
         pause_ms = HS_JOB_PASS_MS;
-    else if (end == HS_ITEM_TRY_YIELDED)
+    else if (end == HS_ITEM_ATTEMPT_PREEMPTED)
         pause_ms = YIELD_PAUSE_MS;
-    else if (end == HS_ITEM_TRY_HELD_BACK)
+    else if (end == HS_ITEM_ATTEMPT_QUARANTINED)
         pause_ms = HELD_BACK_PAUSE_MS;
     item->next_try_ms = hs_clock_monotonic_ms() + pause_ms;
     owner->running--;
-    if (!order->home->owned || end == HS_ITEM_TRY_ABANDONED) {
+    if (!order->home->owned || end == HS_ITEM_ATTEMPT_ABANDONED) {
         g_autofree char *key = g_strdup_printf("%s/%u", item->run->job_id, item->run->index);
         g_hash_table_remove(order->home->items, key);
     }
