--- a/src/tenants/tenant_use.c
+++ b/src/tenants/tenant_use.c
@@ -156,7 +156,7 @@
     return MIN(max_count, all->len);
 }
 
-static gboolean is_expired(gpointer daemon, gpointer report, gpointer now_ms) {
+static gboolean is_expired_report(gpointer daemon, gpointer report, gpointer now_ms) {
     (void)daemon;
     return *(const uint64_t *)now_ms > ((const last_report *)report)->at_ms + REPORT_EXPIRY_MS;
 }
@@ -164,7 +164,7 @@
 static gboolean is_idle(gpointer tenant, gpointer value, gpointer now_ms) {
     (void)tenant;
     tenant_account *account = value;
-    g_hash_table_foreach_remove(account->reports, is_expired, now_ms);
+    g_hash_table_foreach_remove(account->reports, is_expired_report, now_ms);
     return g_hash_table_size(account->reports) == 0;
 }
 
