--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -152,9 +152,9 @@
 static bool make_surface(hs_fleet_daemon *daemon, hs_error *error) {
     daemon->online.config = daemon->config;
     daemon->online.engines = daemon->engines;
-    daemon->online.keys_hold_ms = daemon->settings->fleet_strict_revoke != 0
-                                      ? (uint64_t)daemon->settings->fleet_revoke_ms
-                                      : 0;
+    daemon->online.max_key_age_ms = daemon->settings->fleet_strict_revoke != 0
+                                        ? (uint64_t)daemon->settings->fleet_revoke_ms
+                                        : 0;
     daemon->online.ages = hs_caller_ages_new();
     hs_memory_budget_set(hs_memory_budget_of_machine((uint32_t)daemon->settings->fleet_memory_mb));
     if (hs_memory_budget_get() > 0)
--- a/src/directory/tenant_limiter.c
+++ b/src/directory/tenant_limiter.c
@@ -61,7 +61,7 @@
     char id[64];
     uint32_t address;
     uint16_t port;
-    hs_limit_reach reach; /**< Of this daemon. */
+    hs_limit_reachability reach; /**< Of this daemon. */
     uint64_t view;
     uint32_t answering; /**< Other daemons that answer, */
     uint32_t older;     /**< and that started clearly before this one. */
@@ -136,7 +136,7 @@
         if (rank < best)
             continue;
         best = rank;
-        view.reach.is_home = is_self;
+        view.reach.is_limit_owner = is_self;
         view.address = member->address;
         view.port = member->peer_port;
         g_strlcpy(view.id, member->id, sizeof view.id);
@@ -147,8 +147,8 @@
     return view;
 }
 
-static bool is_home(const char *tenant, void *user_data) {
-    return look(user_data, tenant).reach.is_home;
+static bool is_limit_owner(const char *tenant, void *user_data) {
+    return look(user_data, tenant).reach.is_limit_owner;
 }
 
 static bool is_nobodys(const char *tenant, void *user_data) {
@@ -164,9 +164,9 @@
 static void forget_stale(hs_tenant_limiter *limiter, uint64_t view, uint64_t now_ms) {
     if (now_ms > limiter->ticked_ms + HS_STOOD_STILL_LEAST_MS) {
         limiter->ticked_ms = now_ms;
-        hs_limit_book_note_change(limiter->book, is_nobodys, NULL, now_ms);
+        hs_limit_book_note_reach_change(limiter->book, is_nobodys, NULL, now_ms);
     } else if (view != limiter->view) {
-        hs_limit_book_note_change(limiter->book, is_home, limiter, now_ms);
+        hs_limit_book_note_reach_change(limiter->book, is_limit_owner, limiter, now_ms);
     }
     limiter->view = view;
 }
@@ -188,10 +188,10 @@
 }
 
 /** Note what a daemon told of a tenant's use; answers the slots of all daemons together. */
-static double note_use(hs_tenant_limiter *limiter, const hs_tenant_use_word *word) {
+static double note_use(hs_tenant_limiter *limiter, const hs_tenant_use_report *word) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&limiter->lock);
-    hs_tenant_uses_note(limiter->uses, word, now_ms);
+    hs_tenant_uses_put_report(limiter->uses, word, now_ms);
     double slots = hs_tenant_uses_slots(limiter->uses, word->tenant, now_ms);
     g_mutex_unlock(&limiter->lock);
     return slots;
@@ -199,18 +199,18 @@
 
 double hs_tenant_limiter_note_own_use(hs_tenant_limiter *limiter, const char *tenant,
                                       uint64_t used_ms) {
-    hs_tenant_use_word word = {
-        .tenant = tenant, .daemon = SELF, .used_ms = hs_tenant_use_write_count(used_ms)};
+    hs_tenant_use_report word = {
+        .tenant = tenant, .daemon = SELF, .used_ms = hs_tenant_use_encode_count(used_ms)};
     return note_use(limiter, &word);
 }
 
 /** Decide here, as the home or by this daemon's part. */
-static hs_limit_verdict decide(hs_tenant_limiter *limiter, const hs_limit_question *question,
+static hs_limit_verdict decide(hs_tenant_limiter *limiter, const hs_limit_request *question,
                                uint64_t view) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&limiter->lock);
     forget_stale(limiter, view, now_ms);
-    hs_limit_verdict verdict = hs_limit_book_ask(limiter->book, question, now_ms);
+    hs_limit_verdict verdict = hs_limit_book_check(limiter->book, question, now_ms);
     g_mutex_unlock(&limiter->lock);
     return verdict;
 }
@@ -219,20 +219,20 @@
 typedef struct {
     hs_tenant_limiter *limiter;
     const home_view *home;
-    const hs_limit_question *question;
+    const hs_limit_request *question;
     uint64_t used_ms; /**< Of slots, by this daemon's requests. */
 } home_question;
 
 static void send_ask(uint64_t sequence, void *user_data) {
     const home_question *asked = user_data;
-    const hs_limit_question *question = asked->question;
+    const hs_limit_request *question = asked->question;
     Hs__TenantAsk ask = HS__TENANT_ASK__INIT;
     ask.sequence = sequence;
     ask.tenant = (char *)question->tenant;
     ask.rate_per_s = question->limit.rate_per_s;
     ask.capacity = question->limit.capacity;
     ask.config_version = question->version;
-    ask.used_ms = hs_tenant_use_write_count(asked->used_ms);
+    ask.used_ms = hs_tenant_use_encode_count(asked->used_ms);
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_TENANT_ASK;
     message.tenant_ask = &ask;
@@ -258,13 +258,13 @@
 /** The home answered: this daemon decides nothing of the tenant. */
 static void forget(hs_tenant_limiter *limiter, const char *tenant) {
     g_mutex_lock(&limiter->lock);
-    hs_limit_book_forget(limiter->book, tenant);
+    hs_limit_book_remove(limiter->book, tenant);
     g_mutex_unlock(&limiter->lock);
 }
 
 /** Ask the home; false: it did not answer. */
 static bool ask_home(hs_tenant_limiter *limiter, const home_view *home,
-                     const hs_limit_question *question, uint64_t used_ms,
+                     const hs_limit_request *question, uint64_t used_ms,
                      hs_limit_verdict *verdict) {
     home_question asked = {
         .limiter = limiter, .home = home, .question = question, .used_ms = used_ms};
@@ -289,14 +289,14 @@
 hs_limit_verdict hs_tenant_limiter_ask(hs_tenant_limiter *limiter, const hs_limited_tenant *tenant,
                                        hs_limit_decider *decider) {
     home_view home = look(limiter, tenant->name);
-    hs_limit_question question = {
+    hs_limit_request question = {
         .tenant = tenant->name,
         .limit = {.rate_per_s = tenant->rate_per_s, .capacity = tenant->burst + limiter->tolerance},
         .version = tenant->version,
         .reach = home.reach};
     hs_limit_verdict verdict = {0};
     double own_slots = hs_tenant_limiter_note_own_use(limiter, tenant->name, tenant->used_ms);
-    if (home.reach.is_home) {
+    if (home.reach.is_limit_owner) {
         *decider = HS_LIMIT_BY_SELF;
         verdict = decide(limiter, &question, home.view);
     } else if (ask_home(limiter, &home, &question, tenant->used_ms, &verdict)) {
@@ -314,12 +314,12 @@
 static void answer_ask(hs_tenant_limiter *limiter, const Hs__PeerMessage *asked,
                        const struct sockaddr_in *from) {
     const Hs__TenantAsk *ask = asked->tenant_ask;
-    hs_tenant_use_word word = {.tenant = ask->tenant,
-                               .daemon = asked->sender_id,
-                               .incarnation = asked->sender_incarnation,
-                               .used_ms = ask->used_ms};
+    hs_tenant_use_report word = {.tenant = ask->tenant,
+                                 .daemon = asked->sender_id,
+                                 .incarnation = asked->sender_incarnation,
+                                 .used_ms = ask->used_ms};
     home_view own = look(limiter, ask->tenant);
-    hs_limit_question question = {
+    hs_limit_request question = {
         .tenant = ask->tenant,
         .limit = {.rate_per_s = ask->rate_per_s, .capacity = ask->capacity},
         .version = ask->config_version,
@@ -330,7 +330,7 @@
     body.passes = verdict.passes;
     body.return_ms = (uint32_t)verdict.return_ms;
     body.part = verdict.part;
-    body.used_slots_permille = hs_tenant_use_write_slots(note_use(limiter, &word));
+    body.used_slots_permille = hs_tenant_use_encode_slots(note_use(limiter, &word));
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_TENANT_VERDICT;
     message.tenant_verdict = &body;
@@ -341,7 +341,8 @@
     hs_limit_verdict verdict = {.passes = told->passes,
                                 .return_ms = told->return_ms,
                                 .part = told->part,
-                                .used_slots = hs_tenant_use_read_slots(told->used_slots_permille)};
+                                .used_slots =
+                                    hs_tenant_use_decode_slots(told->used_slots_permille)};
     hs_peer_questions_answer(limiter->questions, told->sequence, &verdict);
 }
 
@@ -387,7 +388,7 @@
 }
 
 char *hs_tenant_limiter_describe_shares(hs_tenant_limiter *limiter) {
-    hs_tenant_share shares[SHARES_NAMED];
+    hs_tenant_slot_use shares[SHARES_NAMED];
     double rest = 0;
     GString *text = g_string_new(NULL);
     g_mutex_lock(&limiter->lock);
--- a/src/fleet/config_source.c
+++ b/src/fleet/config_source.c
@@ -75,8 +75,8 @@
 
 /** Builds the tenant index, and logs the numbers of faulty tenants and keys. */
 static void index_tenants(hs_fleet_config *config) {
-    hs_tenant_faults faults = hs_tenant_index_make(config);
-    if (faults.unusable_tenants + faults.repeated_names + faults.unusable_keys +
+    hs_tenant_faults faults = hs_tenant_index_build(config);
+    if (faults.unusable_tenants + faults.duplicate_names + faults.unusable_keys +
             faults.disputed_keys ==
         0)
         return;
@@ -84,7 +84,7 @@
                    "version=%" G_GUINT64_FORMAT " tenants=%u unusable_tenants=%u repeated_names=%u"
                    " unusable_keys=%u disputed_keys=%u",
                    (guint64)config->version, config->tenants->len, faults.unusable_tenants,
-                   faults.repeated_names, faults.unusable_keys, faults.disputed_keys);
+                   faults.duplicate_names, faults.unusable_keys, faults.disputed_keys);
 }
 
 static void apply_value(hs_config_source *source, const uint8_t *value, size_t length,
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -283,7 +283,7 @@
 
 /**
  * Counts an online request of the tenant that arrived at this daemon. Returns the service's share,
- * 0 to 1, of what the tenant requested recently; see hs_tenant_runs_note_ask.
+ * 0 to 1, of what the tenant requested recently; see hs_tenant_runs_note_request.
  */
 double hs_fleet_engines_note_tenant_request(hs_fleet_engines *engines, const char *service,
                                             const char *tenant);
--- a/src/fleet/service_outlook.c
+++ b/src/fleet/service_outlook.c
@@ -182,14 +182,14 @@
                                             const char *tenant) {
     g_mutex_lock(&engines->lock);
     double usual_ms = hs_engine_speed_online_run_ms(hs_fleet_engines_speed(engines, service));
-    double share = hs_tenant_runs_note_ask(engines->tenant_runs, tenant, service, usual_ms);
+    double share = hs_tenant_runs_note_request(engines->tenant_runs, tenant, service, usual_ms);
     g_mutex_unlock(&engines->lock);
     return share;
 }
 
 uint64_t hs_fleet_engines_tenant_requested_ms(hs_fleet_engines *engines, const char *tenant) {
     g_mutex_lock(&engines->lock);
-    uint64_t requested_ms = hs_tenant_runs_asked_ms(engines->tenant_runs, tenant);
+    uint64_t requested_ms = hs_tenant_runs_requested_ms(engines->tenant_runs, tenant);
     g_mutex_unlock(&engines->lock);
     return requested_ms;
 }
--- a/src/jobs/item_run.c
+++ b/src/jobs/item_run.c
@@ -129,7 +129,7 @@
         is_first = is_first && body->len == 0;
         if (!hs_event_stream_take(&run->events, body, NULL, run->texts)) {
             hs_attempt_note_resume_mismatch(attempt, run->item_id, run->events.last_id,
-                                            run->events.refused_id);
+                                            run->events.rejected_id);
             return HS_ITEM_ATTEMPT_BROKEN;
         }
         hs_engine_lease_note_events(attempt->lease, run->events.run_events);
@@ -239,7 +239,7 @@
 
 hs_item_attempt_end hs_item_run_attempt(hs_item_run *run, const hs_item_attempt_terms *terms) {
     const hs_fleet_config *config = terms->config;
-    if (!hs_event_stream_can_go_on(&run->events)) { /* The output restarts from the beginning. */
+    if (!hs_event_stream_can_resume(&run->events)) { /* The output restarts from the beginning. */
         g_ptr_array_set_size(run->texts, 0);
         run->events = (hs_event_stream){0};
     }
--- a/src/online/end_reason.c
+++ b/src/online/end_reason.c
@@ -1,4 +1,5 @@
-/** @file end_reason.c  Why requests end, with their statuses and counters; see online_request.h. */
+/** @file end_reason.c  Statuses, response texts and counters of end reasons; see online_request.h.
+ */
 #include "online/online_request.h"
 
 #include "http/http_fields.h"
@@ -19,7 +20,7 @@
     [HS_END_KEY_MISSING] = {"key_missing", 401, "a key is needed\n"},
     [HS_END_KEY_UNKNOWN] = {"key_unknown", 401, "the key is not known\n"},
     [HS_END_KEY_MALFORMED] = {"key_malformed", 400, "one key is needed, of visible characters\n"},
-    [HS_END_KEYS_UNSURE] = {"keys_unsure", 503, "the keys in force are not known; not run\n"},
+    [HS_END_KEYS_STALE] = {"keys_unsure", 503, "the keys in force are not known; not run\n"},
     [HS_END_OVER_LIMIT] = {"over_limit", 429, "beyond the tenant's limit; not run\n"},
     [HS_END_OVER_SHARE] = {"over_share", 503,
                            "beyond the tenant's share of what is free; not run\n"},
@@ -28,7 +29,7 @@
     [HS_END_NO_ENGINE] = {"no_engine", 503, "the service has no engine; not run\n"},
     [HS_END_FULL] = {"full", 503, "all engines are full; not run\n"},
     [HS_END_UNREACHABLE] = {"unreachable", 503, "no engine can be reached; not run\n"},
-    [HS_END_HELD_BACK] = {"held_back", 503, "requests like this crashed engines; not run\n"},
+    [HS_END_QUARANTINED] = {"held_back", 503, "requests like this crashed engines; not run\n"},
     [HS_END_BROKEN] = {"broken", 502, "the engine's answer broke; it may have run\n"},
     [HS_END_LATE] = {"late", 504, "the deadline passed; it may have run\n"},
     [HS_END_LATE_NOT_RUN] = {"late_not_run", 503, "the deadline passed; not run\n"},
@@ -46,18 +47,18 @@
     return reasons[reason].status;
 }
 
-static size_t bucket_of(uint64_t milliseconds, size_t count) {
+static size_t bucket_index(uint64_t milliseconds, size_t count) {
     size_t bucket = 0;
     while (bucket + 1 < count && milliseconds > (1ULL << bucket))
         bucket++;
     return bucket;
 }
 
-void hs_online_count(hs_online *online, hs_end_reason reason, uint64_t first_byte_ms) {
+void hs_online_count_end(hs_online *online, hs_end_reason reason, uint64_t first_byte_ms) {
     g_mutex_lock(&online->counters.lock);
     online->counters.ended[reason]++;
     if (first_byte_ms > 0)
-        online->counters.first_byte_buckets[bucket_of(
+        online->counters.first_byte_buckets[bucket_index(
             first_byte_ms, G_N_ELEMENTS(online->counters.first_byte_buckets))]++;
     g_mutex_unlock(&online->counters.lock);
 }
@@ -79,14 +80,14 @@
     }
     hs_inbound_reply(inbound, entry->status, fields, entry->text, strlen(entry->text));
     hs_http_fields_free(fields);
-    hs_online_count(online, reason, 0);
+    hs_online_count_end(online, reason, 0);
 }
 
-const char *hs_online_pick_share(hs_online *online, const hs_fleet_route *route) {
-    /* Steps of the golden ratio fill the unit interval evenly, so that a few requests already
-     * come close to the weights. */
-    static const double golden = 0.6180339887498949;
-    double turn = (double)(guint)g_atomic_int_add(&online->split_turn, 1) * golden;
+const char *hs_online_pick_service(hs_online *online, const hs_fleet_route *route) {
+    /* Multiples of the golden ratio modulo 1 are spread evenly over the unit interval, so the split
+     * is close to the weights after few requests. */
+    static const double golden_ratio = 0.6180339887498949;
+    double turn = (double)(guint)g_atomic_int_add(&online->split_counter, 1) * golden_ratio;
     double total = 0;
     for (guint index = 0; index < route->shares->len; index++)
         total += g_array_index(route->shares, hs_route_share, index).weight;
--- a/src/online/fair_level.c
+++ b/src/online/fair_level.c
@@ -93,5 +93,5 @@
 uint64_t hs_fair_share_retry_after_ms(const hs_fair_share *share, double used_slots) {
     if (share->slots == 0 || used_slots <= share->slots)
         return 0;
-    return (uint64_t)(HS_TENANT_USE_FADES_MS * log(used_slots / share->slots));
+    return (uint64_t)(HS_TENANT_USE_DECAY_MS * log(used_slots / share->slots));
 }
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -125,7 +125,7 @@
             text, "heathsail_memory_charged_bytes{kind=\"%s\"} %" G_GUINT64_FORMAT "\n",
             hs_memory_kind_name((hs_memory_kind)kind),
             (guint64)hs_memory_charged((hs_memory_kind)kind));
-    hs_read_ahead_counters counters = hs_read_ahead_count(ahead);
+    hs_read_ahead_counters counters = hs_read_ahead_get_counters(ahead);
     g_string_append_printf(text,
                            "heathsail_memory_budget_bytes %" G_GUINT64_FORMAT "\n"
                            "heathsail_streams_read_ahead %" G_GUINT64_FORMAT "\n"
--- a/src/surface/fleet_surface.c
+++ b/src/surface/fleet_surface.c
@@ -76,7 +76,8 @@
 /** Whether this daemon's word on keys still holds; see hs_online. */
 static bool knows_keys(hs_online *online) {
     uint64_t as_of_ms = hs_config_source_as_of_ms(online->config);
-    return online->keys_hold_ms == 0 || hs_clock_monotonic_ms() <= as_of_ms + online->keys_hold_ms;
+    return online->max_key_age_ms == 0 ||
+           hs_clock_monotonic_ms() <= as_of_ms + online->max_key_age_ms;
 }
 
 /** Whether the caller may have what it asks for; refused where it may not. */
@@ -92,7 +93,7 @@
     if (access != HS_ACCESS_GRANTED)
         refuse(surface, inbound, terms, access_reasons[access]);
     else if (!is_sure)
-        refuse(surface, inbound, terms, HS_END_KEYS_UNSURE);
+        refuse(surface, inbound, terms, HS_END_KEYS_STALE);
     return access == HS_ACCESS_GRANTED && is_sure;
 }
 
--- a/tests/fuzz/config.c
+++ b/tests/fuzz/config.c
@@ -14,7 +14,7 @@
         FUZZ_CHECK(error.code != 0);
         return;
     }
-    hs_tenant_index_make(config);
+    hs_tenant_index_build(config);
     for (guint index = 0; index < config->tenants->len; index++) {
         const hs_fleet_tenant *tenant = config->tenants->pdata[index];
         FUZZ_CHECK(tenant->rate_per_s >= 0 && tenant->burst >= 0);
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -109,13 +109,13 @@
 static void stream_without_event_ids_cannot_be_resumed(void) {
     hs_event_stream stream = {0};
     guint event_count = 0;
-    CU_ASSERT_TRUE(hs_event_stream_can_go_on(&stream));
+    CU_ASSERT_TRUE(hs_event_stream_can_resume(&stream));
     CU_ASSERT_TRUE(pass_piece(&stream, "data: a\n\ndata: b\n\n", &event_count));
     CU_ASSERT_EQUAL(event_count, 2);
-    CU_ASSERT_FALSE(hs_event_stream_can_go_on(&stream));
+    CU_ASSERT_FALSE(hs_event_stream_can_resume(&stream));
     stream = (hs_event_stream){0};
     CU_ASSERT_TRUE(pass_piece(&stream, "id: 1\ndata: a\n\n", &event_count));
-    CU_ASSERT_TRUE(hs_event_stream_can_go_on(&stream));
+    CU_ASSERT_TRUE(hs_event_stream_can_resume(&stream));
 }
 
 static void repeated_header_fields_are_kept(void) {
@@ -176,7 +176,7 @@
     hs_online online = {0};
     int minor_count = 0;
     for (int request = 0; request < 300; request++)
-        minor_count += strcmp(hs_online_pick_share(&online, route), "s2") == 0;
+        minor_count += strcmp(hs_online_pick_service(&online, route), "s2") == 0;
     CU_ASSERT(minor_count >= 28 && minor_count <= 32);
     hs_fleet_config_unref(config);
 }
--- a/tests/unit/test_shares.c
+++ b/tests/unit/test_shares.c
@@ -19,39 +19,39 @@
 
 static void report_use(hs_tenant_uses *uses, const char *daemon, uint64_t incarnation,
                        uint64_t used_ms, uint64_t now_ms) {
-    hs_tenant_use_word word = {
+    hs_tenant_use_report word = {
         .tenant = "a", .daemon = daemon, .incarnation = incarnation, .used_ms = used_ms};
-    hs_tenant_uses_note(uses, &word, now_ms);
+    hs_tenant_uses_put_report(uses, &word, now_ms);
 }
 
 static void requests_count_with_their_expected_run_time(void) {
     hs_tenant_runs *runs = hs_tenant_runs_new();
-    CU_ASSERT_EQUAL(hs_tenant_runs_asked_ms(runs, "a"), 0);
-    hs_tenant_runs_note_ask(runs, "a", "s", 300);
-    CU_ASSERT_EQUAL(hs_tenant_runs_asked_ms(runs, "a"), 300);
+    CU_ASSERT_EQUAL(hs_tenant_runs_requested_ms(runs, "a"), 0);
+    hs_tenant_runs_note_request(runs, "a", "s", 300);
+    CU_ASSERT_EQUAL(hs_tenant_runs_requested_ms(runs, "a"), 300);
     hs_tenant_runs_note_run(runs, "a", "s",
                             50); /* From now on the tenant's own mean run time counts. */
-    hs_tenant_runs_note_ask(runs, "a", "s", 300);
-    CU_ASSERT_EQUAL(hs_tenant_runs_asked_ms(runs, "a"), 350);
+    hs_tenant_runs_note_request(runs, "a", "s", 300);
+    CU_ASSERT_EQUAL(hs_tenant_runs_requested_ms(runs, "a"), 350);
     for (int run = 0; run < 100; run++)
         hs_tenant_runs_note_run(runs, "a", "s", 150);
-    hs_tenant_runs_note_ask(runs, "a", "s", 300);
-    CU_ASSERT_DOUBLE_EQUAL((double)hs_tenant_runs_asked_ms(runs, "a"), 500, 1);
-    CU_ASSERT_EQUAL(hs_tenant_runs_asked_ms(runs, "b"), 0);
+    hs_tenant_runs_note_request(runs, "a", "s", 300);
+    CU_ASSERT_DOUBLE_EQUAL((double)hs_tenant_runs_requested_ms(runs, "a"), 500, 1);
+    CU_ASSERT_EQUAL(hs_tenant_runs_requested_ms(runs, "b"), 0);
     hs_tenant_runs_free(runs);
 }
 
 static void use_is_split_by_service(void) {
     hs_tenant_runs *runs = hs_tenant_runs_new();
-    CU_ASSERT_EQUAL(hs_tenant_runs_note_ask(runs, "a", "large", 400), 1);
+    CU_ASSERT_EQUAL(hs_tenant_runs_note_request(runs, "a", "large", 400), 1);
     for (int ask = 0; ask < 900; ask++)
-        hs_tenant_runs_note_ask(runs, "a", ask % 9 == 0 ? "small" : "large", 400);
-    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_ask(runs, "a", "small", 400), 1.0 / 9, 0.03);
-    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_ask(runs, "a", "large", 400), 8.0 / 9, 0.03);
+        hs_tenant_runs_note_request(runs, "a", ask % 9 == 0 ? "small" : "large", 400);
+    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_request(runs, "a", "small", 400), 1.0 / 9, 0.03);
+    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_request(runs, "a", "large", 400), 8.0 / 9, 0.03);
     for (int ask = 0; ask < 300; ask++) /* Old requests decay. */
-        hs_tenant_runs_note_ask(runs, "a", "small", 400);
-    CU_ASSERT_TRUE(hs_tenant_runs_note_ask(runs, "a", "small", 400) > 0.9);
-    CU_ASSERT_EQUAL(hs_tenant_runs_note_ask(runs, "b", "large", 0), 1);
+        hs_tenant_runs_note_request(runs, "a", "small", 400);
+    CU_ASSERT_TRUE(hs_tenant_runs_note_request(runs, "a", "small", 400) > 0.9);
+    CU_ASSERT_EQUAL(hs_tenant_runs_note_request(runs, "b", "large", 0), 1);
     hs_tenant_runs_free(runs);
 }
 
@@ -65,7 +65,7 @@
             report_use(uses, daemon, 1, now_ms + index * 12, now_ms + index * 12);
         }
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(uses, "a", 10000), 40, 4);
-    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(uses, "a", 10000 + 3 * HS_TENANT_USE_FADES_MS),
+    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(uses, "a", 10000 + 3 * HS_TENANT_USE_DECAY_MS),
                            40 * exp(-3), 1);
     CU_ASSERT_EQUAL(hs_tenant_uses_slots(uses, "b", 10000), 0);
     hs_tenant_uses_free(uses);
@@ -84,7 +84,7 @@
         }
     }
     /* Three slots, plus the step added by the last report. */
-    double fast = HS_TENANT_USE_FADES_FAST_MS;
+    double fast = HS_TENANT_USE_FAST_DECAY_MS;
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(all, "a", 10000),
                            300 / fast / (1 - exp(-100 / fast)), 0.01);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(some, "a", 10000),
@@ -98,12 +98,12 @@
     hs_tenant_uses *uses = hs_tenant_uses_new();
     report_use(uses, "d", 1, 900000, 0);
     CU_ASSERT_EQUAL(hs_tenant_uses_slots(uses, "a", 0), 0);
-    report_use(uses, "d", 1, 900000 + 2 * HS_TENANT_USE_FADES_FAST_MS, 0);
+    report_use(uses, "d", 1, 900000 + 2 * HS_TENANT_USE_FAST_DECAY_MS, 0);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(uses, "a", 0), 2, 0.001);
     report_use(uses, "d", 2, 950000, 0);
     report_use(uses, "d", 1, 990000, 0);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(uses, "a", 0), 2, 0.001);
-    report_use(uses, "d", 2, 950000 + HS_TENANT_USE_FADES_FAST_MS, 0);
+    report_use(uses, "d", 2, 950000 + HS_TENANT_USE_FAST_DECAY_MS, 0);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(uses, "a", 0), 3, 0.001);
     hs_tenant_uses_free(uses);
 }
@@ -114,7 +114,7 @@
     report_use(uses, "d", 1, 1, 0);
     report_use(uses, "d", 1, 50001, 50000);
     CU_ASSERT_TRUE(hs_tenant_uses_slots(uses, "a", 50000) <=
-                   5000.0 / HS_TENANT_USE_FADES_MS + 0.001);
+                   5000.0 / HS_TENANT_USE_DECAY_MS + 0.001);
     hs_tenant_uses_free(uses);
 }
 
@@ -134,12 +134,12 @@
     char name[8];
     for (unsigned index = 1; index <= 5; index++) {
         g_snprintf(name, sizeof name, "t%u", index);
-        hs_tenant_use_word word = {.tenant = name, .daemon = "d", .incarnation = 1, .used_ms = 1};
-        hs_tenant_uses_note(uses, &word, 0);
-        word.used_ms += (uint64_t)index * HS_TENANT_USE_FADES_FAST_MS;
-        hs_tenant_uses_note(uses, &word, 0);
+        hs_tenant_use_report word = {.tenant = name, .daemon = "d", .incarnation = 1, .used_ms = 1};
+        hs_tenant_uses_put_report(uses, &word, 0);
+        word.used_ms += (uint64_t)index * HS_TENANT_USE_FAST_DECAY_MS;
+        hs_tenant_uses_put_report(uses, &word, 0);
     }
-    hs_tenant_share shares[2];
+    hs_tenant_slot_use shares[2];
     double rest = 0;
     CU_ASSERT_EQUAL(hs_tenant_uses_top(uses, shares, 2, &rest, 0), 2);
     CU_ASSERT_STRING_EQUAL(shares[0].tenant, "t5");
@@ -153,13 +153,14 @@
     hs_tenant_uses *uses = hs_tenant_uses_new();
     report_use(uses, "older", 1, 0, 0);
     CU_ASSERT_EQUAL(hs_tenant_uses_size(uses), 0);
-    report_use(uses, "d", 1, hs_tenant_use_write_count(0), 0);
-    report_use(uses, "d", 1, hs_tenant_use_write_count(HS_TENANT_USE_FADES_FAST_MS), 0);
+    report_use(uses, "d", 1, hs_tenant_use_encode_count(0), 0);
+    report_use(uses, "d", 1, hs_tenant_use_encode_count(HS_TENANT_USE_FAST_DECAY_MS), 0);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_uses_slots(uses, "a", 0), 1, 0.001);
-    CU_ASSERT_EQUAL(hs_tenant_use_read_slots(0), 0);
-    CU_ASSERT_TRUE(hs_tenant_use_read_slots(hs_tenant_use_write_slots(0)) > 0);
-    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_use_read_slots(hs_tenant_use_write_slots(12.5)), 12.5, 0.001);
-    CU_ASSERT_TRUE(hs_tenant_use_read_slots(hs_tenant_use_write_slots(1e12)) > 1e6);
+    CU_ASSERT_EQUAL(hs_tenant_use_decode_slots(0), 0);
+    CU_ASSERT_TRUE(hs_tenant_use_decode_slots(hs_tenant_use_encode_slots(0)) > 0);
+    CU_ASSERT_DOUBLE_EQUAL(hs_tenant_use_decode_slots(hs_tenant_use_encode_slots(12.5)), 12.5,
+                           0.001);
+    CU_ASSERT_TRUE(hs_tenant_use_decode_slots(hs_tenant_use_encode_slots(1e12)) > 1e6);
     hs_tenant_uses_free(uses);
 }
 
@@ -238,7 +239,7 @@
     CU_ASSERT_FALSE(hs_fair_share_is_exceeded(&share, 0.5, 0, &shortage));
     CU_ASSERT_FALSE(hs_fair_share_is_exceeded(&share, 64, 1, &calm));
     CU_ASSERT_DOUBLE_EQUAL((double)hs_fair_share_retry_after_ms(&share, 64),
-                           HS_TENANT_USE_FADES_MS * log(64 / share.slots), 1);
+                           HS_TENANT_USE_DECAY_MS * log(64 / share.slots), 1);
     CU_ASSERT_EQUAL(hs_fair_share_retry_after_ms(&share, 0.5), 0);
     double share_before = share.slots;
     for (; now_ms < 6000; now_ms += 20)
@@ -405,14 +406,14 @@
 
 static void note_use(share_model *model, uint32_t daemon, uint32_t tenant) {
     const char *name = tenant_names[tenant];
-    hs_tenant_use_word word = {
-        .tenant = name,
-        .daemon = daemon_names[daemon],
-        .incarnation = 1,
-        .used_ms = hs_tenant_use_write_count(hs_tenant_runs_asked_ms(model->runs[daemon], name))};
+    hs_tenant_use_report word = {.tenant = name,
+                                 .daemon = daemon_names[daemon],
+                                 .incarnation = 1,
+                                 .used_ms = hs_tenant_use_encode_count(
+                                     hs_tenant_runs_requested_ms(model->runs[daemon], name))};
     bool reaches_owner = daemon >= model->scenario->cut_off;
-    hs_tenant_uses_note(reaches_owner ? model->limit_owner : model->own[daemon], &word,
-                        model->now_ms);
+    hs_tenant_uses_put_report(reaches_owner ? model->limit_owner : model->own[daemon], &word,
+                              model->now_ms);
 }
 
 static double reported_use(const share_model *model, uint32_t daemon, uint32_t tenant) {
@@ -443,7 +444,7 @@
         hs_fair_share *share = &model->shares[daemon];
         hs_service_pressure pressure = pressure_of(model, daemon);
         note_use(model, daemon, tenant);
-        hs_tenant_runs_note_ask(model->runs[daemon], tenant_names[tenant], "s", RUN_MS);
+        hs_tenant_runs_note_request(model->runs[daemon], tenant_names[tenant], "s", RUN_MS);
         request.used_slots = reported_use(model, daemon, tenant);
         hs_fair_share_update(share, &pressure, TOTAL_SLOTS, model->now_ms);
         double sample = g_rand_double(model->random);
--- a/tools/limits/limit_model.c
+++ b/tools/limits/limit_model.c
@@ -103,8 +103,8 @@
     return home;
 }
 
-static hs_limit_reach reach_of(const model *model, uint32_t daemon) {
-    hs_limit_reach reach = {.is_home = true, .known = model->what->daemons};
+static hs_limit_reachability reach_of(const model *model, uint32_t daemon) {
+    hs_limit_reachability reach = {.is_limit_owner = true, .known = model->what->daemons};
     for (uint32_t index = 0; index < reach.known; index++)
         reach.reached += is_believed(model, daemon, index);
     return reach;
@@ -182,11 +182,11 @@
             home == daemon || (reaches(model, daemon, home) && arrives(model) && arrives(model));
     if (!is_answered)
         return false;
-    hs_limit_question question = {.tenant = tenant->name,
-                                  .limit = tenant->limit,
-                                  .version = 1,
-                                  .reach = reach_of(model, home)};
-    return hs_limit_book_ask(model->daemons[home].book, &question, model->now_ms).passes;
+    hs_limit_request question = {.tenant = tenant->name,
+                                 .limit = tenant->limit,
+                                 .version = 1,
+                                 .reach = reach_of(model, home)};
+    return hs_limit_book_check(model->daemons[home].book, &question, model->now_ms).passes;
 }
 
 static bool passes(model *model, uint32_t daemon, uint32_t index) {
@@ -217,7 +217,7 @@
     uint32_t daemon;
 } home_asker;
 
-static bool is_home(const char *tenant, void *user_data) {
+static bool is_limit_owner(const char *tenant, void *user_data) {
     const home_asker *asker = user_data;
     return home_of(asker->model, asker->daemon, tenant) == asker->daemon;
 }
@@ -227,7 +227,8 @@
     model->is_noticed = true;
     for (uint32_t index = 0; index < model->what->daemons; index++) {
         home_asker asker = {.model = model, .daemon = index};
-        hs_limit_book_note_change(model->daemons[index].book, is_home, &asker, model->now_ms);
+        hs_limit_book_note_reach_change(model->daemons[index].book, is_limit_owner, &asker,
+                                        model->now_ms);
     }
 }
 
