--- a/src/jobs/job_calls.c
+++ b/src/jobs/job_calls.c
@@ -1,12 +1,12 @@
 /**
  * @file job_calls.c
- * Callers' calls about jobs that were submitted: results, an item's body, the end; see
+ * Handles requests about submitted jobs: results, the body of an item, the end of a job; see
  * job_service.h.
  *
- * A call reaches any daemon, but only the partition's owner keeps its fold at the log's end. So a
- * call is answered from this daemon's fold where that is recent, else passed on to the owner, and
- * only where the owner is unknown or unsure does this daemon read the partition's log itself. With
- * hundreds of daemons the log would else be read by each of them from its beginning.
+ * Any daemon may receive a request, but only the partition's owner keeps its fold at the end of the
+ * log. A request is therefore answered from this daemon's fold if that is recent, otherwise
+ * forwarded to the owner. Only if the owner is unknown or cannot answer does this daemon read the
+ * partition's log, so that a large fleet does not read each log in full on every daemon.
  */
 #include "jobs/job_peer.h"
 #include "jobs/job_service_state.h"
@@ -17,31 +17,31 @@
 
 #include <string.h>
 
-/** Most text in one page of results, in bytes; callers take a megabyte at most. */
-#define PAGE_BYTES (1000U * 1000)
-/** What names and quotes add to each result of a page, in bytes, at most. */
-#define PAGE_ITEM_OVERHEAD 256
-/** Longest that an answer without news is held, in ms. */
-#define WAIT_MOST_MS 5000
+/** Maximum size of one page of results; callers accept up to one megabyte. */
+#define MAX_PAGE_BYTES (1000U * 1000)
+/** Upper bound of the JSON added to each result of a page. */
+#define PAGE_ITEM_OVERHEAD_BYTES 256
+/** Maximum wait for the next result. */
+#define MAX_RESULT_WAIT_MS 5000
 /**
- * How old a fold may be, in ms, that answers without a look at the log. Callers expect to find what
- * they were told a second ago at every daemon.
+ * Maximum age of a fold that answers without a read of the log. Callers expect state reported to
+ * them a second ago to be visible at every daemon.
  */
-#define FOLD_AGE_MOST_MS 900
+#define MAX_FOLD_AGE_MS 900
 /**
- * What an owner may need beyond the time for which it holds the answer, in ms. With one read of the
- * log after it, a call ends before callers give up, 1.5 s after their own wait.
+ * Time allowed to an owner beyond its wait for a result. Leaves time for one read of the log before
+ * callers time out.
  */
-#define OWNER_ANSWER_MS 400
+#define OWNER_ANSWER_SLACK_MS 400
 
-/** How well a fold is known to show what is in the log. */
+/** How complete a fold is known to be. */
 typedef enum {
-    FOLD_LAGS,     /**< What it shows is true; what it lacks may be there. */
-    FOLD_FRESH,    /**< It lacks at most what came in the last moment. */
-    FOLD_COMPLETE, /**< The log was read to its end for this call. */
+    FOLD_STALE,    /**< Records may be missing. */
+    FOLD_RECENT,   /**< Only records of the last MAX_FOLD_AGE_MS may be missing. */
+    FOLD_COMPLETE, /**< The log was read to its end for this request. */
 } fold_state;
 
-/** One call. All borrowed. */
+/** A request; all borrowed. */
 typedef struct {
     hs_job_service *service;
     hs_job_partition *partition;
@@ -55,12 +55,12 @@
 
 /** A page of results. */
 typedef struct {
-    char *text;     /**< NULL: the job is unknown. Free with g_free. */
-    bool has_news;  /**< It holds a result, or no further one will come. */
-    bool is_beyond; /**< The position asked for is not reached yet. */
+    char *text;     /**< NULL: the job is unknown. Freed with g_free. */
+    bool is_ready;  /**< There is a result, or no further result will follow. */
+    bool is_beyond; /**< The requested position is past the last result. */
 } result_page;
 
-/** @p answered_by: whose view of the job decided. */
+/** @p answered_by: source of the answer. */
 static void log_call(const job_call *call, const char *answered_by, bool is_answered) {
     static const char *const names[] = {[HS_CALL_REQUEST] = "request",
                                         [HS_CALL_JOB_READ] = "read",
@@ -71,7 +71,10 @@
                 is_answered, (unsigned)(hs_clock_monotonic_ms() - call->inbound->received_ms));
 }
 
-/** The call's job where its caller may know of it, else NULL. The caller has locked the fold. */
+/**
+ * Returns the request's job, or NULL if the caller may not see it. The caller holds the fold's
+ * lock.
+ */
 static const hs_job *find_job(const job_call *call, const hs_job_state *state) {
     const hs_job *job = hs_job_state_find(state, call->job_id);
     return job != NULL && hs_job_is_visible(job, call->tenant) ? job : NULL;
@@ -85,8 +88,8 @@
     size_t bytes = 0;
     for (uint64_t index = position; index < job->results->len; index++) {
         const hs_job_result *result = job->results->pdata[index];
-        bytes += result->length + PAGE_ITEM_OVERHEAD;
-        if (count > 0 && bytes > PAGE_BYTES)
+        bytes += result->length + PAGE_ITEM_OVERHEAD_BYTES;
+        if (count > 0 && bytes > MAX_PAGE_BYTES)
             break;
         views[count++] =
             (hs_result_view){.item_id = g_array_index(job->items, hs_job_item, result->item).id,
@@ -96,15 +99,15 @@
     }
     return (result_page){
         .text = hs_platform_write_results(job->items->len, position + count, views, count),
-        .has_news = count > 0 || !hs_job_is_open(job),
+        .is_ready = count > 0 || !hs_job_is_open(job),
         .is_beyond = position > job->results->len};
 }
 
-/** Results from a position on, held until there is one. */
+/** Replies with the results from a position on; waits until there is one. */
 static bool answer_results(const job_call *call, fold_state fold) {
     uint64_t position = hs_platform_read_position(call->inbound->target);
-    hs_deadline hold_until =
-        call->inbound->received_ms + MIN(call->terms->wait_ms, (uint64_t)WAIT_MOST_MS);
+    hs_deadline wait_until =
+        call->inbound->received_ms + MIN(call->terms->wait_ms, (uint64_t)MAX_RESULT_WAIT_MS);
     while (true) {
         hs_job_state *state = hs_job_partition_lock(call->partition);
         uint64_t next = hs_job_state_next(state);
@@ -112,17 +115,17 @@
         hs_job_partition_unlock(call->partition);
         g_autofree char *text = page.text;
         if (text == NULL || (page.is_beyond && fold != FOLD_COMPLETE) ||
-            (!page.has_news && fold == FOLD_LAGS))
+            (!page.is_ready && fold == FOLD_STALE))
             return false;
-        if (page.has_news || hs_clock_monotonic_ms() >= hold_until) {
+        if (page.is_ready || hs_clock_monotonic_ms() >= wait_until) {
             hs_job_reply(call->inbound, 200, "application/json", text, strlen(text));
             return true;
         }
-        hs_job_partition_hold(call->partition, next, hold_until);
+        hs_job_partition_wait(call->partition, next, wait_until);
     }
 }
 
-/** The body of an item that is not listed. */
+/** Replies with the body of an item without a result. */
 static bool answer_item(const job_call *call) {
     g_autofree char *item_id = hs_platform_read_item_id(call->inbound->target);
     hs_job_state *state = hs_job_partition_lock(call->partition);
@@ -152,9 +155,10 @@
     return true;
 }
 
-/** Answer from this daemon's fold. False: it may lack what was asked for; nothing was answered. */
-static bool answer(const job_call *call, fold_state fold) {
-    bool is_known = hs_job_see(call->partition, call->job_id, call->tenant) == HS_JOB_SEEN;
+/** Replies from this daemon's fold. Returns false without a reply if the fold may be incomplete. */
+static bool answer_from_fold(const job_call *call, fold_state fold) {
+    bool is_known =
+        hs_job_check_visibility(call->partition, call->job_id, call->tenant) == HS_JOB_VISIBLE;
     if (!is_known && fold != FOLD_COMPLETE)
         return false;
     if (!is_known) {
@@ -169,38 +173,40 @@
     return true;
 }
 
-static bool is_fresh(hs_job_partition *partition) {
+static bool is_recent(hs_job_partition *partition) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    return hs_job_partition_is_current(partition, now_ms - MIN(now_ms, FOLD_AGE_MOST_MS));
+    return hs_job_partition_is_current(partition, now_ms - MIN(now_ms, MAX_FOLD_AGE_MS));
 }
 
 /**
- * Pass the call on to the partition's owner and its answer back. False: no owner is known, or it
- * did not answer or was not sure; nothing was answered.
+ * Forwards the request to the partition's owner and replies with its answer. Returns false without
+ * a reply if no owner is known or the owner gave no definite answer.
  */
-static bool pass_on(const job_call *call) {
+static bool forward_to_owner(const job_call *call) {
     hs_daemon_directory *daemons = call->service->daemons;
     hs_daemon_address owner;
-    uint32_t part = hs_job_partition_number(call->partition);
-    if (daemons == NULL || !hs_daemon_directory_owner(daemons, part, &owner))
+    uint32_t number = hs_job_partition_number(call->partition);
+    if (daemons == NULL || !hs_daemon_directory_owner(daemons, number, &owner))
         return false;
-    uint64_t limit_ms = MIN(call->terms->wait_ms, (uint64_t)WAIT_MOST_MS) + OWNER_ANSWER_MS;
-    hs_peer_answer told;
-    if (hs_job_peer_ask(&owner, call->inbound, call->tenant,
-                        MIN(call->deadline, hs_clock_monotonic_ms() + limit_ms),
-                        &told) != HS_PEER_ANSWERED)
+    uint64_t limit_ms =
+        MIN(call->terms->wait_ms, (uint64_t)MAX_RESULT_WAIT_MS) + OWNER_ANSWER_SLACK_MS;
+    hs_peer_answer owner_answer;
+    if (hs_job_peer_forward(&owner, call->inbound, call->tenant,
+                            MIN(call->deadline, hs_clock_monotonic_ms() + limit_ms),
+                            &owner_answer) != HS_PEER_ANSWERED)
         return false;
-    bool is_sure = told.status == 200 || told.status == 404;
-    if (is_sure)
-        hs_job_reply(call->inbound, told.status, told.type, told.body->data, told.body->len);
-    hs_peer_answer_clear(&told);
-    return is_sure;
+    bool is_definite = owner_answer.status == 200 || owner_answer.status == 404;
+    if (is_definite)
+        hs_job_reply(call->inbound, owner_answer.status, owner_answer.type, owner_answer.body->data,
+                     owner_answer.body->len);
+    hs_peer_answer_clear(&owner_answer);
+    return is_definite;
 }
 
 static job_call make_call(hs_job_service *service, hs_inbound *inbound, const hs_job_caller *caller,
                           hs_call_kind kind, const char *job_id) {
     return (job_call){.service = service,
-                      .partition = hs_job_service_partition_of(service, job_id),
+                      .partition = hs_job_service_partition_for_job(service, job_id),
                       .inbound = inbound,
                       .terms = caller->terms,
                       .tenant = caller->tenant,
@@ -212,18 +218,19 @@
 void hs_job_service_call(hs_job_service *service, hs_inbound *inbound, const hs_job_caller *caller,
                          hs_call_kind kind, const char *job_id) {
     job_call call = make_call(service, inbound, caller, kind, job_id);
-    if (is_fresh(call.partition) && answer(&call, FOLD_FRESH)) {
+    if (is_recent(call.partition) && answer_from_fold(&call, FOLD_RECENT)) {
         g_atomic_int_inc(&service->reads.from_own_fold);
         log_call(&call, "own_fold", true);
         return;
     }
-    if (pass_on(&call)) {
+    if (forward_to_owner(&call)) {
         g_atomic_int_inc(&service->reads.by_owner);
         log_call(&call, "owner", true);
         return;
     }
-    bool is_read = hs_job_partition_catch_up(call.partition, hs_job_one_try(call.deadline));
-    bool is_answered = answer(&call, is_read ? FOLD_COMPLETE : FOLD_LAGS);
+    bool is_read =
+        hs_job_partition_catch_up(call.partition, hs_job_attempt_deadline(call.deadline));
+    bool is_answered = answer_from_fold(&call, is_read ? FOLD_COMPLETE : FOLD_STALE);
     if (!is_answered)
         hs_job_reply_text(inbound, 503, "the log cannot be read now\n");
     g_atomic_int_inc(is_answered ? &service->reads.from_log : &service->reads.refused);
@@ -234,7 +241,7 @@
                                  const hs_job_caller *caller, hs_call_kind kind,
                                  const char *job_id) {
     job_call call = make_call(service, inbound, caller, kind, job_id);
-    if (!answer(&call, is_fresh(call.partition) ? FOLD_FRESH : FOLD_LAGS))
+    if (!answer_from_fold(&call, is_recent(call.partition) ? FOLD_RECENT : FOLD_STALE))
         hs_job_reply_text(inbound, 503, "this daemon's view of the job is not recent\n");
 }
 
--- a/src/jobs/job_owner.c
+++ b/src/jobs/job_owner.c
@@ -1,4 +1,7 @@
-/** @file job_owner.c  Membership in the group and the owner's life; see job_owner.h. */
+/**
+ * @file job_owner.c Group membership, partition ownership and lifecycle of the owner; see
+ * job_owner.h.
+ */
 #include "jobs/job_owner.h"
 
 #include "base/clock.h"
@@ -8,17 +11,19 @@
 
 #define JOIN_PER_TTL 3
 #define JOIN_LIMIT_MS 900
-/** Each read held at the store: an owner's fold is known to be no older than this and a moment. */
+/** Maximum wait of one read at the store; bounds the age of an owner's fold. */
 #define TAIL_HOLD_MS 500
-/** One try in ms to read a partition's log to its end after it was dealt: 4 MB over 30 Mbit/s. */
+/** Limit of one read of a newly assigned partition's log to its end. */
 #define CATCH_UP_LIMIT_MS 3000
-/** Pause in ms after such a try failed: some answers of the store, so that it is not pressed. */
+/** Pause after a failed read of the log. */
 #define CATCH_UP_PAUSE_MS 60
 #define TRIM_INTERVAL_MS 10000
 #define TRIM_LIMIT_MS 1500
-/** One try in ms to tell a partition's level: the log is followed again after it. */
+/** Limit of one report of a partition's level; the log is not read meanwhile. */
 #define LEVEL_LIMIT_MS 400
-/** An owner before may still hand over what it ran. */
+/**
+ * Delay before items of a new partition start, so that the previous owner can store its progress.
+ */
 #define TAKEOVER_PAUSE_MS 250
 
 static void free_item(gpointer data) {
@@ -28,11 +33,11 @@
 }
 
 static void free_partition(gpointer data) {
-    hs_owned_partition_state *home = data;
-    g_hash_table_destroy(home->items);
-    g_byte_array_free(home->pending, TRUE);
-    g_mutex_clear(&home->pending_lock);
-    g_free(home);
+    hs_owned_partition_state *owned = data;
+    g_hash_table_destroy(owned->items);
+    g_byte_array_free(owned->pending, TRUE);
+    g_mutex_clear(&owned->pending_lock);
+    g_free(owned);
 }
 
 hs_job_owner *hs_job_owner_new(const hs_job_owner_settings *settings) {
@@ -41,75 +46,76 @@
     g_mutex_init(&owner->lock);
     g_cond_init(&owner->changed);
     owner->partitions = g_ptr_array_new_with_free_func(free_partition);
-    for (uint32_t part = 0; part < settings->part_count; part++) {
-        hs_owned_partition_state *home = g_new0(hs_owned_partition_state, 1);
-        home->owner = owner;
-        home->partition = hs_job_service_partition(settings->jobs, part);
-        home->items = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_item);
-        home->pending = g_byte_array_new();
-        g_mutex_init(&home->pending_lock);
-        g_ptr_array_add(owner->partitions, home);
+    for (uint32_t number = 0; number < settings->part_count; number++) {
+        hs_owned_partition_state *owned = g_new0(hs_owned_partition_state, 1);
+        owned->owner = owner;
+        owned->partition = hs_job_service_partition(settings->jobs, number);
+        owned->items = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_item);
+        owned->pending = g_byte_array_new();
+        g_mutex_init(&owned->pending_lock);
+        g_ptr_array_add(owner->partitions, owned);
     }
     owner->services = g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
-    owner->workers = g_thread_pool_new(hs_job_worker_run, owner, HS_JOB_WORKERS_MAX, FALSE, NULL);
+    owner->workers = g_thread_pool_new(hs_job_worker_run, owner, HS_JOB_MAX_WORKERS, FALSE, NULL);
     return owner;
 }
 
-/** Tell what of the partition counts towards its routes' limits. */
-static void tell_level(hs_owned_partition_state *home, hs_quota_told *told) {
-    hs_job_owner *owner = home->owner;
+/** Reports the partition's unfinished tokens that count against the limits of its routes. */
+static void report_level(hs_owned_partition_state *owned, hs_quota_told *reported) {
+    hs_job_owner *owner = owned->owner;
     hs_fleet_config *config = hs_config_source_get(owner->settings.config);
     if (config != NULL)
-        hs_job_quota_tell(hs_job_service_quota(owner->settings.jobs), home->partition, config, told,
-                          hs_clock_monotonic_ms() + LEVEL_LIMIT_MS);
+        hs_job_quota_tell(hs_job_service_quota(owner->settings.jobs), owned->partition, config,
+                          reported, hs_clock_monotonic_ms() + LEVEL_LIMIT_MS);
     hs_fleet_config_unref(config);
 }
 
-/** Runs as long as the partition is owned: keeps the fold at the log's end. */
+/** Thread function of an owned partition: keeps the fold at the end of the log. */
 static gpointer run_tail(gpointer data) {
-    hs_owned_partition_state *home = data;
-    hs_job_owner *owner = home->owner;
+    hs_owned_partition_state *owned = data;
+    hs_job_owner *owner = owned->owner;
     uint64_t next_trim_ms = hs_clock_monotonic_ms() + TRIM_INTERVAL_MS;
-    hs_quota_told told = {0};
-    uint32_t taken_count = 0;
+    hs_quota_told reported = {0};
+    uint32_t acquisition_count = 0;
     g_mutex_lock(&owner->lock);
-    while (home->owned && !owner->stopping) {
-        uint64_t taken_ms = home->taken_ms;
+    while (owned->is_owned && !owner->stopping) {
+        uint64_t acquired_ms = owned->acquired_ms;
         g_mutex_unlock(&owner->lock);
-        uint64_t next = hs_job_state_next(hs_job_partition_lock(home->partition));
-        hs_job_partition_unlock(home->partition);
+        uint64_t next = hs_job_state_next(hs_job_partition_lock(owned->partition));
+        hs_job_partition_unlock(owned->partition);
         uint64_t now_ms = hs_clock_monotonic_ms();
-        if (hs_job_partition_is_current(home->partition, taken_ms))
-            hs_job_partition_hold(home->partition, next, now_ms + TAIL_HOLD_MS);
-        else if (!hs_job_partition_catch_up(home->partition, now_ms + CATCH_UP_LIMIT_MS))
+        if (hs_job_partition_is_current(owned->partition, acquired_ms))
+            hs_job_partition_wait(owned->partition, next, now_ms + TAIL_HOLD_MS);
+        else if (!hs_job_partition_catch_up(owned->partition, now_ms + CATCH_UP_LIMIT_MS))
             hs_clock_sleep_ms(CATCH_UP_PAUSE_MS);
-        tell_level(home, &told);
+        report_level(owned, &reported);
         if (now_ms >= next_trim_ms) {
-            hs_job_partition_trim(home->partition, now_ms + TRIM_LIMIT_MS);
+            hs_job_partition_trim(owned->partition, now_ms + TRIM_LIMIT_MS);
             next_trim_ms = now_ms + TRIM_INTERVAL_MS;
         }
         g_mutex_lock(&owner->lock);
-        if (taken_count != home->taken_count) /* Another owner may have told in between. */
-            told = (hs_quota_told){0};
-        taken_count = home->taken_count;
+        if (acquisition_count !=
+            owned->acquisition_count) /* Another owner may have reported since. */
+            reported = (hs_quota_told){0};
+        acquisition_count = owned->acquisition_count;
         g_cond_broadcast(&owner->changed);
     }
-    home->tail_stopped = true;
-    owner->tails--;
+    owned->is_tail_stopped = true;
+    owner->tail_count--;
     g_cond_broadcast(&owner->changed);
     g_mutex_unlock(&owner->lock);
     return NULL;
 }
 
 /**
- * Interrupt all runs of a partition; what they made is stored for the next owner. The caller holds
- * the lock.
+ * Interrupts all runs of a partition and schedules storing their progress for the next owner. The
+ * caller holds the lock.
  */
-static void abandon_runs(hs_owned_partition_state *home) {
-    hs_job_owner *owner = home->owner;
+static void abandon_runs(hs_owned_partition_state *owned) {
+    hs_job_owner *owner = owned->owner;
     GHashTableIter iterator;
     gpointer value = NULL;
-    g_hash_table_iter_init(&iterator, home->items);
+    g_hash_table_iter_init(&iterator, owned->items);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         hs_owned_item *item = value;
         hs_interrupt_raise(&item->run->interrupt, HS_INTERRUPT_STOP);
@@ -119,98 +125,98 @@
             g_hash_table_iter_remove(&iterator);
             continue;
         }
-        hs_item_order *order = g_new0(hs_item_order, 1);
-        order->home = home;
-        order->item = item;
-        order->hands_over = true;
+        hs_item_order *task = g_new0(hs_item_order, 1);
+        task->owned = owned;
+        task->item = item;
+        task->is_handover = true;
         item->stage = HS_ITEM_RUNNING;
         owner->running++;
-        g_thread_pool_push(owner->workers, order, NULL);
+        g_thread_pool_push(owner->workers, task, NULL);
     }
 }
 
 /**
- * The caller holds the lock. False: there is no thread for it now; the group's next answer deals it
- * again.
+ * Starts to own a partition. Returns false if no thread can be created; the group's next answer
+ * assigns the partition again. The caller holds the lock.
  */
-static bool take_partition(hs_owned_partition_state *home) {
-    home->taken_ms = hs_clock_monotonic_ms();
-    home->start_ms = home->taken_ms + TAKEOVER_PAUSE_MS;
-    home->taken_count++;
-    if (home->tail != NULL) {
-        if (!home->tail_stopped) { /* Its thread still ends; it simply goes on. */
-            home->owned = true;
+static bool acquire_partition(hs_owned_partition_state *owned) {
+    owned->acquired_ms = hs_clock_monotonic_ms();
+    owned->earliest_start_ms = owned->acquired_ms + TAKEOVER_PAUSE_MS;
+    owned->acquisition_count++;
+    if (owned->tail != NULL) {
+        if (!owned->is_tail_stopped) { /* The previous thread has not ended yet and continues. */
+            owned->is_owned = true;
             return true;
         }
-        g_thread_join(home->tail);
+        g_thread_join(owned->tail);
     }
-    home->tail_stopped = false;
-    home->tail = hs_thread_try("job-tail", run_tail, home);
-    home->owned = home->tail != NULL;
-    home->owner->tails += home->owned;
-    return home->owned;
+    owned->is_tail_stopped = false;
+    owned->tail = hs_thread_try("job-tail", run_tail, owned);
+    owned->is_owned = owned->tail != NULL;
+    owned->owner->tail_count += owned->is_owned;
+    return owned->is_owned;
 }
 
 /**
- * Run nothing more of a partition; what was made may be stored for a while. The caller holds the
- * lock.
+ * Stops all runs of a partition; their progress may be stored until the handover deadline. The
+ * caller holds the lock.
  */
-static void give_up_partition(hs_owned_partition_state *home) {
-    home->owned = false;
-    home->handover_deadline = hs_clock_monotonic_ms() + HS_JOB_HANDOVER_MS;
-    abandon_runs(home);
+static void release_partition(hs_owned_partition_state *owned) {
+    owned->is_owned = false;
+    owned->handover_deadline = hs_clock_monotonic_ms() + HS_JOB_HANDOVER_LIMIT_MS;
+    abandon_runs(owned);
 }
 
-/** Tell the other daemons what is owned now. The caller holds the lock. */
-static void tell_owned(hs_job_owner *owner) {
-    g_autoptr(GArray) parts = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-    for (uint32_t part = 0; part < owner->partitions->len; part++)
-        if (((hs_owned_partition_state *)owner->partitions->pdata[part])->owned)
-            g_array_append_val(parts, part);
+/** Announces the owned partitions to the other daemons. The caller holds the lock. */
+static void announce_owned(hs_job_owner *owner) {
+    g_autoptr(GArray) numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    for (uint32_t number = 0; number < owner->partitions->len; number++)
+        if (((hs_owned_partition_state *)owner->partitions->pdata[number])->is_owned)
+            g_array_append_val(numbers, number);
     if (owner->settings.daemons != NULL)
-        hs_daemon_directory_tell_owned(owner->settings.daemons, parts, owner->generation);
+        hs_daemon_directory_tell_owned(owner->settings.daemons, numbers, owner->generation);
 }
 
-void hs_job_owner_give_up_superseded(hs_job_owner *owner) {
+void hs_job_owner_release_superseded(hs_job_owner *owner) {
     bool has_changed = false;
-    for (uint32_t part = 0; part < owner->partitions->len; part++) {
-        hs_owned_partition_state *home = owner->partitions->pdata[part];
+    for (uint32_t number = 0; number < owner->partitions->len; number++) {
+        hs_owned_partition_state *owned = owner->partitions->pdata[number];
         hs_daemon_address other;
-        if (!home->owned || owner->settings.daemons == NULL ||
-            !hs_daemon_directory_owner(owner->settings.daemons, part, &other))
+        if (!owned->is_owned || owner->settings.daemons == NULL ||
+            !hs_daemon_directory_owner(owner->settings.daemons, number, &other))
             continue;
         hs_log_info("partition_superseded",
-                    "part=%u generation=%" G_GUINT64_FORMAT " reason=later_deal_heard", part,
-                    (guint64)owner->generation);
-        give_up_partition(home);
+                    "part=%u generation=%" G_GUINT64_FORMAT " reason=newer_assignment_announced",
+                    number, (guint64)owner->generation);
+        release_partition(owned);
         has_changed = true;
     }
     if (has_changed)
-        tell_owned(owner);
+        announce_owned(owner);
 }
 
-static void set_owned(hs_job_owner *owner, const GArray *parts) {
+static void set_owned(hs_job_owner *owner, const GArray *numbers) {
     bool has_changed = false;
-    bool all_taken = true;
+    bool all_acquired = true;
     g_mutex_lock(&owner->lock);
-    for (guint part = 0; part < owner->partitions->len; part++) {
-        hs_owned_partition_state *home = owner->partitions->pdata[part];
-        bool dealt = false;
-        for (guint index = 0; index < parts->len && !dealt; index++)
-            dealt = g_array_index(parts, uint32_t, index) == part;
-        if (dealt == home->owned)
+    for (guint number = 0; number < owner->partitions->len; number++) {
+        hs_owned_partition_state *owned = owner->partitions->pdata[number];
+        bool is_assigned = false;
+        for (guint index = 0; index < numbers->len && !is_assigned; index++)
+            is_assigned = g_array_index(numbers, uint32_t, index) == number;
+        if (is_assigned == owned->is_owned)
             continue;
         has_changed = true;
-        hs_log_info(dealt ? "partition_taken" : "partition_given_up",
-                    "part=%u generation=%" G_GUINT64_FORMAT, part, (guint64)owner->generation);
-        if (dealt) {
-            all_taken = take_partition(home) && all_taken;
+        hs_log_info(is_assigned ? "partition_taken" : "partition_given_up",
+                    "part=%u generation=%" G_GUINT64_FORMAT, number, (guint64)owner->generation);
+        if (is_assigned) {
+            all_acquired = acquire_partition(owned) && all_acquired;
         } else {
-            give_up_partition(home);
+            release_partition(owned);
         }
     }
-    if (has_changed && all_taken)
-        tell_owned(owner);
+    if (has_changed && all_acquired)
+        announce_owned(owner);
     g_cond_broadcast(&owner->changed);
     g_mutex_unlock(&owner->lock);
 }
@@ -219,12 +225,12 @@
     hs_store_call call =
         hs_platform_join(owner->settings.member, owner->settings.group_ttl_ms, owner->generation);
     GByteArray *answer = g_byte_array_new();
-    GArray *parts = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    GArray *numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     hs_store_outcome outcome = hs_store_client_send(
         owner->settings.store, &call, hs_clock_monotonic_ms() + JOIN_LIMIT_MS, NULL, answer);
-    if (outcome == HS_STORE_DONE && hs_platform_read_joined(answer, &owner->generation, parts))
-        set_owned(owner, parts);
-    g_array_free(parts, TRUE);
+    if (outcome == HS_STORE_DONE && hs_platform_read_joined(answer, &owner->generation, numbers))
+        set_owned(owner, numbers);
+    g_array_free(numbers, TRUE);
     g_byte_array_free(answer, TRUE);
     return outcome;
 }
@@ -254,8 +260,8 @@
     g_mutex_lock(&owner->lock);
     owner->draining = true;
     owner->handover_deadline = deadline;
-    for (guint part = 0; part < owner->partitions->len; part++)
-        abandon_runs(owner->partitions->pdata[part]);
+    for (guint number = 0; number < owner->partitions->len; number++)
+        abandon_runs(owner->partitions->pdata[number]);
     g_mutex_unlock(&owner->lock);
 }
 
@@ -271,10 +277,10 @@
     owner->stopping = true;
     owner->draining = true;
     owner->handover_deadline = hs_clock_monotonic_ms();
-    for (guint part = 0; part < owner->partitions->len; part++) {
-        hs_owned_partition_state *home = owner->partitions->pdata[part];
-        home->owned = false;
-        abandon_runs(home);
+    for (guint number = 0; number < owner->partitions->len; number++) {
+        hs_owned_partition_state *owned = owner->partitions->pdata[number];
+        owned->is_owned = false;
+        abandon_runs(owned);
     }
     g_cond_broadcast(&owner->changed);
     g_mutex_unlock(&owner->lock);
@@ -294,10 +300,10 @@
     if (owner->scheduler != NULL)
         g_thread_join(owner->scheduler);
     g_thread_pool_free(owner->workers, FALSE, TRUE);
-    for (guint part = 0; part < owner->partitions->len; part++) {
-        hs_owned_partition_state *home = owner->partitions->pdata[part];
-        if (home->tail != NULL)
-            g_thread_join(home->tail);
+    for (guint number = 0; number < owner->partitions->len; number++) {
+        hs_owned_partition_state *owned = owner->partitions->pdata[number];
+        if (owned->tail != NULL)
+            g_thread_join(owned->tail);
     }
     g_ptr_array_free(owner->partitions, TRUE);
     g_hash_table_destroy(owner->services);
--- a/src/jobs/job_partition.c
+++ b/src/jobs/job_partition.c
@@ -1,4 +1,4 @@
-/** @file job_partition.c  A partition's replica: reading and trimming; see job_partition.h. */
+/** @file job_partition.c  Reads and trims a partition's log; see job_partition.h. */
 #include "jobs/job_partition_state.h"
 
 #include "base/clock.h"
@@ -8,29 +8,26 @@
 #include <string.h>
 
 /**
- * One page of the log: 70 ms on a link of 30 Mbit/s that carries nothing else, so that a read ends
- * before its limit and what it brought stays, however long the log is.
+ * Size of one page of the log. Small enough to arrive before READ_LIMIT_MS on a slow link, so that
+ * each read advances the fold.
  */
 #define READ_MAX_KB 256
-/** One read of an item's content: a whole call of the store. */
+/** Size of one read of an item's content. */
 #define CONTENT_MAX_KB 1024
 #define READ_LIMIT_MS 1500
 #define ANSWER_SLACK_MS 700
 #define BYTES_PER_KB 1024
-/** Contents are older than their manifest, which may still be on its way for so long. */
+/** Contents are stored before their manifest, which may follow after up to this time. */
 #define TRIM_AGE_MS 30000
-/**
- * Pause in ms before a read that failed is tried again: some ten times what an answer takes, so
- * that the store is not pressed and its return is still noticed soon.
- */
+/** Pause after a failed read. */
 #define FAILED_READ_PAUSE_MS 150
 
-hs_job_partition *hs_job_partition_new(const hs_job_store_settings *settings, uint32_t part) {
+hs_job_partition *hs_job_partition_new(const hs_job_store_settings *settings, uint32_t number) {
     hs_job_partition *partition = g_new0(hs_job_partition, 1);
     partition->settings = *settings;
-    partition->part = part;
+    partition->number = number;
     g_mutex_init(&partition->lock);
-    g_cond_init(&partition->moved);
+    g_cond_init(&partition->advanced);
     partition->state = hs_job_state_new();
     return partition;
 }
@@ -40,7 +37,7 @@
         return;
     hs_job_state_free(partition->state);
     g_mutex_clear(&partition->lock);
-    g_cond_clear(&partition->moved);
+    g_cond_clear(&partition->advanced);
     g_free(partition);
 }
 
@@ -48,15 +45,15 @@
     return (uint32_t)(hs_hash_bytes(job_id, strlen(job_id)) % part_count);
 }
 
-hs_deadline hs_job_partition_patience(const hs_job_partition *partition, uint32_t attempt,
-                                      size_t bytes, hs_deadline limit) {
+hs_deadline hs_job_partition_append_deadline(const hs_job_partition *partition, uint32_t attempt,
+                                             size_t bytes, hs_deadline limit) {
     uint64_t patience_ms = hs_store_client_patience_ms(partition->settings.store, attempt, bytes);
     hs_deadline deadline = hs_clock_monotonic_ms() + patience_ms;
     return MIN(deadline, limit);
 }
 
 uint32_t hs_job_partition_number(const hs_job_partition *partition) {
-    return partition->part;
+    return partition->number;
 }
 
 hs_job_state *hs_job_partition_lock(hs_job_partition *partition) {
@@ -68,7 +65,10 @@
     g_mutex_unlock(&partition->lock);
 }
 
-/** Apply what a read brought. The caller holds the lock. True when the log's end is reached. */
+/**
+ * Applies the records of an answer. Returns whether the fold is at the end of the log. The caller
+ * holds the lock.
+ */
 static bool apply_answer(hs_job_partition *partition, const GByteArray *answer) {
     uint64_t end = 0;
     uint64_t first = 0;
@@ -80,19 +80,19 @@
         uint64_t offset = hs_job_state_next(partition->state);
         if (!hs_job_state_apply(partition->state, offset, record.value, record.value_length))
             hs_log_warning("job_record_unreadable", "part=%u offset=%" G_GUINT64_FORMAT,
-                           partition->part, (guint64)offset);
+                           partition->number, (guint64)offset);
     }
     return hs_job_state_next(partition->state) >= end;
 }
 
-/** One read from the log's present place on; the caller is the one reader. */
+/** Reads one page from the fold's position on. Only one thread reads at a time. */
 static bool read_once(hs_job_partition *partition, uint32_t wait_ms, hs_deadline deadline,
                       hs_interrupt *interrupt, bool *reached_end) {
     g_mutex_lock(&partition->lock);
     uint64_t from = hs_job_state_next(partition->state);
     g_mutex_unlock(&partition->lock);
     hs_store_call call =
-        hs_platform_read(HS_TOPIC_JOBS, partition->part, from, READ_MAX_KB, wait_ms);
+        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, READ_MAX_KB, wait_ms);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome =
         hs_store_client_send(partition->settings.store, &call, deadline, interrupt, answer);
@@ -109,61 +109,64 @@
 }
 
 static void end_reading(hs_job_partition *partition) {
-    partition->reading = false;
-    g_cond_broadcast(&partition->moved);
+    partition->is_reading = false;
+    g_cond_broadcast(&partition->advanced);
 }
 
 bool hs_job_partition_catch_up(hs_job_partition *partition, hs_deadline deadline) {
     g_mutex_lock(&partition->lock);
-    uint64_t wanted = partition->reads_begun + 1; /* A read that begins after this call. */
-    while (partition->last_good < wanted) {
-        if (partition->reading) {
-            if (!hs_clock_wait_until(deadline, &partition->moved, &partition->lock))
+    uint64_t required_read = partition->reads_started + 1; /* A read that starts after this call. */
+    while (partition->last_complete_read < required_read) {
+        if (partition->is_reading) {
+            if (!hs_clock_wait_until(deadline, &partition->advanced, &partition->lock))
                 break;
             continue;
         }
         if (hs_clock_monotonic_ms() >= deadline)
             break;
-        partition->reading = true;
-        uint64_t number = ++partition->reads_begun;
+        partition->is_reading = true;
+        uint64_t read_number = ++partition->reads_started;
         g_mutex_unlock(&partition->lock);
-        bool reached = false;
-        uint64_t began_ms = hs_clock_monotonic_ms();
-        hs_deadline limit = MIN(deadline, began_ms + READ_LIMIT_MS);
-        bool read = read_once(partition, 0, limit, NULL, &reached);
+        bool has_reached_end = false;
+        uint64_t started_ms = hs_clock_monotonic_ms();
+        hs_deadline limit = MIN(deadline, started_ms + READ_LIMIT_MS);
+        bool has_read = read_once(partition, 0, limit, NULL, &has_reached_end);
         g_mutex_lock(&partition->lock);
-        if (reached) {
-            partition->last_good = number;
-            partition->current_ms = MAX(partition->current_ms, began_ms);
+        if (has_reached_end) {
+            partition->last_complete_read = read_number;
+            partition->current_ms = MAX(partition->current_ms, started_ms);
         }
         end_reading(partition);
-        if (!read)
+        if (!has_read)
             break;
     }
-    bool caught_up = partition->last_good >= wanted;
+    bool caught_up = partition->last_complete_read >= required_read;
     g_mutex_unlock(&partition->lock);
     return caught_up;
 }
 
-/** Hold a read at the store from @p from on; takes no turn, so that short reads go on beside it. */
-static bool follow(hs_job_partition *partition, uint64_t from, uint32_t wait_ms) {
-    uint64_t began_ms = hs_clock_monotonic_ms();
-    hs_deadline deadline = began_ms + wait_ms + ANSWER_SLACK_MS;
+/** Long-polls the store for records from @p from on. Does not exclude short reads meanwhile. */
+static bool long_poll(hs_job_partition *partition, uint64_t from, uint32_t wait_ms) {
+    uint64_t started_ms = hs_clock_monotonic_ms();
+    hs_deadline deadline = started_ms + wait_ms + ANSWER_SLACK_MS;
     hs_store_call call =
-        hs_platform_read(HS_TOPIC_JOBS, partition->part, from, READ_MAX_KB, wait_ms);
+        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, READ_MAX_KB, wait_ms);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome =
         hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
     g_mutex_lock(&partition->lock);
     uint64_t first = 0;
-    while (partition->reading)
-        g_cond_wait(&partition->moved, &partition->lock);
+    while (partition->is_reading)
+        g_cond_wait(&partition->advanced, &partition->lock);
     if (outcome == HS_STORE_DONE && hs_job_state_next(partition->state) == from &&
         apply_answer(partition, answer)) {
-        /* Without news the store held the read to its end; news may have been there at once. */
-        bool has_news = hs_job_state_next(partition->state) != from;
-        uint64_t held_ms = has_news ? began_ms : began_ms + wait_ms;
-        partition->current_ms = MAX(partition->current_ms, MIN(held_ms, hs_clock_monotonic_ms()));
+        /*
+         * Without records the store waited to the end; records may have been there from the start.
+         */
+        bool has_records = hs_job_state_next(partition->state) != from;
+        uint64_t current_ms = has_records ? started_ms : started_ms + wait_ms;
+        partition->current_ms =
+            MAX(partition->current_ms, MIN(current_ms, hs_clock_monotonic_ms()));
     }
     if (outcome == HS_STORE_GONE && hs_platform_read_first_kept(answer, &first))
         hs_job_state_skip_to(partition->state, first);
@@ -179,25 +182,25 @@
     return is_current;
 }
 
-void hs_job_partition_hold(hs_job_partition *partition, uint64_t offset, hs_deadline until) {
+void hs_job_partition_wait(hs_job_partition *partition, uint64_t offset, hs_deadline until) {
     g_mutex_lock(&partition->lock);
     while (hs_job_state_next(partition->state) <= offset) {
         uint64_t now_ms = hs_clock_monotonic_ms();
         if (now_ms >= until)
             break;
-        if (partition->following) {
-            if (!hs_clock_wait_until(until, &partition->moved, &partition->lock))
+        if (partition->is_following) {
+            if (!hs_clock_wait_until(until, &partition->advanced, &partition->lock))
                 break;
             continue;
         }
-        partition->following = true;
+        partition->is_following = true;
         uint64_t from = hs_job_state_next(partition->state);
         g_mutex_unlock(&partition->lock);
-        if (!follow(partition, from, (uint32_t)(until - now_ms)))
+        if (!long_poll(partition, from, (uint32_t)(until - now_ms)))
             hs_clock_sleep_ms(FAILED_READ_PAUSE_MS);
         g_mutex_lock(&partition->lock);
-        partition->following = false;
-        g_cond_broadcast(&partition->moved);
+        partition->is_following = false;
+        g_cond_broadcast(&partition->advanced);
     }
     g_mutex_unlock(&partition->lock);
 }
@@ -210,7 +213,7 @@
     *outcome = HS_STORE_DONE;
     while (content->len < bytes && *outcome == HS_STORE_DONE) {
         uint32_t max_kb = (bytes - content->len) / BYTES_PER_KB + 1;
-        hs_store_call call = hs_platform_read(HS_TOPIC_BODIES, partition->part, offset,
+        hs_store_call call = hs_platform_read(HS_TOPIC_BODIES, partition->number, offset,
                                               MIN(max_kb, CONTENT_MAX_KB), 0);
         *outcome = hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
         size_t position = 0;
@@ -235,18 +238,19 @@
 }
 
 /**
- * Offset before which contents may go: what was needed first some time ago. The caller holds the
- * lock. 0: nothing to do.
+ * Returns the offset before which contents may be trimmed: the first needed one of TRIM_AGE_MS ago.
+ * 0: none. The caller holds the lock.
  */
 static uint64_t trim_target(hs_job_partition *partition, uint64_t now_ms) {
     uint64_t target = 0;
-    bool is_due = partition->trim_noted_ms != 0 && now_ms > partition->trim_noted_ms + TRIM_AGE_MS;
+    bool is_due =
+        partition->trim_candidate_ms != 0 && now_ms > partition->trim_candidate_ms + TRIM_AGE_MS;
     if (is_due && partition->trim_candidate > partition->trimmed_to)
         target = partition->trim_candidate;
     uint64_t first = hs_job_state_first_needed_content(partition->state);
-    if (first != UINT64_MAX && (is_due || partition->trim_noted_ms == 0)) {
+    if (first != UINT64_MAX && (is_due || partition->trim_candidate_ms == 0)) {
         partition->trim_candidate = first;
-        partition->trim_noted_ms = now_ms;
+        partition->trim_candidate_ms = now_ms;
     }
     return target;
 }
@@ -260,7 +264,7 @@
     g_mutex_unlock(&partition->lock);
     if (target == 0)
         return;
-    hs_store_call call = hs_platform_trim(HS_TOPIC_BODIES, partition->part, target);
+    hs_store_call call = hs_platform_trim(HS_TOPIC_BODIES, partition->number, target);
     GByteArray *answer = g_byte_array_new();
     if (hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer) ==
         HS_STORE_DONE)
--- a/src/jobs/job_partition_append.c
+++ b/src/jobs/job_partition_append.c
@@ -1,6 +1,6 @@
 /**
  * @file job_partition_append.c
- * What is written to a partition: records, results, progress and contents; see job_partition.h.
+ * Appends records, results, progress and contents to a partition; see job_partition.h.
  */
 #include "jobs/job_partition_state.h"
 
@@ -18,11 +18,11 @@
                                        uint64_t *offset) {
     hs_store_outcome outcome = HS_STORE_REFUSED;
     if (partition->settings.relay != NULL)
-        outcome = hs_job_relay_append(partition->settings.relay, topic, partition->part, records,
+        outcome = hs_job_relay_append(partition->settings.relay, topic, partition->number, records,
                                       deadline, offset);
     if (outcome != HS_STORE_REFUSED)
         return outcome;
-    hs_store_call call = hs_platform_append(topic, partition->part, records);
+    hs_store_call call = hs_platform_append(topic, partition->number, records);
     GByteArray *answer = g_byte_array_new();
     outcome = hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
     if (outcome == HS_STORE_DONE && !hs_platform_read_appended(answer, offset))
@@ -66,27 +66,27 @@
         frame(records, &record);
     }
     uint64_t offset = 0;
-    hs_store_outcome done = append_records(partition, HS_TOPIC_JOBS, records, deadline, &offset);
+    hs_store_outcome stored = append_records(partition, HS_TOPIC_JOBS, records, deadline, &offset);
     g_byte_array_free(records, TRUE);
-    return done;
+    return stored;
 }
 
-bool hs_job_partition_frame_progress(const hs_job_partition *partition, const hs_job_progress *made,
-                                     GByteArray *records) {
-    if (made->text->len + RECORD_OVERHEAD_BYTES > partition->settings.record_bytes)
+bool hs_job_partition_frame_progress(const hs_job_partition *partition,
+                                     const hs_job_progress *progress, GByteArray *records) {
+    if (progress->text->len + RECORD_OVERHEAD_BYTES > partition->settings.record_bytes)
         return false;
-    Hs__JobProgress progress = HS__JOB_PROGRESS__INIT;
-    progress.job_id = (char *)made->job_id;
-    progress.item = made->item;
-    progress.from_event = made->from_event;
-    progress.last_event = made->last_event;
-    progress.writer = made->writer;
-    progress.base_event = made->base_event;
-    progress.text.data = (uint8_t *)made->text->str;
-    progress.text.len = made->text->len;
+    Hs__JobProgress message = HS__JOB_PROGRESS__INIT;
+    message.job_id = (char *)progress->job_id;
+    message.item = progress->item;
+    message.from_event = progress->from_event;
+    message.last_event = progress->last_event;
+    message.writer = progress->writer;
+    message.base_event = progress->base_event;
+    message.text.data = (uint8_t *)progress->text->str;
+    message.text.len = progress->text->len;
     Hs__JobRecord record = HS__JOB_RECORD__INIT;
     record.kind_case = HS__JOB_RECORD__KIND_PROGRESS;
-    record.progress = &progress;
+    record.progress = &message;
     frame(records, &record);
     return true;
 }
@@ -97,7 +97,7 @@
     return append_records(partition, HS_TOPIC_JOBS, records, deadline, &offset);
 }
 
-/** Frame a content over as many records as it needs; how many those are. */
+/** Frames a content as one or more records and returns their number. */
 static uint32_t frame_content(const hs_job_partition *partition, GByteArray *records,
                               const GByteArray *content) {
     uint32_t count = 0;
--- a/src/jobs/job_partition_state.h
+++ b/src/jobs/job_partition_state.h
@@ -1,4 +1,6 @@
-/** @file job_partition_state.h  A partition's replica; for src/jobs/job_partition*.c only. */
+/**
+ * @file job_partition_state.h State of a partition's replica; for src/jobs/job_partition*.c only.
+ */
 #ifndef HS_JOBS_JOB_PARTITION_STATE_H
 #define HS_JOBS_JOB_PARTITION_STATE_H
 
@@ -6,17 +8,17 @@
 
 struct hs_job_partition {
     hs_job_store_settings settings;
-    uint32_t part;
+    uint32_t number;
     GMutex lock;
-    GCond moved;    /**< The fold moved on, or a read ended. */
-    bool reading;   /**< A thread is reading from the log. */
-    bool following; /**< A thread has a read held at the store. */
-    uint64_t reads_begun;
-    uint64_t last_good;  /**< Number of the latest read that reached the end. */
-    uint64_t current_ms; /**< The fold held all that the log held at this moment; 0: never. */
+    GCond advanced;    /**< The fold advanced, or a read ended. */
+    bool is_reading;   /**< A thread reads from the log. */
+    bool is_following; /**< A thread long-polls the store. */
+    uint64_t reads_started;
+    uint64_t last_complete_read; /**< Number of the latest read that reached the end of the log. */
+    uint64_t current_ms; /**< The fold held all records of the log at this time; 0: never. */
     uint64_t trimmed_to;
-    uint64_t trim_candidate; /**< First content needed when it was noted. */
-    uint64_t trim_noted_ms;  /**< 0: none noted. */
+    uint64_t trim_candidate;    /**< First needed content at trim_candidate_ms. */
+    uint64_t trim_candidate_ms; /**< 0: none. */
     hs_job_state *state;
 };
 
--- a/src/jobs/job_peer.c
+++ b/src/jobs/job_peer.c
@@ -6,13 +6,15 @@
 #include "http/http_fields.h"
 #include "platform/caller_codec.h"
 
-/** A daemon that takes longer than this to accept a connection is asked no further, in ms. */
+/** Maximum time until a daemon accepts a connection. */
 #define CONNECT_LIMIT_MS 250
-/** Largest answer, in bytes: a page of results, escaped. */
+/** Maximum size of an answer; fits an escaped page of results. */
 #define ANSWER_LIMIT_BYTES (16U * 1024 * 1024)
 
-/** The head as it came, for the other daemon, which believes whose call it is. Free with
- * g_string_free. */
+/**
+ * Formats the request head with the fields as received and the tenant, which the other daemon
+ * trusts. Freed with g_string_free.
+ */
 static GString *write_head(const hs_inbound *inbound, const char *tenant) {
     GArray *fields = hs_platform_name_tenant(inbound->fields, tenant);
     GString *head = g_string_new(NULL);
@@ -31,7 +33,7 @@
     return head;
 }
 
-/** Send a call, with @p body where it is not NULL, and read the whole answer. */
+/** Sends a request, with @p body unless it is NULL, and reads the complete answer. */
 static bool exchange(hs_client_connection *connection, GString *head, const GByteArray *body,
                      const hs_wait *wait) {
     const void *bytes = body != NULL ? body->data : NULL;
@@ -46,7 +48,7 @@
     return step == HS_STEP_COMPLETE;
 }
 
-static void take_answer(hs_client_connection *connection, hs_peer_answer *answer) {
+static void copy_answer(hs_client_connection *connection, hs_peer_answer *answer) {
     const GByteArray *body = hs_client_connection_body(connection);
     const char *type = hs_http_fields_find(hs_client_connection_fields(connection), "Content-Type");
     *answer = (hs_peer_answer){.status = hs_client_connection_status(connection),
@@ -56,7 +58,7 @@
 }
 
 /**
- * One call on a connection of its own. @p watched: a descriptor whose end ends the call, or
+ * Makes one request on a new connection. @p watched: descriptor whose end aborts the request, or
  * HS_WATCH_NOTHING. Frees @p head.
  */
 static hs_peer_outcome call_peer(const hs_daemon_address *peer, GString *head,
@@ -65,14 +67,14 @@
     hs_wait wait = {.deadline = MIN(deadline, hs_clock_monotonic_ms() + CONNECT_LIMIT_MS),
                     .watched = watched};
     hs_step step = HS_STEP_CUT;
-    hs_peer_outcome outcome = HS_PEER_NOT_ASKED;
+    hs_peer_outcome outcome = HS_PEER_NOT_SENT;
     hs_client_connection *connection =
         hs_client_connection_open(peer->address, peer->port, &wait, &step);
     wait.deadline = deadline;
     if (connection != NULL)
         hs_client_connection_guard(connection, HS_CONNECTION_DAEMON);
     if (connection != NULL && exchange(connection, head, body, &wait)) {
-        take_answer(connection, answer);
+        copy_answer(connection, answer);
         outcome = HS_PEER_ANSWERED;
     } else if (connection != NULL && hs_client_connection_sent_any(connection)) {
         outcome = HS_PEER_SILENT;
@@ -83,8 +85,9 @@
     return outcome;
 }
 
-hs_peer_outcome hs_job_peer_ask(const hs_daemon_address *peer, const hs_inbound *inbound,
-                                const char *tenant, hs_deadline deadline, hs_peer_answer *answer) {
+hs_peer_outcome hs_job_peer_forward(const hs_daemon_address *peer, const hs_inbound *inbound,
+                                    const char *tenant, hs_deadline deadline,
+                                    hs_peer_answer *answer) {
     return call_peer(peer, write_head(inbound, tenant), inbound->body, inbound->descriptor,
                      deadline, answer);
 }
@@ -98,14 +101,14 @@
     return call_peer(peer, head, body, HS_WATCH_NOTHING, deadline, answer);
 }
 
-bool hs_job_peer_reaches_store(const hs_daemon_address *peer, hs_deadline deadline) {
+bool hs_job_peer_can_reach_store(const hs_daemon_address *peer, hs_deadline deadline) {
     GString *head = g_string_new("GET " HS_PEER_STORE_TARGET " HTTP/1.1\r\nHost: peer\r\n\r\n");
     hs_peer_answer answer;
     if (call_peer(peer, head, NULL, HS_WATCH_NOTHING, deadline, &answer) != HS_PEER_ANSWERED)
         return false;
-    bool reaches = answer.status == 200;
+    bool can_reach = answer.status == 200;
     hs_peer_answer_clear(&answer);
-    return reaches;
+    return can_reach;
 }
 
 void hs_peer_answer_clear(hs_peer_answer *answer) {
--- a/src/jobs/job_relay.c
+++ b/src/jobs/job_relay.c
@@ -10,19 +10,19 @@
 #include <string.h>
 
 /**
- * Owners asked at most for one append: where the store turns a third of the daemons away, six in a
- * row are among them one time in 700.
+ * Maximum number of owners asked for one append. Enough to find one that reaches the store while
+ * the store rejects a third of the daemons.
  */
-#define ASKED_MOST 6
-/** Longest in ms that a daemon may take to say whether it reaches the store: some ways to it. */
-#define REACHES_STORE_MS 100
-/** At least so long in ms for the way to the other daemon and its append. */
-#define RELAY_LEAST_MS 300
-/** What the other daemon may take for the append itself, in ms. */
+#define MAX_PEERS_ASKED 6
+/** Maximum time for a daemon's answer whether it reaches the store. */
+#define STORE_CHECK_LIMIT_MS 100
+/** Minimum time for the request to the other daemon and its append. */
+#define MIN_RELAY_LIMIT_MS 300
+/** Maximum time for the append by the other daemon. */
 #define APPEND_LIMIT_MS 250
-/** After nobody was found who reaches the store: nobody is asked for so long, in ms. */
+/** Pause after a search that found no daemon. */
 #define SEARCH_PAUSE_MS 500
-/** A call for an append, between daemons: number of the topic, and the partition. */
+/** Target of an append between daemons: numbers of the topic and of the partition. */
 #define TARGET_FORMAT "/append?topic=%u&part=%u"
 
 struct hs_job_relay {
@@ -50,33 +50,34 @@
     g_free(relay);
 }
 
-static bool may_search(hs_job_relay *relay) {
+static bool can_search(hs_job_relay *relay) {
     g_mutex_lock(&relay->lock);
     bool may = hs_clock_monotonic_ms() >= relay->next_search_ms;
     g_mutex_unlock(&relay->lock);
     return may;
 }
 
-static void note_search(hs_job_relay *relay, bool is_found) {
+static void record_search(hs_job_relay *relay, bool is_found) {
     g_mutex_lock(&relay->lock);
     relay->next_search_ms = is_found ? 0 : hs_clock_monotonic_ms() + SEARCH_PAUSE_MS;
     g_mutex_unlock(&relay->lock);
 }
 
-bool hs_job_relay_find(hs_job_relay *relay, uint32_t part, hs_daemon_address *peer) {
-    if (relay->daemons == NULL || !may_search(relay))
+bool hs_job_relay_find_peer(hs_job_relay *relay, uint32_t partition, hs_daemon_address *peer) {
+    if (relay->daemons == NULL || !can_search(relay))
         return false;
     bool is_found = false;
-    for (uint32_t tried = 0; tried < ASKED_MOST && !is_found; tried++) {
-        uint32_t other = (part + tried) % relay->part_count;
-        is_found = hs_daemon_directory_owner(relay->daemons, other, peer) &&
-                   hs_job_peer_reaches_store(peer, hs_clock_monotonic_ms() + REACHES_STORE_MS);
+    for (uint32_t attempt = 0; attempt < MAX_PEERS_ASKED && !is_found; attempt++) {
+        uint32_t other = (partition + attempt) % relay->part_count;
+        is_found =
+            hs_daemon_directory_owner(relay->daemons, other, peer) &&
+            hs_job_peer_can_reach_store(peer, hs_clock_monotonic_ms() + STORE_CHECK_LIMIT_MS);
     }
-    note_search(relay, is_found);
+    record_search(relay, is_found);
     return is_found;
 }
 
-/** What the other daemon's answer says of the append. */
+/** Returns the outcome of the append that the other daemon's answer reports. */
 static hs_store_outcome read_answer(const hs_peer_answer *answer, uint64_t *offset) {
     g_autofree char *text = g_strndup((const char *)answer->body->data, answer->body->len);
     switch (answer->status) {
@@ -95,30 +96,31 @@
     }
 }
 
-hs_store_outcome hs_job_relay_append(hs_job_relay *relay, hs_topic topic, uint32_t part,
+hs_store_outcome hs_job_relay_append(hs_job_relay *relay, hs_topic topic, uint32_t partition,
                                      const GByteArray *records, hs_deadline deadline,
                                      uint64_t *offset) {
     hs_daemon_address peer;
-    if (!hs_store_client_is_failing(relay->store) || !hs_job_relay_find(relay, part, &peer))
+    if (!hs_store_client_is_failing(relay->store) ||
+        !hs_job_relay_find_peer(relay, partition, &peer))
         return HS_STORE_REFUSED;
-    g_autofree char *target = g_strdup_printf(TARGET_FORMAT, (unsigned)topic, part);
-    hs_deadline limit = MAX(deadline, hs_clock_monotonic_ms() + RELAY_LEAST_MS);
+    g_autofree char *target = g_strdup_printf(TARGET_FORMAT, (unsigned)topic, partition);
+    hs_deadline limit = MAX(deadline, hs_clock_monotonic_ms() + MIN_RELAY_LIMIT_MS);
     hs_peer_answer answer;
-    hs_peer_outcome asked = hs_job_peer_post(&peer, target, records, limit, &answer);
-    hs_store_outcome outcome = asked == HS_PEER_SILENT ? HS_STORE_UNKNOWN : HS_STORE_REFUSED;
-    if (asked == HS_PEER_ANSWERED) {
+    hs_peer_outcome sent = hs_job_peer_post(&peer, target, records, limit, &answer);
+    hs_store_outcome outcome = sent == HS_PEER_SILENT ? HS_STORE_UNKNOWN : HS_STORE_REFUSED;
+    if (sent == HS_PEER_ANSWERED) {
         outcome = read_answer(&answer, offset);
         hs_peer_answer_clear(&answer);
     }
-    hs_log_info("append_relayed", "topic=%u part=%u bytes=%u outcome=%s", (unsigned)topic, part,
-                records->len, hs_store_outcome_name(outcome));
+    hs_log_info("append_relayed", "topic=%u part=%u bytes=%u outcome=%s", (unsigned)topic,
+                partition, records->len, hs_store_outcome_name(outcome));
     return outcome;
 }
 
-/** Topic and partition of a call; false: it is none, or names no partition of jobs. */
-static bool read_target(const char *target, hs_topic *topic, uint32_t *part) {
+/** Parses the target of an append. Returns false if it is malformed or names no topic of jobs. */
+static bool read_target(const char *target, hs_topic *topic, uint32_t *partition) {
     unsigned number = 0;
-    bool is_read = sscanf(target, TARGET_FORMAT, &number, part) == 2;
+    bool is_read = sscanf(target, TARGET_FORMAT, &number, partition) == 2;
     *topic = (hs_topic)number;
     return is_read && (*topic == HS_TOPIC_JOBS || *topic == HS_TOPIC_BODIES);
 }
@@ -144,11 +146,11 @@
 
 void hs_job_relay_serve(hs_store_client *store, hs_inbound *inbound) {
     hs_topic topic = HS_TOPIC_JOBS;
-    uint32_t part = 0;
+    uint32_t partition = 0;
     uint64_t offset = 0;
     hs_store_outcome outcome = HS_STORE_INVALID;
-    if (read_target(inbound->target, &topic, &part)) {
-        hs_store_call call = hs_platform_append(topic, part, inbound->body);
+    if (read_target(inbound->target, &topic, &partition)) {
+        hs_store_call call = hs_platform_append(topic, partition, inbound->body);
         GByteArray *answer = g_byte_array_new();
         outcome = hs_store_client_send(store, &call, hs_clock_monotonic_ms() + APPEND_LIMIT_MS,
                                        NULL, answer);
--- a/src/jobs/job_relay.h
+++ b/src/jobs/job_relay.h
@@ -1,11 +1,10 @@
 /**
  * @file job_relay.h
- * Appends to the jobs' partitions through another daemon, while the store turns this one away.
+ * Appends to partitions of jobs through another daemon while the store rejects this one.
  *
- * Records count by what they say, not by who wrote them, and one that stands in the log twice
- * changes nothing the second time, so that any daemon may append them. Without it results that an
- * owner has made lie at that owner until the store takes its calls again, and the next owner of the
- * partition runs the items once more.
+ * Records are idempotent and do not depend on their writer, so any daemon may append them. Without
+ * the relay, results would stay at an owner that the store rejects, and the next owner of the
+ * partition would run the items again. Thread-safe.
  */
 #ifndef HS_JOBS_JOB_RELAY_H
 #define HS_JOBS_JOB_RELAY_H
@@ -16,30 +15,33 @@
 
 typedef struct hs_job_relay hs_job_relay;
 
-/** @p daemons: whom to ask; both borrowed for the relay's life. */
+/**
+ * Creates a relay. @p daemons: directory of the daemons to ask; both pointers are borrowed for the
+ * lifetime of the relay.
+ */
 hs_job_relay *hs_job_relay_new(hs_daemon_directory *daemons, hs_store_client *store,
                                uint32_t part_count);
 void hs_job_relay_free(hs_job_relay *relay);
 
 /**
- * Another daemon that says it reaches the store: the owner of the partition, or of one of the next.
- * False: none was found, now or a moment ago.
+ * Finds another daemon that reports to reach the store, starting with the owner of @p partition.
+ * Returns false if none is found or a recent search found none.
  */
-bool hs_job_relay_find(hs_job_relay *relay, uint32_t part, hs_daemon_address *peer);
+bool hs_job_relay_find_peer(hs_job_relay *relay, uint32_t partition, hs_daemon_address *peer);
 
 /**
- * Append framed @p records through another daemon where this one's calls to the store fail.
- * HS_STORE_REFUSED: not needed, or nobody was found who reaches the store; nothing was done. The
- * first record's offset goes to @p offset. May take a little longer than until @p deadline.
+ * Appends framed @p records through another daemon if this daemon's calls to the store fail.
+ * HS_STORE_REFUSED: nothing was appended, because the calls do not fail or no other daemon reaches
+ * the store. Sets @p offset to that of the first record. May end slightly after @p deadline.
  */
-hs_store_outcome hs_job_relay_append(hs_job_relay *relay, hs_topic topic, uint32_t part,
+hs_store_outcome hs_job_relay_append(hs_job_relay *relay, hs_topic topic, uint32_t partition,
                                      const GByteArray *records, hs_deadline deadline,
                                      uint64_t *offset);
 
-/** Whether another daemon's call asks for an append, by its target. */
+/** Returns whether a request's target is that of an append for another daemon. */
 bool hs_job_relay_is_call(const char *target);
 
-/** Append for another daemon and answer it. */
+/** Appends the records of another daemon's request and replies. */
 void hs_job_relay_serve(hs_store_client *store, hs_inbound *inbound);
 
 #endif
--- a/src/jobs/job_service.c
+++ b/src/jobs/job_service.c
@@ -8,15 +8,15 @@
 
 #include <string.h>
 
-/** Longest that a call is worked on; callers without a time-out of their own give up after it. */
+/** Maximum duration of a request without a timeout of its own. */
 #define CALL_LIMIT_MS 4000
-/** One try to read a partition's log: callers try another daemon after about two seconds. */
-#define ONE_TRY_MS 1200
+/** Limit of one read of a partition's log; leaves callers time to retry at another daemon. */
+#define ATTEMPT_LIMIT_MS 1200
 /**
- * Longest time that a call without the log is told to stay away, in ms, before it is spread:
- * another daemon may reach the log now, and results that are read late count for little.
+ * Maximum Retry-After, before random spread, of a request that could not reach the log. Kept short
+ * because another daemon may reach the log already.
  */
-#define AWAY_MOST_MS 200
+#define MAX_RETRY_DELAY_MS 200
 
 static void free_partition(gpointer data) {
     hs_job_partition_free(data);
@@ -29,8 +29,8 @@
     service->settings = *settings;
     service->settings.relay = hs_job_relay_new(daemons, settings->store, settings->part_count);
     service->partitions = g_ptr_array_new_with_free_func(free_partition);
-    for (uint32_t part = 0; part < settings->part_count; part++)
-        g_ptr_array_add(service->partitions, hs_job_partition_new(&service->settings, part));
+    for (uint32_t number = 0; number < settings->part_count; number++)
+        g_ptr_array_add(service->partitions, hs_job_partition_new(&service->settings, number));
     service->quota = hs_job_quota_new(settings->store);
     return service;
 }
@@ -52,15 +52,15 @@
     return hs_job_quota_counters(service->quota);
 }
 
-hs_job_partition *hs_job_service_partition(hs_job_service *service, uint32_t part) {
-    return service->partitions->pdata[part];
+hs_job_partition *hs_job_service_partition(hs_job_service *service, uint32_t number) {
+    return service->partitions->pdata[number];
 }
 
 uint32_t hs_job_service_part_count(const hs_job_service *service) {
     return service->partitions->len;
 }
 
-hs_job_partition *hs_job_service_partition_of(hs_job_service *service, const char *job_id) {
+hs_job_partition *hs_job_service_partition_for_job(hs_job_service *service, const char *job_id) {
     return hs_job_service_partition(service,
                                     hs_job_partition_of(job_id, service->settings.part_count));
 }
@@ -70,8 +70,8 @@
     GArray *fields = hs_http_fields_new();
     hs_http_fields_add(fields, "Content-Type", type);
     if (status == 503 || status == 429) {
-        uint64_t told_ms = hs_retry_after_spread_ms(retry_after_ms, g_random_int());
-        g_autofree char *seconds = g_strdup_printf("%.3f", (double)told_ms / 1000.0);
+        uint64_t delay_ms = hs_retry_after_spread_ms(retry_after_ms, g_random_int());
+        g_autofree char *seconds = g_strdup_printf("%.3f", (double)delay_ms / 1000.0);
         hs_http_fields_add(fields, "Retry-After", seconds);
     }
     hs_inbound_reply(inbound, status, fields, body, length);
@@ -80,9 +80,9 @@
 
 void hs_job_reply(hs_inbound *inbound, uint32_t status, const char *type, const void *body,
                   size_t length) {
-    uint64_t tried_ms = hs_clock_monotonic_ms() - inbound->received_ms;
-    uint64_t away_ms = MIN(hs_retry_after_absence_ms(tried_ms, 0), AWAY_MOST_MS);
-    reply(inbound, status, type, body, length, away_ms);
+    uint64_t elapsed_ms = hs_clock_monotonic_ms() - inbound->received_ms;
+    uint64_t retry_after_ms = MIN(hs_retry_after_absence_ms(elapsed_ms, 0), MAX_RETRY_DELAY_MS);
+    reply(inbound, status, type, body, length, retry_after_ms);
 }
 
 void hs_job_reply_text(hs_inbound *inbound, uint32_t status, const char *text) {
@@ -101,18 +101,19 @@
     return inbound->received_ms + limit_ms;
 }
 
-hs_deadline hs_job_one_try(hs_deadline deadline) {
-    return MIN(deadline, hs_clock_monotonic_ms() + ONE_TRY_MS);
+hs_deadline hs_job_attempt_deadline(hs_deadline deadline) {
+    return MIN(deadline, hs_clock_monotonic_ms() + ATTEMPT_LIMIT_MS);
 }
 
-hs_job_sight hs_job_see(hs_job_partition *partition, const char *job_id, const char *tenant) {
+hs_job_visibility hs_job_check_visibility(hs_job_partition *partition, const char *job_id,
+                                          const char *tenant) {
     hs_job_state *state = hs_job_partition_lock(partition);
     const hs_job *job = hs_job_state_find(state, job_id);
-    hs_job_sight sight = HS_JOB_NOT_SEEN;
+    hs_job_visibility visibility = HS_JOB_UNKNOWN;
     if (job != NULL)
-        sight = hs_job_is_visible(job, tenant) ? HS_JOB_SEEN : HS_JOB_OF_ANOTHER;
+        visibility = hs_job_is_visible(job, tenant) ? HS_JOB_VISIBLE : HS_JOB_OF_OTHER_TENANT;
     hs_job_partition_unlock(partition);
-    return sight;
+    return visibility;
 }
 
 void hs_job_service_append_end(hs_job_partition *partition, hs_inbound *inbound, const char *job_id,
@@ -128,10 +129,11 @@
         if (attempt > 0)
             hs_clock_sleep_ms(HS_JOB_RETRY_PAUSE_MS);
         outcome = hs_job_partition_append(
-            partition, &record, hs_job_partition_patience(partition, attempt++, 0, deadline));
+            partition, &record,
+            hs_job_partition_append_deadline(partition, attempt++, 0, deadline));
     } while (outcome != HS_STORE_DONE && outcome != HS_STORE_INVALID &&
              hs_clock_monotonic_ms() < deadline);
-    hs_log_info("job_end_asked", "job=%s part=%u outcome=%s", job_id,
+    hs_log_info("job_end_requested", "job=%s part=%u outcome=%s", job_id,
                 hs_job_partition_number(partition), hs_store_outcome_name(outcome));
     if (outcome == HS_STORE_DONE)
         hs_job_reply_text(inbound, 200, "");
--- a/src/jobs/job_service.h
+++ b/src/jobs/job_service.h
@@ -1,10 +1,12 @@
 /**
  * @file job_service.h
- * Callers' calls about batch jobs, at any daemon: submit, read results, read an item, end.
+ * Serves callers' requests about batch jobs on any daemon: submissions, reads of results and of
+ * items, and job ends.
  *
- * Durable truth is the log. A submission is answered 202 only when its manifest is in it. Other
- * calls are answered by whoever has a recent fold, this daemon or the partition's owner, or after
- * a read of the log; "not known" is said only after the log was read to its end.
+ * The log is the authoritative state. A submission is answered with 202 only once its manifest is
+ * in the log. Other requests are answered from a recent fold, either this daemon's or that of the
+ * partition's owner, or after a read of the log. A job is reported as unknown only after the log
+ * was read to its end. Thread-safe.
  */
 #ifndef HS_JOBS_JOB_SERVICE_H
 #define HS_JOBS_JOB_SERVICE_H
@@ -17,52 +19,59 @@
 
 typedef struct hs_job_service hs_job_service;
 
-/** Settings are copied. @p daemons: who owns which partition; borrowed; NULL: nobody is asked. */
+/**
+ * Copies @p settings. @p daemons: directory of partition owners, borrowed; NULL: requests are not
+ * forwarded.
+ */
 hs_job_service *hs_job_service_new(const hs_job_store_settings *settings,
                                    hs_daemon_directory *daemons);
 void hs_job_service_free(hs_job_service *service);
 
-/** Partition by number; borrowed. */
-hs_job_partition *hs_job_service_partition(hs_job_service *service, uint32_t part);
+/** Returns a partition by its number; borrowed. */
+hs_job_partition *hs_job_service_partition(hs_job_service *service, uint32_t number);
 
-/** How many partitions there are. */
 uint32_t hs_job_service_part_count(const hs_job_service *service);
 
-/** What keeps routes within their limits; borrowed. */
+/** Returns the component that enforces the token limits of routes; borrowed. */
 hs_job_quota *hs_job_service_quota(hs_job_service *service);
 
-/** How routes were kept within their limits so far. */
+/** Returns the counters of quota decisions. */
 hs_quota_counters hs_job_service_quota_counters(hs_job_service *service);
 
-/** Who calls. All borrowed. */
+/** The identified caller of a request; all borrowed. */
 typedef struct {
     const hs_caller_terms *terms;
-    const char *tenant; /**< Whose call it is; "": nobody's. A job is its tenant's alone. */
+    const char *tenant; /**< Tenant of the caller; "": none. The jobs of a tenant are visible to
+                           that tenant only. */
 } hs_job_caller;
 
-/** @p route is one of @p config. */
+/** Stores the submitted job and replies. @p route belongs to @p config. */
 void hs_job_service_submit(hs_job_service *service, hs_inbound *inbound,
                            const hs_job_caller *caller, const hs_fleet_config *config,
                            const hs_fleet_route *route);
-/** A submission that another daemon, which cannot reach the store, passes on. */
+/** Handles a submission forwarded by another daemon that cannot reach the store. */
 void hs_job_service_submit_of_peer(hs_job_service *service, hs_inbound *inbound,
                                    const hs_job_caller *caller, const hs_fleet_config *config,
                                    const hs_fleet_route *route);
 
-/** A caller's call about a submitted job, at any daemon. @p kind: a read, an item or an end. */
+/**
+ * Handles a caller's request about a submitted job. @p kind: a job read, an item read or a job end.
+ */
 void hs_job_service_call(hs_job_service *service, hs_inbound *inbound, const hs_job_caller *caller,
                          hs_call_kind kind, const char *job_id);
 
-/** The same call passed on by another daemon; 503 where this daemon's fold is not recent. */
+/**
+ * Handles such a request forwarded by another daemon; replies 503 if this daemon's fold is too old.
+ */
 void hs_job_service_call_of_peer(hs_job_service *service, hs_inbound *inbound,
                                  const hs_job_caller *caller, hs_call_kind kind,
                                  const char *job_id);
 
-/** How calls about submitted jobs were answered so far. */
+/** Counts of requests about submitted jobs, by the source of the answer. */
 typedef struct {
     gint from_own_fold;
-    gint by_owner; /**< Passed on to the partition's owner. */
-    gint from_log; /**< After a look at the partition's log. */
+    gint by_owner; /**< Answered by the partition's owner. */
+    gint from_log; /**< Answered after a read of the partition's log. */
     gint refused;
 } hs_job_read_counters;
 
--- a/src/jobs/job_state.c
+++ b/src/jobs/job_state.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/** A result spread over records that is not whole yet. */
+/** A result split into several records, not all of which have been applied. */
 typedef struct {
     char *job_id;
     uint32_t item;
@@ -83,13 +83,13 @@
     job->item_by_id = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     job->results = g_ptr_array_new_with_free_func(free_result);
     for (size_t index = 0; index < manifest->n_items; index++) {
-        const Hs__JobItem *told = manifest->items[index];
-        hs_job_item item = {.id = g_strdup(told->id),
-                            .tokens = told->tokens,
-                            .content_offset = told->content_offset,
-                            .content_bytes = told->content_bytes};
+        const Hs__JobItem *entry = manifest->items[index];
+        hs_job_item item = {.id = g_strdup(entry->id),
+                            .tokens = entry->tokens,
+                            .content_offset = entry->content_offset,
+                            .content_bytes = entry->content_bytes};
         g_array_append_val(job->items, item);
-        g_hash_table_insert(job->item_by_id, g_strdup(told->id), GSIZE_TO_POINTER(index + 1));
+        g_hash_table_insert(job->item_by_id, g_strdup(entry->id), GSIZE_TO_POINTER(index + 1));
     }
     g_hash_table_insert(state->jobs, job->id, job);
 }
@@ -109,13 +109,14 @@
     g_ptr_array_add(job->results, result);
 }
 
-static void forget_partial(hs_job_state *state) {
+static void clear_partial(hs_job_state *state) {
     g_clear_pointer(&state->partial.job_id, g_free);
     g_byte_array_set_size(state->partial.text, 0);
 }
 
-/** Parts of one result follow each other at once, since an append is taken whole or not at all. */
-static bool follows(const partial_result *partial, uint64_t offset, const Hs__JobResult *result) {
+/** Parts of one result have consecutive offsets because they are appended in one call. */
+static bool is_next_part(const partial_result *partial, uint64_t offset,
+                         const Hs__JobResult *result) {
     return partial->job_id != NULL && partial->next_offset == offset &&
            partial->next_part == result->part && partial->item == result->item &&
            strcmp(partial->job_id, result->job_id) == 0;
@@ -132,10 +133,10 @@
         return;
     }
     partial_result *partial = &state->partial;
-    bool goes_on = result->part > 0 && follows(partial, offset, result);
-    if (!goes_on)
-        forget_partial(state);
-    if (!goes_on && result->part > 0)
+    bool is_continuation = result->part > 0 && is_next_part(partial, offset, result);
+    if (!is_continuation)
+        clear_partial(state);
+    if (!is_continuation && result->part > 0)
         return;
     if (partial->job_id == NULL)
         partial->job_id = g_strdup(result->job_id);
@@ -146,7 +147,7 @@
     if (partial->next_part < result->parts)
         return;
     list_result(job, result->item, outcome, partial->text->data, partial->text->len);
-    forget_partial(state);
+    clear_partial(state);
 }
 
 static void replace_progress(hs_job_item *item, const Hs__JobProgress *progress) {
@@ -158,17 +159,17 @@
 }
 
 /**
- * Whether a text continues what is there. Two owners may run an item at one time, and stand at the
- * same event by chance; but a text may only be continued by the writer that made its end, or by one
- * that was asked to go on after it.
+ * Returns whether the text continues the stored progress. Two owners may run an item concurrently
+ * and reach the same event with different outputs. A text is therefore continued only by its own
+ * writer or by a writer that resumed after it.
  */
-static bool continues(const hs_job_item *item, const Hs__JobProgress *progress) {
+static bool is_continued_by(const hs_job_item *item, const Hs__JobProgress *progress) {
     return progress->from_event == item->progress_event &&
            (progress->writer == item->progress_writer ||
             progress->base_event == progress->from_event);
 }
 
-/** Add a text that follows what is there; events' texts are separated by line feeds. */
+/** Appends a text that follows the stored progress; texts of events are separated by line feeds. */
 static void extend_progress(hs_job_item *item, const Hs__JobProgress *progress) {
     size_t length = item->progress_length + 1 + progress->text.len;
     item->progress = g_realloc(item->progress, length);
@@ -189,7 +190,7 @@
         return;
     if (progress->from_event == 0)
         replace_progress(item, progress);
-    else if (continues(item, progress))
+    else if (is_continued_by(item, progress))
         extend_progress(item, progress);
 }
 
@@ -248,14 +249,14 @@
     return !job->ended && job->results->len < job->items->len;
 }
 
-static gboolean is_over(gpointer key, gpointer value, gpointer before_ms) {
+static gboolean is_removable(gpointer key, gpointer value, gpointer before_ms) {
     (void)key;
     const hs_job *job = value;
     return !hs_job_is_open(job) && job->submitted_ms < *(const uint64_t *)before_ms;
 }
 
 void hs_job_state_forget(hs_job_state *state, uint64_t before_ms) {
-    g_hash_table_foreach_remove(state->jobs, is_over, &before_ms);
+    g_hash_table_foreach_remove(state->jobs, is_removable, &before_ms);
 }
 
 uint64_t hs_job_state_first_needed_content(const hs_job_state *state) {
--- a/src/jobs/job_submission.c
+++ b/src/jobs/job_submission.c
@@ -1,6 +1,7 @@
 /**
  * @file job_submission.c
- * Taking batch jobs: contents and manifest into the log, then 202; see job_service.h.
+ * Handles submissions of batch jobs: stores contents and manifest in the log, then replies 202; see
+ * job_service.h.
  */
 #include "jobs/job_peer.h"
 #include "jobs/job_service_state.h"
@@ -12,10 +13,10 @@
 
 #include <string.h>
 
-/** Until it is given up that one that was asked answers; the caller then asks elsewhere, in ms. */
-#define PEER_LIMIT_MS 1500
+/** Maximum time for the answer of a daemon to a forwarded submission. */
+#define FORWARD_LIMIT_MS 1500
 
-/** Pack the items' contents as they go to the bodies: of GByteArray*. */
+/** Packs the items' contents for the bodies topic: of GByteArray*. */
 static GPtrArray *pack_contents(const GArray *items) {
     GPtrArray *contents = g_ptr_array_new_with_free_func((GDestroyNotify)g_byte_array_unref);
     for (guint index = 0; index < items->len; index++) {
@@ -45,17 +46,18 @@
     return contents;
 }
 
-/** A submission on its way into the log. */
+/** A submission that is being stored. */
 typedef struct {
     hs_job_partition *partition;
     hs_inbound *inbound;
     const hs_caller_terms *terms;
-    const char *tenant; /**< Whose job it will be. */
+    const char *tenant; /**< Tenant of the job. */
     const hs_fleet_route *route;
     const GArray *items;
-    hs_deadline refuse_at; /**< Until then the store is tried; later another daemon may be. */
+    hs_deadline refusal_deadline; /**< Until then attempts to store the job continue; leaves the
+                                     caller time to retry at another daemon. */
     hs_deadline deadline;
-    bool is_passed_on; /**< Another daemon, which cannot reach the store, sent it. */
+    bool is_forwarded; /**< Sent by another daemon, which cannot reach the store. */
 } submission;
 
 static hs_store_outcome append_manifest(const submission *job, const GPtrArray *contents,
@@ -86,14 +88,14 @@
     record.manifest = &manifest;
     return hs_job_partition_append(
         job->partition, &record,
-        hs_job_partition_patience(job->partition, attempt, 0, job->deadline));
+        hs_job_partition_append_deadline(job->partition, attempt, 0, job->deadline));
 }
 
-static hs_job_sight see(const submission *job) {
-    return hs_job_see(job->partition, job->terms->request_id, job->tenant);
+static hs_job_visibility check_visibility(const submission *job) {
+    return hs_job_check_visibility(job->partition, job->terms->request_id, job->tenant);
 }
 
-/** Contents first: without a manifest they bind nobody. */
+/** Stores the contents. They precede the manifest and have no effect without it. */
 static hs_store_outcome store_contents(const submission *job, const GPtrArray *contents,
                                        GArray *offsets) {
     hs_store_outcome outcome = HS_STORE_REFUSED;
@@ -102,37 +104,37 @@
         g_array_set_size(offsets, 0);
         outcome = hs_job_partition_append_contents(
             job->partition, contents, offsets,
-            hs_job_partition_patience(job->partition, attempt++, job->inbound->body->len,
-                                      job->refuse_at));
+            hs_job_partition_append_deadline(job->partition, attempt++, job->inbound->body->len,
+                                             job->refusal_deadline));
         if (outcome != HS_STORE_REFUSED && outcome != HS_STORE_UNKNOWN)
             break;
         hs_clock_sleep_ms(HS_JOB_RETRY_PAUSE_MS);
-    } while (hs_clock_monotonic_ms() < job->refuse_at);
+    } while (hs_clock_monotonic_ms() < job->refusal_deadline);
     return outcome;
 }
 
-/** Read back whether a manifest whose append got no answer is in the log. */
+/** Returns whether a manifest whose append was not answered is in the log. */
 static bool is_stored(const submission *job) {
-    return hs_job_partition_catch_up(job->partition, hs_job_one_try(job->deadline)) &&
-           see(job) == HS_JOB_SEEN;
+    return hs_job_partition_catch_up(job->partition, hs_job_attempt_deadline(job->deadline)) &&
+           check_visibility(job) == HS_JOB_VISIBLE;
 }
 
-/** Store the job; the status to answer with. */
+/** Stores the job and returns the status to reply with. */
 static uint32_t store_job(const submission *job) {
     GPtrArray *contents = pack_contents(job->items);
     GArray *offsets = g_array_new(FALSE, TRUE, sizeof(uint64_t));
     hs_store_outcome outcome = store_contents(job, contents, offsets);
     uint32_t status = outcome == HS_STORE_INVALID ? 413 : 503;
     if (outcome == HS_STORE_DONE) {
-        /* Once the manifest may be in the log, no refusal may be promised any more. */
-        bool may_be_taken = false;
+        /* Once the manifest may be in the log, the job must not be refused. */
+        bool may_be_stored = false;
         uint32_t attempt = 0;
         while (true) {
             outcome = append_manifest(job, contents, offsets, attempt++);
-            may_be_taken = may_be_taken || outcome == HS_STORE_UNKNOWN;
+            may_be_stored = may_be_stored || outcome == HS_STORE_UNKNOWN;
             if (outcome == HS_STORE_UNKNOWN && is_stored(job))
                 outcome = HS_STORE_DONE;
-            hs_deadline limit = may_be_taken ? job->deadline : job->refuse_at;
+            hs_deadline limit = may_be_stored ? job->deadline : job->refusal_deadline;
             if ((outcome != HS_STORE_REFUSED && outcome != HS_STORE_UNKNOWN) ||
                 hs_clock_monotonic_ms() >= limit)
                 break;
@@ -140,7 +142,7 @@
         }
         if (outcome == HS_STORE_DONE)
             status = 202;
-        else if (may_be_taken)
+        else if (may_be_stored)
             status = 504;
         else if (outcome == HS_STORE_INVALID)
             status = 413;
@@ -162,18 +164,19 @@
 }
 
 /**
- * Status for a job that the route's limit holds back. A job that was taken before is never refused,
- * and 429 is only said where its partition shows that it was not.
+ * Returns the status for a job that the route's limit excludes. A job that is in the log is never
+ * refused, and 429 requires a read of the partition that shows that it is not.
  */
-static uint32_t held_back(const submission *job, hs_quota_verdict verdict) {
-    bool is_read = verdict == HS_QUOTA_FULL &&
-                   hs_job_partition_catch_up(job->partition, hs_job_one_try(job->refuse_at));
-    if (see(job) == HS_JOB_SEEN)
+static uint32_t get_refusal_status(const submission *job, hs_quota_verdict verdict) {
+    bool is_read =
+        verdict == HS_QUOTA_FULL &&
+        hs_job_partition_catch_up(job->partition, hs_job_attempt_deadline(job->refusal_deadline));
+    if (check_visibility(job) == HS_JOB_VISIBLE)
         return 202;
     return is_read ? 429 : 503;
 }
 
-/** Admit the job and store it; answers it. */
+/** Checks the route's limit, stores the job and replies. */
 static void take_job(hs_job_service *service, const submission *job,
                      const hs_fleet_config *config) {
     hs_quota_claim claim = {.job_id = job->terms->request_id,
@@ -182,60 +185,61 @@
                             .config = config,
                             .route = job->route,
                             .tenant = job->tenant,
-                            .deadline = job->refuse_at};
+                            .deadline = job->refusal_deadline};
     hs_quota_account account;
     hs_quota_verdict verdict = hs_job_quota_claim(service->quota, &claim, &account);
-    uint32_t status = verdict == HS_QUOTA_FITS ? store_job(job) : held_back(job, verdict);
+    uint32_t status = verdict == HS_QUOTA_FITS ? store_job(job) : get_refusal_status(job, verdict);
     const char *text = status == 202 ? "" : "the job was not taken by this answer\n";
     if (status == 429)
         hs_job_refuse(job->inbound, status, text, account.room_ms);
     else
         hs_job_reply_text(job->inbound, status, text);
-    bool may_be_taken = status == 202 || status == 504;
-    if (!may_be_taken)
+    bool may_be_stored = status == 202 || status == 504;
+    if (!may_be_stored)
         hs_job_quota_release(service->quota, account.submission);
 }
 
-/** Answer with what another daemon said. A job that it may have taken is never refused. */
-static void answer_as_told(const submission *job, hs_peer_outcome outcome,
-                           const hs_peer_answer *told) {
+/** Replies with another daemon's answer. A job that may have been stored is never refused. */
+static void reply_with_answer(const submission *job, hs_peer_outcome outcome,
+                              const hs_peer_answer *answer) {
     if (outcome == HS_PEER_ANSWERED)
-        hs_job_reply(job->inbound, told->status, told->type, told->body->data, told->body->len);
+        hs_job_reply(job->inbound, answer->status, answer->type, answer->body->data,
+                     answer->body->len);
     else
         hs_job_reply_text(job->inbound, 504, "the job may have been taken\n");
 }
 
 /**
- * Where this daemon's calls to the store fail, another may still reach it. False: nobody took the
- * job and nobody will; nothing was answered.
+ * Forwards a submission to another daemon if this daemon's calls to the store fail. Returns false
+ * without a reply if the job has not been and will not be stored by another daemon.
  */
-static bool pass_on(hs_job_service *service, const submission *job) {
-    if (job->is_passed_on || !hs_store_client_is_failing(service->settings.store))
+static bool forward(hs_job_service *service, const submission *job) {
+    if (job->is_forwarded || !hs_store_client_is_failing(service->settings.store))
         return false;
-    uint32_t part = hs_job_partition_number(job->partition);
+    uint32_t number = hs_job_partition_number(job->partition);
     hs_daemon_address peer;
-    if (!hs_job_relay_find(service->settings.relay, part, &peer)) {
+    if (!hs_job_relay_find_peer(service->settings.relay, number, &peer)) {
         hs_log_info("job_kept_here", "job=%s part=%u reason=no_owner_reaches_the_store",
-                    job->terms->request_id, part);
+                    job->terms->request_id, number);
         return false;
     }
-    hs_deadline limit = MIN(job->deadline, hs_clock_monotonic_ms() + PEER_LIMIT_MS);
-    hs_peer_answer told;
-    hs_peer_outcome outcome = hs_job_peer_ask(&peer, job->inbound, job->tenant, limit, &told);
+    hs_deadline limit = MIN(job->deadline, hs_clock_monotonic_ms() + FORWARD_LIMIT_MS);
+    hs_peer_answer answer;
+    hs_peer_outcome outcome = hs_job_peer_forward(&peer, job->inbound, job->tenant, limit, &answer);
     bool is_answered = outcome == HS_PEER_ANSWERED;
-    bool is_settled = outcome != HS_PEER_NOT_ASKED && !(is_answered && told.status == 503);
+    bool is_settled = outcome != HS_PEER_NOT_SENT && !(is_answered && answer.status == 503);
     hs_log_info("job_passed_on", "job=%s part=%u outcome=%d status=%u", job->terms->request_id,
-                part, (int)outcome, is_answered ? told.status : 0);
+                number, (int)outcome, is_answered ? answer.status : 0);
     if (is_settled)
-        answer_as_told(job, outcome, &told);
+        reply_with_answer(job, outcome, &answer);
     if (is_answered)
-        hs_peer_answer_clear(&told);
+        hs_peer_answer_clear(&answer);
     return is_settled;
 }
 
-/** Take a submission that came from a caller, or from another daemon (@p is_passed_on). */
+/** Handles a submission of a caller or, if @p is_forwarded, of another daemon. */
 static void submit(hs_job_service *service, hs_inbound *inbound, const hs_job_caller *caller,
-                   const hs_fleet_config *config, const hs_fleet_route *route, bool is_passed_on) {
+                   const hs_fleet_config *config, const hs_fleet_route *route, bool is_forwarded) {
     hs_error error = {0};
     const hs_caller_terms *terms = caller->terms;
     if (terms->request_id == NULL || *terms->request_id == '\0') {
@@ -247,21 +251,21 @@
         hs_job_reply_text(inbound, 400, error.message);
         return;
     }
-    submission job = {.partition = hs_job_service_partition_of(service, terms->request_id),
+    submission job = {.partition = hs_job_service_partition_for_job(service, terms->request_id),
                       .inbound = inbound,
                       .terms = terms,
                       .tenant = caller->tenant,
                       .route = route,
                       .items = items,
-                      .is_passed_on = is_passed_on,
+                      .is_forwarded = is_forwarded,
                       .deadline = hs_job_call_deadline(inbound, terms)};
-    job.refuse_at = inbound->received_ms + (job.deadline - inbound->received_ms) / 2;
-    hs_job_sight sight = see(&job);
-    if (sight == HS_JOB_SEEN)
+    job.refusal_deadline = inbound->received_ms + (job.deadline - inbound->received_ms) / 2;
+    hs_job_visibility visibility = check_visibility(&job);
+    if (visibility == HS_JOB_VISIBLE)
         hs_job_reply_text(inbound, 202, "");
-    else if (sight == HS_JOB_OF_ANOTHER)
+    else if (visibility == HS_JOB_OF_OTHER_TENANT)
         hs_job_reply_text(inbound, 409, "the id is taken\n");
-    else if (!pass_on(service, &job))
+    else if (!forward(service, &job))
         take_job(service, &job, config);
     g_array_free(items, TRUE);
 }
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -1,4 +1,4 @@
-/** @file test_jobs.c  The fold of batch jobs, and a partition over the stand-in store. */
+/** @file test_jobs.c  Tests the fold of batch jobs and a partition over the stand-in store. */
 #include "base/clock.h"
 #include "jobs/job_owner_state.h"
 #include "jobs/job_partition.h"
@@ -15,8 +15,8 @@
     return hs_job_state_apply(state, hs_job_state_next(state), bytes, length);
 }
 
-/** A manifest of three items; @p host tells copies apart. */
-static Hs__JobManifest *manifest_of(const char *host) {
+/** Returns a manifest of three items; @p host distinguishes copies. */
+static Hs__JobManifest *make_manifest(const char *host) {
     static Hs__JobItem items[3];
     static Hs__JobItem *list[3];
     static char *const ids[] = {"a", "b", "c"};
@@ -40,7 +40,7 @@
 static void add_manifest(hs_job_state *state, const char *host) {
     Hs__JobRecord record = HS__JOB_RECORD__INIT;
     record.kind_case = HS__JOB_RECORD__KIND_MANIFEST;
-    record.manifest = manifest_of(host);
+    record.manifest = make_manifest(host);
     apply(state, &record);
 }
 
@@ -91,12 +91,11 @@
     hs_job_state_free(state);
 }
 
-static void long_results_count_only_whole(void) {
+static void split_results_count_only_if_complete(void) {
     hs_job_state *state = hs_job_state_new();
     add_manifest(state, "h");
     add_result(state, &(result_part){0, 0, 2, "one "});
-    add_result(state,
-               &(result_part){1, 0, 1, "between"}); /* Another record: parts do not follow. */
+    add_result(state, &(result_part){1, 0, 1, "between"}); /* Interrupts the sequence of parts. */
     add_result(state, &(result_part){0, 1, 2, "two"});
     CU_ASSERT_EQUAL(((hs_job *)hs_job_state_find(state, "job"))->results->len, 1);
     add_result(state, &(result_part){0, 0, 2, "one "});
@@ -106,13 +105,13 @@
     hs_job_state_free(state);
 }
 
-static void ends_and_needs(void) {
+static void ended_jobs_expire_and_need_no_content(void) {
     hs_job_state *state = hs_job_state_new();
     CU_ASSERT_EQUAL(hs_job_state_first_needed_content(state), UINT64_MAX);
     add_manifest(state, "h");
     CU_ASSERT_TRUE(hs_job_is_open(hs_job_state_find(state, "job")));
     CU_ASSERT_EQUAL(hs_job_state_first_needed_content(state), 10);
-    hs_job_state_forget(state, 5000); /* Open jobs stay. */
+    hs_job_state_forget(state, 5000); /* Open jobs are not removed. */
     CU_ASSERT_PTR_NOT_NULL(hs_job_state_find(state, "job"));
     Hs__JobEnd end = HS__JOB_END__INIT;
     end.job_id = "job";
@@ -128,7 +127,7 @@
     hs_job_state_free(state);
 }
 
-/** One record of an owner's progress. */
+/** One progress record. */
 typedef struct {
     uint32_t item;
     uint64_t writer;
@@ -154,8 +153,8 @@
     apply(state, &record);
 }
 
-/** Progress that follows an event counts where the fold stands at that event, and once. */
-static void progress_is_put_together(void) {
+/** Progress that follows an event applies only if the fold is at that event, and only once. */
+static void progress_records_are_joined(void) {
     static const progress_step steps[] = {{2, 0, 0, 0, 3, "a\nb\nc"}, {2, 0, 0, 3, 5, "d\ne"},
                                           {2, 0, 0, 3, 5, "d\ne"},    {2, 0, 0, 4, 6, "x\ny"},
                                           {2, 0, 0, 3, 9, "no"},      {2, 0, 0, 5, 6, ""},
@@ -181,10 +180,10 @@
 }
 
 /**
- * Two owners run an item at one time and come to stand at the same event: the text of one is not
- * continued by the other's runs, unless they were asked to go on there.
+ * Two owners run an item concurrently and reach the same event: the output of one is not continued
+ * by the other, unless the other resumed after it.
  */
-static void texts_of_two_owners_are_not_mixed(void) {
+static void outputs_of_two_owners_are_not_mixed(void) {
     hs_job_state *state = hs_job_state_new();
     add_manifest(state, "h");
     add_progress(state, &(progress_step){0, 1, 0, 0, 5, "one to five"});
@@ -201,7 +200,7 @@
     hs_job_state_free(state);
 }
 
-static void the_furthest_progress_counts(void) {
+static void latest_progress_event_wins(void) {
     hs_job_state *state = hs_job_state_new();
     add_manifest(state, "h");
     static const uint64_t events[] = {4, 9, 6};
@@ -212,7 +211,7 @@
     hs_job_state_free(state);
 }
 
-static void unreadable_records_are_passed_over(void) {
+static void unreadable_records_are_skipped(void) {
     hs_job_state *state = hs_job_state_new();
     static const uint8_t garbage[] = {0xff, 0xff, 0xff};
     CU_ASSERT_FALSE(hs_job_state_apply(state, 0, garbage, sizeof garbage));
@@ -227,44 +226,44 @@
     log_store *store;
     hs_store_client *client;
     hs_job_partition *partition;
-} shop;
+} partition_fixture;
 
-static void open_shop(shop *opened) {
-    opened->store = log_store_start(0);
-    opened->client = hs_store_client_new(INADDR_LOOPBACK, log_store_port(opened->store));
-    hs_job_store_settings settings = {.store = opened->client,
+static void open_fixture(partition_fixture *fixture) {
+    fixture->store = log_store_start(0);
+    fixture->client = hs_store_client_new(INADDR_LOOPBACK, log_store_port(fixture->store));
+    hs_job_store_settings settings = {.store = fixture->client,
                                       .part_count = 12,
                                       .record_bytes = 4096,
                                       .call_bytes = 65536,
                                       .status_ms = 1000};
-    opened->partition = hs_job_partition_new(&settings, 3);
+    fixture->partition = hs_job_partition_new(&settings, 3);
 }
 
-static void close_shop(shop *opened) {
-    hs_job_partition_free(opened->partition);
-    hs_store_client_free(opened->client);
-    log_store_stop(opened->store);
+static void close_fixture(partition_fixture *fixture) {
+    hs_job_partition_free(fixture->partition);
+    hs_store_client_free(fixture->client);
+    log_store_stop(fixture->store);
 }
 
-static hs_store_outcome append_manifest(shop *opened) {
+static hs_store_outcome append_manifest(partition_fixture *fixture) {
     Hs__JobRecord record = HS__JOB_RECORD__INIT;
     record.kind_case = HS__JOB_RECORD__KIND_MANIFEST;
-    record.manifest = manifest_of("h");
-    return hs_job_partition_append(opened->partition, &record, hs_clock_monotonic_ms() + 500);
+    record.manifest = make_manifest("h");
+    return hs_job_partition_append(fixture->partition, &record, hs_clock_monotonic_ms() + 500);
 }
 
-static bool catch_up(shop *opened) {
-    return hs_job_partition_catch_up(opened->partition, hs_clock_monotonic_ms() + 500);
+static bool catch_up(partition_fixture *fixture) {
+    return hs_job_partition_catch_up(fixture->partition, hs_clock_monotonic_ms() + 500);
 }
 
-static bool is_known(shop *opened) {
-    bool known = hs_job_state_find(hs_job_partition_lock(opened->partition), "job") != NULL;
-    hs_job_partition_unlock(opened->partition);
+static bool is_known(partition_fixture *fixture) {
+    bool known = hs_job_state_find(hs_job_partition_lock(fixture->partition), "job") != NULL;
+    hs_job_partition_unlock(fixture->partition);
     return known;
 }
 
-/** What an append's outcome says, by the store's fault. */
-static void outcomes_tell_what_is_known(void) {
+/** The outcome of an append matches what is in the log after each fault of the store. */
+static void append_outcomes_match_store_faults(void) {
     static const struct {
         log_store_mode mode;
         hs_store_outcome outcome;
@@ -276,87 +275,93 @@
                  {LOG_STORE_DROPS, HS_STORE_UNKNOWN, false},
                  {LOG_STORE_SILENT, HS_STORE_UNKNOWN, false}};
     for (size_t index = 0; index < G_N_ELEMENTS(cases); index++) {
-        shop opened;
-        open_shop(&opened);
-        log_store_set_mode(opened.store, cases[index].mode, "/log-append", 1);
-        CU_ASSERT_EQUAL(append_manifest(&opened), cases[index].outcome);
-        CU_ASSERT_TRUE(catch_up(&opened));
-        CU_ASSERT_EQUAL(is_known(&opened), cases[index].done);
-        close_shop(&opened);
+        partition_fixture fixture;
+        open_fixture(&fixture);
+        log_store_set_mode(fixture.store, cases[index].mode, "/log-append", 1);
+        CU_ASSERT_EQUAL(append_manifest(&fixture), cases[index].outcome);
+        CU_ASSERT_TRUE(catch_up(&fixture));
+        CU_ASSERT_EQUAL(is_known(&fixture), cases[index].done);
+        close_fixture(&fixture);
     }
 }
 
-/** Patience doubles with each try, whatever writes took, and ends at the caller's limit. */
-static void patience_grows_up_to_the_limit(void) {
-    shop opened;
-    open_shop(&opened);
-    uint64_t first = hs_store_client_patience_ms(opened.client, 0, 0);
-    CU_ASSERT_EQUAL(hs_store_client_patience_ms(opened.client, 1, 0), 2 * first);
-    CU_ASSERT_EQUAL(hs_store_client_patience_ms(opened.client, 2, 0), 4 * first);
-    CU_ASSERT(hs_store_client_patience_ms(opened.client, 0, 4000000) > first);
-    CU_ASSERT(hs_store_client_patience_ms(opened.client, 60, 0) <= 2000);
+/**
+ * The time allowed for an append doubles with each attempt, grows with observed write times and is
+ * bounded by the caller's limit.
+ */
+static void append_time_grows_up_to_the_limit(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
+    uint64_t first = hs_store_client_patience_ms(fixture.client, 0, 0);
+    CU_ASSERT_EQUAL(hs_store_client_patience_ms(fixture.client, 1, 0), 2 * first);
+    CU_ASSERT_EQUAL(hs_store_client_patience_ms(fixture.client, 2, 0), 4 * first);
+    CU_ASSERT(hs_store_client_patience_ms(fixture.client, 0, 4000000) > first);
+    CU_ASSERT(hs_store_client_patience_ms(fixture.client, 60, 0) <= 2000);
     uint64_t now_ms = hs_clock_monotonic_ms();
-    CU_ASSERT_EQUAL(hs_job_partition_patience(opened.partition, 9, 0, now_ms + 5), now_ms + 5);
-    log_store_set_delay(opened.store, 80);
+    CU_ASSERT_EQUAL(hs_job_partition_append_deadline(fixture.partition, 9, 0, now_ms + 5),
+                    now_ms + 5);
+    log_store_set_delay(fixture.store, 80);
     for (int write = 0; write < 8; write++)
-        append_manifest(&opened);
-    CU_ASSERT(hs_store_client_patience_ms(opened.client, 0, 0) > 2 * first);
-    close_shop(&opened);
+        append_manifest(&fixture);
+    CU_ASSERT(hs_store_client_patience_ms(fixture.client, 0, 0) > 2 * first);
+    close_fixture(&fixture);
 }
 
-static void reads_are_tried_again_after_a_kept_connection(void) {
-    shop opened;
-    open_shop(&opened);
-    CU_ASSERT_TRUE(catch_up(&opened));
-    log_store_set_mode(opened.store, LOG_STORE_DROPS, "/log-read", 1);
-    CU_ASSERT_TRUE(catch_up(&opened));
-    log_store_set_mode(opened.store, LOG_STORE_REFUSES, "/log-read", 100);
-    CU_ASSERT_FALSE(catch_up(&opened));
-    close_shop(&opened);
+static void reads_are_retried_on_a_new_connection(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
+    CU_ASSERT_TRUE(catch_up(&fixture));
+    log_store_set_mode(fixture.store, LOG_STORE_DROPS, "/log-read", 1);
+    CU_ASSERT_TRUE(catch_up(&fixture));
+    log_store_set_mode(fixture.store, LOG_STORE_REFUSES, "/log-read", 100);
+    CU_ASSERT_FALSE(catch_up(&fixture));
+    close_fixture(&fixture);
 }
 
-static void a_forgotten_history_is_passed_over(void) {
-    shop opened;
-    open_shop(&opened);
-    append_manifest(&opened);
-    log_store_forget(opened.store, "jobs");
-    CU_ASSERT_TRUE(catch_up(&opened));
-    CU_ASSERT_FALSE(is_known(&opened));
-    append_manifest(&opened);
-    CU_ASSERT_TRUE(catch_up(&opened));
-    CU_ASSERT_TRUE(is_known(&opened));
-    close_shop(&opened);
+static void lost_log_records_are_skipped(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
+    append_manifest(&fixture);
+    log_store_forget(fixture.store, "jobs");
+    CU_ASSERT_TRUE(catch_up(&fixture));
+    CU_ASSERT_FALSE(is_known(&fixture));
+    append_manifest(&fixture);
+    CU_ASSERT_TRUE(catch_up(&fixture));
+    CU_ASSERT_TRUE(is_known(&fixture));
+    close_fixture(&fixture);
 }
 
-/** What was trimmed is gone for readers, and the call is one that the store understands. */
-static void a_trim_drops_records(void) {
-    shop opened;
-    open_shop(&opened);
-    append_manifest(&opened);
-    append_manifest(&opened);
+/**
+ * Trimmed records are reported as gone to readers, and the stand-in store accepts the trim call.
+ */
+static void trimmed_records_are_gone(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
+    append_manifest(&fixture);
+    append_manifest(&fixture);
     hs_store_call call = hs_platform_trim(HS_TOPIC_JOBS, 3, 1);
     GByteArray *answer = g_byte_array_new();
     hs_deadline deadline = hs_clock_monotonic_ms() + 500;
-    CU_ASSERT_EQUAL(hs_store_client_send(opened.client, &call, deadline, NULL, answer),
+    CU_ASSERT_EQUAL(hs_store_client_send(fixture.client, &call, deadline, NULL, answer),
                     HS_STORE_DONE);
     call = hs_platform_read(HS_TOPIC_JOBS, 3, 0, 64, 0);
-    CU_ASSERT_EQUAL(hs_store_client_send(opened.client, &call, deadline, NULL, answer),
+    CU_ASSERT_EQUAL(hs_store_client_send(fixture.client, &call, deadline, NULL, answer),
                     HS_STORE_GONE);
     uint64_t first = 0;
     CU_ASSERT_TRUE(hs_platform_read_first_kept(answer, &first));
     CU_ASSERT_EQUAL(first, 1);
     g_byte_array_free(answer, TRUE);
-    close_shop(&opened);
+    close_fixture(&fixture);
 }
 
-static void contents_come_back_byte_for_byte(void) {
-    shop opened;
-    open_shop(&opened);
+static void contents_are_read_back_unchanged(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
     GPtrArray *contents = g_ptr_array_new_with_free_func((GDestroyNotify)g_byte_array_unref);
     GArray *offsets = g_array_new(FALSE, TRUE, sizeof(uint64_t));
     for (uint32_t index = 0; index < 8; index++) {
         Hs__JobItemContent content = HS__JOB_ITEM_CONTENT__INIT;
-        uint32_t length = index * 5000; /* Above a record, and in sum above a call. */
+        uint32_t length = index * 5000; /* Above the limits of a record and of a call. */
         g_autofree uint8_t *body = g_malloc(length + 1);
         memset(body, (int)index + 1, length);
         content.path = "/p/q";
@@ -368,14 +373,15 @@
         g_ptr_array_add(contents, packed);
     }
     hs_deadline deadline = hs_clock_monotonic_ms() + 2000;
-    CU_ASSERT_EQUAL(hs_job_partition_append_contents(opened.partition, contents, offsets, deadline),
-                    HS_STORE_DONE);
+    CU_ASSERT_EQUAL(
+        hs_job_partition_append_contents(fixture.partition, contents, offsets, deadline),
+        HS_STORE_DONE);
     for (uint32_t index = 0; index < 8; index++) {
         hs_store_outcome outcome = HS_STORE_UNKNOWN;
         const GByteArray *packed = contents->pdata[index];
-        Hs__JobItemContent *read =
-            hs_job_partition_read_content(opened.partition, g_array_index(offsets, uint64_t, index),
-                                          packed->len, deadline, &outcome);
+        Hs__JobItemContent *read = hs_job_partition_read_content(
+            fixture.partition, g_array_index(offsets, uint64_t, index), packed->len, deadline,
+            &outcome);
         CU_ASSERT_PTR_NOT_NULL_FATAL(read);
         CU_ASSERT_EQUAL(read->body.len, (size_t)index * 5000);
         CU_ASSERT(read->body.len == 0 || read->body.data[read->body.len - 1] == index + 1);
@@ -383,84 +389,85 @@
     }
     g_ptr_array_free(contents, TRUE);
     g_array_free(offsets, TRUE);
-    close_shop(&opened);
+    close_fixture(&fixture);
 }
 
-static void long_results_survive_the_log(void) {
-    shop opened;
-    open_shop(&opened);
-    append_manifest(&opened);
+static void split_results_are_read_back_unchanged(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
+    append_manifest(&fixture);
     GString *text = g_string_new(NULL);
     while (text->len < 20000)
         g_string_append_printf(text, "%zu ", text->len);
     hs_store_outcome outcome = hs_job_partition_append_result(
-        opened.partition, "job", 1, HS_ITEM_COMPLETED, text, hs_clock_monotonic_ms() + 500);
+        fixture.partition, "job", 1, HS_ITEM_COMPLETED, text, hs_clock_monotonic_ms() + 500);
     CU_ASSERT_EQUAL(outcome, HS_STORE_DONE);
-    CU_ASSERT_TRUE(catch_up(&opened));
-    const hs_job *job = hs_job_state_find(hs_job_partition_lock(opened.partition), "job");
+    CU_ASSERT_TRUE(catch_up(&fixture));
+    const hs_job *job = hs_job_state_find(hs_job_partition_lock(fixture.partition), "job");
     const hs_job_result *result = job->results->pdata[0];
     CU_ASSERT(result->length == text->len && memcmp(result->text, text->str, text->len) == 0);
-    hs_job_partition_unlock(opened.partition);
+    hs_job_partition_unlock(fixture.partition);
     g_string_free(text, TRUE);
-    close_shop(&opened);
+    close_fixture(&fixture);
 }
 
-static void a_held_read_ends_with_news(void) {
-    shop opened;
-    open_shop(&opened);
-    CU_ASSERT_TRUE(catch_up(&opened));
+static void waiting_ends_with_the_next_record(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
+    CU_ASSERT_TRUE(catch_up(&fixture));
     uint64_t began = hs_clock_monotonic_ms();
-    hs_job_partition_hold(opened.partition, 0, began + 150);
+    hs_job_partition_wait(fixture.partition, 0, began + 150);
     CU_ASSERT(hs_clock_monotonic_ms() - began >= 145);
-    append_manifest(&opened);
+    append_manifest(&fixture);
     began = hs_clock_monotonic_ms();
-    hs_job_partition_hold(opened.partition, 0, began + 2000);
+    hs_job_partition_wait(fixture.partition, 0, began + 2000);
     CU_ASSERT(hs_clock_monotonic_ms() - began < 1000);
-    CU_ASSERT_TRUE(is_known(&opened));
-    close_shop(&opened);
+    CU_ASSERT_TRUE(is_known(&fixture));
+    close_fixture(&fixture);
 }
 
-/** A fold that shows a part of the log only: what it shows as open may be over. */
-static void items_wait_until_the_log_was_read_to_its_end(void) {
-    shop opened;
-    open_shop(&opened);
-    append_manifest(&opened);
+/** A fold that holds only a part of the log may show finished items as open. */
+static void items_wait_for_a_complete_log_read(void) {
+    partition_fixture fixture;
+    open_fixture(&fixture);
+    append_manifest(&fixture);
     GString *text = g_string_new(NULL);
     while (text->len < 300 * 1024) /* More than one page of the log. */
         g_string_append_c(text, 'x');
     for (uint32_t item = 0; item < 2; item++)
-        hs_job_partition_append_result(opened.partition, "job", item, HS_ITEM_COMPLETED, text,
+        hs_job_partition_append_result(fixture.partition, "job", item, HS_ITEM_COMPLETED, text,
                                        hs_clock_monotonic_ms() + 2000);
     g_string_free(text, TRUE);
     uint64_t now_ms = hs_clock_monotonic_ms();
-    hs_owned_partition_state home = {
-        .partition = opened.partition, .owned = true, .taken_ms = now_ms, .start_ms = now_ms};
-    hs_job_partition_hold(opened.partition, 0, now_ms + 500);
-    CU_ASSERT_TRUE(is_known(&opened));
-    CU_ASSERT_FALSE(hs_job_owner_may_run(&home, hs_clock_monotonic_ms()));
-    CU_ASSERT_TRUE(catch_up(&opened));
-    CU_ASSERT_TRUE(hs_job_owner_may_run(&home, hs_clock_monotonic_ms()));
-    home.taken_ms = hs_clock_monotonic_ms() + 1; /* Dealt again: another owner ran in between. */
-    CU_ASSERT_FALSE(hs_job_owner_may_run(&home, hs_clock_monotonic_ms()));
-    close_shop(&opened);
+    hs_owned_partition_state owned = {.partition = fixture.partition,
+                                      .is_owned = true,
+                                      .acquired_ms = now_ms,
+                                      .earliest_start_ms = now_ms};
+    hs_job_partition_wait(fixture.partition, 0, now_ms + 500);
+    CU_ASSERT_TRUE(is_known(&fixture));
+    CU_ASSERT_FALSE(hs_job_owner_may_run(&owned, hs_clock_monotonic_ms()));
+    CU_ASSERT_TRUE(catch_up(&fixture));
+    CU_ASSERT_TRUE(hs_job_owner_may_run(&owned, hs_clock_monotonic_ms()));
+    owned.acquired_ms = hs_clock_monotonic_ms() + 1; /* Assigned again. */
+    CU_ASSERT_FALSE(hs_job_owner_may_run(&owned, hs_clock_monotonic_ms()));
+    close_fixture(&fixture);
 }
 
 const test_case job_tests[] = {
     {"repeated_records_change_nothing", repeated_records_change_nothing},
-    {"long_results_count_only_whole", long_results_count_only_whole},
-    {"ends_and_needs", ends_and_needs},
-    {"progress_is_put_together", progress_is_put_together},
-    {"the_furthest_progress_counts", the_furthest_progress_counts},
-    {"texts_of_two_owners_are_not_mixed", texts_of_two_owners_are_not_mixed},
-    {"unreadable_records_are_passed_over", unreadable_records_are_passed_over},
-    {"outcomes_tell_what_is_known", outcomes_tell_what_is_known},
-    {"patience_grows_up_to_the_limit", patience_grows_up_to_the_limit},
-    {"reads_are_tried_again_after_a_kept_connection",
-     reads_are_tried_again_after_a_kept_connection},
-    {"a_forgotten_history_is_passed_over", a_forgotten_history_is_passed_over},
-    {"a_trim_drops_records", a_trim_drops_records},
-    {"contents_come_back_byte_for_byte", contents_come_back_byte_for_byte},
-    {"long_results_survive_the_log", long_results_survive_the_log},
-    {"items_wait_until_the_log_was_read_to_its_end", items_wait_until_the_log_was_read_to_its_end},
-    {"a_held_read_ends_with_news", a_held_read_ends_with_news},
+    {"split_results_count_only_if_complete", split_results_count_only_if_complete},
+    {"ended_jobs_expire_and_need_no_content", ended_jobs_expire_and_need_no_content},
+    {"progress_records_are_joined", progress_records_are_joined},
+    {"latest_progress_event_wins", latest_progress_event_wins},
+    {"outputs_of_two_owners_are_not_mixed", outputs_of_two_owners_are_not_mixed},
+    {"unreadable_records_are_skipped", unreadable_records_are_skipped},
+    {"append_outcomes_match_store_faults", append_outcomes_match_store_faults},
+    {"append_time_grows_up_to_the_limit", append_time_grows_up_to_the_limit},
+    {"reads_are_retried_on_a_new_connection", reads_are_retried_on_a_new_connection},
+    {"lost_log_records_are_skipped", lost_log_records_are_skipped},
+    {"trimmed_records_are_gone", trimmed_records_are_gone},
+    {"contents_are_read_back_unchanged", contents_are_read_back_unchanged},
+    {"split_results_are_read_back_unchanged", split_results_are_read_back_unchanged},
+    {"items_wait_for_a_complete_log_read", items_wait_for_a_complete_log_read},
+    {"waiting_ends_with_the_next_record", waiting_ends_with_the_next_record},
     {NULL, NULL}};
