--- a/src/jobs/job_calls.c
+++ b/src/jobs/job_calls.c
@@ -80,7 +80,7 @@
     return job != NULL && hs_job_is_visible(job, call->tenant) ? job : NULL;
 }
 
-static result_page write_page(const hs_job *job, uint64_t position) {
+static result_page build_page(const hs_job *job, uint64_t position) {
     if (job == NULL)
         return (result_page){0};
     g_autofree hs_result_view *views = g_new0(hs_result_view, job->results->len + 1);
@@ -111,7 +111,7 @@
     while (true) {
         hs_job_state *state = hs_job_partition_lock(call->partition);
         uint64_t next = hs_job_state_next(state);
-        result_page page = write_page(find_job(call, state), position);
+        result_page page = build_page(find_job(call, state), position);
         hs_job_partition_unlock(call->partition);
         g_autofree char *text = page.text;
         if (text == NULL || (page.is_beyond && fold != FOLD_COMPLETE) ||
--- a/src/jobs/job_owner.c
+++ b/src/jobs/job_owner.c
@@ -1,6 +1,6 @@
 /**
- * @file job_owner.c Group membership, partition ownership and lifecycle of the owner; see
- * job_owner.h.
+ * @file job_owner.c
+ * Group membership, partition ownership and lifecycle of the owner; see job_owner.h.
  */
 #include "jobs/job_owner.h"
 
@@ -9,10 +9,10 @@
 #include "base/thread.h"
 #include "jobs/job_owner_state.h"
 
-#define JOIN_PER_TTL 3
+#define JOINS_PER_TTL 3
 #define JOIN_LIMIT_MS 900
 /** Maximum wait of one read at the store; bounds the age of an owner's fold. */
-#define TAIL_HOLD_MS 500
+#define TAIL_WAIT_MS 500
 /** Limit of one read of a newly assigned partition's log to its end. */
 #define CATCH_UP_LIMIT_MS 3000
 /** Pause after a failed read of the log. */
@@ -85,7 +85,7 @@
         hs_job_partition_unlock(owned->partition);
         uint64_t now_ms = hs_clock_monotonic_ms();
         if (hs_job_partition_is_current(owned->partition, acquired_ms))
-            hs_job_partition_wait(owned->partition, next, now_ms + TAIL_HOLD_MS);
+            hs_job_partition_wait(owned->partition, next, now_ms + TAIL_WAIT_MS);
         else if (!hs_job_partition_catch_up(owned->partition, now_ms + CATCH_UP_LIMIT_MS))
             hs_clock_sleep_ms(CATCH_UP_PAUSE_MS);
         report_level(owned, &reported);
@@ -237,7 +237,7 @@
 
 static gpointer run_group(gpointer data) {
     hs_job_owner *owner = data;
-    uint32_t interval_ms = owner->settings.group_ttl_ms / JOIN_PER_TTL;
+    uint32_t interval_ms = owner->settings.group_ttl_ms / JOINS_PER_TTL;
     g_mutex_lock(&owner->lock);
     while (!owner->stopping) {
         g_mutex_unlock(&owner->lock);
--- a/src/jobs/job_owner_state.h
+++ b/src/jobs/job_owner_state.h
@@ -1,5 +1,6 @@
 /**
- * @file job_owner_state.h State shared by the parts of the job owner; for src/jobs/job_*.c only.
+ * @file job_owner_state.h
+ * State shared by the parts of the job owner, mostly under its lock; for src/jobs/job_*.c only.
  */
 #ifndef HS_JOBS_JOB_OWNER_STATE_H
 #define HS_JOBS_JOB_OWNER_STATE_H
@@ -91,7 +92,7 @@
     GThread *scheduler;
 };
 
-/** A work order for a worker thread. */
+/** A task for a worker thread. */
 typedef struct {
     hs_owned_partition_state *owned;
     hs_owned_item *item;
@@ -117,7 +118,7 @@
 void hs_job_owner_release_superseded(hs_job_owner *owner);
 
 /**
- * Executes a work order; function of the thread pool. @p data: hs_item_order, freed. @p user_data:
+ * Executes a task; function of the thread pool. @p data: hs_item_order, freed. @p user_data:
  * the owner.
  */
 void hs_job_worker_run(gpointer data, gpointer user_data);
--- a/src/jobs/job_partition.c
+++ b/src/jobs/job_partition.c
@@ -11,9 +11,9 @@
  * Size of one page of the log. Small enough to arrive before READ_LIMIT_MS on a slow link, so that
  * each read advances the fold.
  */
-#define READ_MAX_KB 256
+#define MAX_READ_KB 256
 /** Size of one read of an item's content. */
-#define CONTENT_MAX_KB 1024
+#define MAX_CONTENT_READ_KB 1024
 #define READ_LIMIT_MS 1500
 #define ANSWER_SLACK_MS 700
 #define BYTES_PER_KB 1024
@@ -92,7 +92,7 @@
     uint64_t from = hs_job_state_next(partition->state);
     g_mutex_unlock(&partition->lock);
     hs_store_call call =
-        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, READ_MAX_KB, wait_ms);
+        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, MAX_READ_KB, wait_ms);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome =
         hs_store_client_send(partition->settings.store, &call, deadline, interrupt, answer);
@@ -150,7 +150,7 @@
     uint64_t started_ms = hs_clock_monotonic_ms();
     hs_deadline deadline = started_ms + wait_ms + ANSWER_SLACK_MS;
     hs_store_call call =
-        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, READ_MAX_KB, wait_ms);
+        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, MAX_READ_KB, wait_ms);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome =
         hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
@@ -160,9 +160,7 @@
         g_cond_wait(&partition->advanced, &partition->lock);
     if (outcome == HS_STORE_DONE && hs_job_state_next(partition->state) == from &&
         apply_answer(partition, answer)) {
-        /*
-         * Without records the store waited to the end; records may have been there from the start.
-         */
+        /* A poll without records covers its wait; other answers may be as old as the call. */
         bool has_records = hs_job_state_next(partition->state) != from;
         uint64_t current_ms = has_records ? started_ms : started_ms + wait_ms;
         partition->current_ms =
@@ -214,7 +212,7 @@
     while (content->len < bytes && *outcome == HS_STORE_DONE) {
         uint32_t max_kb = (bytes - content->len) / BYTES_PER_KB + 1;
         hs_store_call call = hs_platform_read(HS_TOPIC_BODIES, partition->number, offset,
-                                              MIN(max_kb, CONTENT_MAX_KB), 0);
+                                              MIN(max_kb, MAX_CONTENT_READ_KB), 0);
         *outcome = hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
         size_t position = 0;
         hs_store_record record;
@@ -241,7 +239,7 @@
  * Returns the offset before which contents may be trimmed: the first needed one of TRIM_AGE_MS ago.
  * 0: none. The caller holds the lock.
  */
-static uint64_t trim_target(hs_job_partition *partition, uint64_t now_ms) {
+static uint64_t get_trim_target(hs_job_partition *partition, uint64_t now_ms) {
     uint64_t target = 0;
     bool is_due =
         partition->trim_candidate_ms != 0 && now_ms > partition->trim_candidate_ms + TRIM_AGE_MS;
@@ -260,7 +258,7 @@
     g_mutex_lock(&partition->lock);
     if (wall_ms > partition->settings.status_ms)
         hs_job_state_forget(partition->state, wall_ms - partition->settings.status_ms);
-    uint64_t target = trim_target(partition, hs_clock_monotonic_ms());
+    uint64_t target = get_trim_target(partition, hs_clock_monotonic_ms());
     g_mutex_unlock(&partition->lock);
     if (target == 0)
         return;
--- a/src/jobs/job_partition.h
+++ b/src/jobs/job_partition.h
@@ -18,9 +18,8 @@
     uint32_t part_count;
     uint32_t record_bytes;
     uint32_t call_bytes;
-    hs_job_relay
-        *relay; /**< Appends through other daemons while the store rejects this one; NULL: none. */
-    uint64_t status_ms; /**< Time after its submission for which a finished job can be read. */
+    hs_job_relay *relay; /**< NULL: records are never appended through other daemons. */
+    uint64_t status_ms;  /**< Time after its submission for which a finished job can be read. */
 } hs_job_store_settings;
 
 hs_job_partition *hs_job_partition_new(const hs_job_store_settings *settings, uint32_t number);
--- a/src/jobs/job_partition_state.h
+++ b/src/jobs/job_partition_state.h
@@ -1,5 +1,6 @@
 /**
- * @file job_partition_state.h State of a partition's replica; for src/jobs/job_partition*.c only.
+ * @file job_partition_state.h
+ * State of a partition's replica; for src/jobs/job_partition*.c only.
  */
 #ifndef HS_JOBS_JOB_PARTITION_STATE_H
 #define HS_JOBS_JOB_PARTITION_STATE_H
--- a/src/jobs/job_peer.h
+++ b/src/jobs/job_peer.h
@@ -13,8 +13,7 @@
 typedef enum {
     HS_PEER_ANSWERED,
     HS_PEER_NOT_SENT, /**< No byte of the request was sent. */
-    HS_PEER_SILENT,   /**< At least a part of the request was sent, but no complete answer was
-                         received. */
+    HS_PEER_SILENT,   /**< A part was sent, but no complete answer was received. */
 } hs_peer_outcome;
 
 /** A complete answer; see hs_peer_answer_clear. */
--- a/src/jobs/job_relay.c
+++ b/src/jobs/job_relay.c
@@ -52,9 +52,9 @@
 
 static bool can_search(hs_job_relay *relay) {
     g_mutex_lock(&relay->lock);
-    bool may = hs_clock_monotonic_ms() >= relay->next_search_ms;
+    bool is_due = hs_clock_monotonic_ms() >= relay->next_search_ms;
     g_mutex_unlock(&relay->lock);
-    return may;
+    return is_due;
 }
 
 static void record_search(hs_job_relay *relay, bool is_found) {
--- a/src/jobs/job_service.h
+++ b/src/jobs/job_service.h
@@ -41,8 +41,7 @@
 /** The identified caller of a request; all borrowed. */
 typedef struct {
     const hs_caller_terms *terms;
-    const char *tenant; /**< Tenant of the caller; "": none. The jobs of a tenant are visible to
-                           that tenant only. */
+    const char *tenant; /**< Tenant of the caller; "": none. */
 } hs_job_caller;
 
 /** Stores the submitted job and replies. @p route belongs to @p config. */
--- a/src/jobs/job_service_state.h
+++ b/src/jobs/job_service_state.h
@@ -1,6 +1,6 @@
 /**
- * @file job_service_state.h State and helpers shared by the handlers of job requests; for src/jobs/
- * only.
+ * @file job_service_state.h
+ * State and helpers shared by the handlers of job requests; for src/jobs/ only.
  */
 #ifndef HS_JOBS_JOB_SERVICE_STATE_H
 #define HS_JOBS_JOB_SERVICE_STATE_H
@@ -14,9 +14,8 @@
     hs_job_store_settings settings;
     GPtrArray *partitions; /**< of hs_job_partition* */
     hs_job_quota *quota;
-    hs_daemon_directory
-        *daemons; /**< Directory of partition owners; NULL: requests are not forwarded. */
-    hs_job_read_counters reads; /**< Accessed atomically. */
+    hs_daemon_directory *daemons; /**< NULL: requests are not forwarded. */
+    hs_job_read_counters reads;   /**< Accessed atomically. */
 };
 
 /** Returns the partition of a job; borrowed. */
--- a/src/jobs/job_state.h
+++ b/src/jobs/job_state.h
@@ -34,7 +34,7 @@
     uint64_t content_offset;
     uint32_t content_bytes;
     bool listed;
-    char *progress; /**< Output stored by a previous owner; NULL: none. */
+    char *progress; /**< Stored output of an unfinished item; NULL: none. */
     size_t progress_length;
     uint64_t progress_event;  /**< Last event in @c progress; 0: none. */
     uint64_t progress_writer; /**< Writer of the end of @c progress. */
@@ -60,9 +60,7 @@
 hs_job_state *hs_job_state_new(void);
 void hs_job_state_free(hs_job_state *state);
 
-/**
- * Applies the record at @p offset. Returns false, with no other effect, if the record is malformed.
- */
+/** Applies the record at @p offset. Returns false if it is malformed and was skipped. */
 bool hs_job_state_apply(hs_job_state *state, uint64_t offset, const uint8_t *bytes, size_t length);
 
 /** Returns the offset of the next record to apply. */
--- a/src/jobs/job_submission.c
+++ b/src/jobs/job_submission.c
@@ -54,8 +54,7 @@
     const char *tenant; /**< Tenant of the job. */
     const hs_fleet_route *route;
     const GArray *items;
-    hs_deadline refusal_deadline; /**< Until then attempts to store the job continue; leaves the
-                                     caller time to retry at another daemon. */
+    hs_deadline refusal_deadline; /**< Until then a job not in the log is retried. */
     hs_deadline deadline;
     bool is_forwarded; /**< Sent by another daemon, which cannot reach the store. */
 } submission;
@@ -156,7 +155,7 @@
     return status;
 }
 
-static uint64_t tokens_of(const GArray *items) {
+static uint64_t count_tokens(const GArray *items) {
     uint64_t tokens = 0;
     for (guint index = 0; index < items->len; index++)
         tokens += g_array_index(items, hs_submitted_item, index).tokens;
@@ -177,11 +176,11 @@
 }
 
 /** Checks the route's limit, stores the job and replies. */
-static void take_job(hs_job_service *service, const submission *job,
-                     const hs_fleet_config *config) {
+static void admit_job(hs_job_service *service, const submission *job,
+                      const hs_fleet_config *config) {
     hs_quota_claim claim = {.job_id = job->terms->request_id,
                             .partition = hs_job_partition_number(job->partition),
-                            .tokens = tokens_of(job->items),
+                            .tokens = count_tokens(job->items),
                             .config = config,
                             .route = job->route,
                             .tenant = job->tenant,
@@ -266,7 +265,7 @@
     else if (visibility == HS_JOB_OF_OTHER_TENANT)
         hs_job_reply_text(inbound, 409, "the id is taken\n");
     else if (!forward(service, &job))
-        take_job(service, &job, config);
+        admit_job(service, &job, config);
     g_array_free(items, TRUE);
 }
 
--- a/src/jobs/job_worker.c
+++ b/src/jobs/job_worker.c
@@ -18,7 +18,7 @@
  * for its owner, bounded after the partition was lost or the daemon drains. Late records are
  * harmless because records are idempotent.
  */
-static hs_deadline store_limit(hs_owned_partition_state *owned) {
+static hs_deadline get_store_deadline(hs_owned_partition_state *owned) {
     hs_job_owner *owner = owned->owner;
     hs_deadline limit = UINT64_MAX;
     g_mutex_lock(&owner->lock);
@@ -36,7 +36,7 @@
  */
 static bool wait_to_store_again(hs_owned_partition_state *owned, hs_store_outcome stored) {
     if (stored == HS_STORE_DONE || stored == HS_STORE_INVALID ||
-        hs_clock_monotonic_ms() >= store_limit(owned))
+        hs_clock_monotonic_ms() >= get_store_deadline(owned))
         return false;
     hs_clock_sleep_ms(HS_JOB_MIN_RETRY_PAUSE_MS);
     return true;
@@ -54,7 +54,7 @@
     return stored;
 }
 
-static uint64_t backoff_ms(uint32_t failures) {
+static uint64_t get_backoff_ms(uint32_t failures) {
     return MIN((uint64_t)HS_JOB_MIN_RETRY_PAUSE_MS << MIN(failures, 8), HS_JOB_MAX_RETRY_PAUSE_MS);
 }
 
@@ -150,7 +150,7 @@
     hs_job_starts_note_end(owner, task, end);
     item->stage = listed ? HS_ITEM_STORED : HS_ITEM_WAITING;
     item->attempts += end != HS_ITEM_TRY_NO_ROOM && end != HS_ITEM_TRY_HELD_BACK;
-    uint64_t pause_ms = backoff_ms(item->failures);
+    uint64_t pause_ms = get_backoff_ms(item->failures);
     if (end == HS_ITEM_TRY_NO_ROOM)
         pause_ms = HS_JOB_PASS_MS;
     else if (end == HS_ITEM_TRY_YIELDED)
