--- a/src/jobs/job_owner_state.h
+++ b/src/jobs/job_owner_state.h
@@ -67,7 +67,7 @@
     double expected_online;    /**< Slots that online requests are expected to use soon. */
     hs_start_pace sends;       /**< Limits all starts. */
     hs_start_pace pieces;      /**< Limits starts of items that are not urgent. */
-    uint64_t failed_logged_ms; /**< Time of the latest log line about a failed forecast. */
+    uint64_t failed_logged_ms;
 } hs_service_starts;
 
 struct hs_job_owner {
@@ -81,7 +81,7 @@
     hs_deadline handover_deadline; /**< Of all partitions, while draining. */
     uint32_t running;
     hs_item_pace pace;
-    double online_mean; /**< Moving average of the slots used by online requests; see job_plan.c. */
+    double online_mean;   /**< Moving average; see job_plan.c. */
     GHashTable *services; /**< Service (interned) -> hs_service_starts*; see job_starts.h. */
     uint64_t sent_back;   /**< Starts that were rejected because no engine had capacity. */
     uint64_t cut_soon;    /**< Runs that were preempted before the minimum useful run time. */
