--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -59,7 +59,7 @@
     return endpoint;
 }
 
-static uint32_t live_daemons(void *user_data) {
+static uint32_t live_daemon_count(void *user_data) {
     hs_fleet_daemon *daemon = user_data;
     return hs_daemon_directory_live_count(daemon->directory);
 }
@@ -144,7 +144,7 @@
                                    .config = daemon->config,
                                    .engines = daemon->engines,
                                    .daemons = daemon->directory,
-                                   .live_daemons = live_daemons,
+                                   .live_daemon_count = live_daemon_count,
                                    .user_data = daemon};
     daemon->owner = hs_job_owner_new(&owner);
 }
@@ -313,9 +313,10 @@
            hs_clock_monotonic_ms() < began_ms + grace_ms(daemon) / 2)
         hs_clock_sleep_ms(DRAIN_POLL_MS);
     hs_job_owner_drain(daemon->owner, deadline);
-    while (hs_job_owner_running(daemon->owner) > 0 && hs_clock_monotonic_ms() < deadline)
+    while (hs_job_owner_running_count(daemon->owner) > 0 && hs_clock_monotonic_ms() < deadline)
         hs_clock_sleep_ms(DRAIN_POLL_MS);
-    hs_log_info("items_handed_over", "left=%u took_ms=%u", hs_job_owner_running(daemon->owner),
+    hs_log_info("items_handed_over", "left=%u took_ms=%u",
+                hs_job_owner_running_count(daemon->owner),
                 (unsigned)(hs_clock_monotonic_ms() - began_ms));
     hs_job_owner_leave(daemon->owner);
     return NULL;
@@ -339,7 +340,7 @@
     uint64_t stopped_ms = hs_clock_monotonic_ms();
     hs_log_info("daemon_stopping", "open_requests=%u running_items=%u",
                 hs_fleet_surface_open_requests(daemon->surface),
-                hs_job_owner_running(daemon->owner));
+                hs_job_owner_running_count(daemon->owner));
     hs_fleet_surface_leave(daemon->surface);
     hs_daemon_directory_leave(daemon->directory);
     GThread *handover = hs_thread_try("handover", hand_over_jobs, daemon);
--- a/src/jobs/job_plan.c
+++ b/src/jobs/job_plan.c
@@ -39,8 +39,8 @@
  */
 static double estimate_own_slots(hs_job_owner *owner, const char *service, uint64_t own_work_ms) {
     hs_service_capacity capacity = hs_fleet_engines_capacity(owner->settings.engines, service);
-    owner->online_mean += (capacity.online - owner->online_mean) * ONLINE_MEAN_WEIGHT;
-    double slots = fmax(capacity.slots - owner->online_mean, 1.0) * USABLE_SLOTS_SHARE;
+    owner->mean_online_slots += (capacity.online - owner->mean_online_slots) * ONLINE_MEAN_WEIGHT;
+    double slots = fmax(capacity.slots - owner->mean_online_slots, 1.0) * USABLE_SLOTS_SHARE;
     double peers_ms = hs_fleet_engines_peers_batch_work(owner->settings.engines);
     double all_ms = (double)own_work_ms + peers_ms;
     return all_ms > 0 ? slots * (double)own_work_ms / all_ms : slots;
--- a/src/jobs/job_quota.c
+++ b/src/jobs/job_quota.c
@@ -266,7 +266,7 @@
     GPtrArray *entries = g_ptr_array_new_with_free_func(free_entry);
     const hs_job_state *state = hs_job_partition_lock(partition);
     g_autoptr(GPtrArray) jobs = hs_job_state_list(state);
-    *fold_offset = hs_job_state_next(state);
+    *fold_offset = hs_job_state_next_offset(state);
     for (guint index = 0; index < jobs->len; index++) {
         Hs__QuotaJob *entry = make_entry(jobs->pdata[index], config);
         if (entry != NULL)
--- a/src/jobs/job_starts.c
+++ b/src/jobs/job_starts.c
@@ -19,29 +19,29 @@
 
 /** Records once for each start whether the item reached an engine. */
 static void record_send(hs_service_starts *starts, hs_owned_item *item, bool has_succeeded) {
-    if (item->is_sent_noted)
+    if (item->is_send_recorded)
         return;
-    item->is_sent_noted = true;
+    item->is_send_recorded = true;
     hs_start_throttle_record(&starts->sends, has_succeeded);
 }
 
 /** Records once for each start that the item ran for at least HS_MIN_USEFUL_RUN_MS. */
 static void record_useful_run(hs_service_starts *starts, hs_owned_item *item) {
-    if (!item->is_piece_noted)
+    if (!item->is_useful_run_recorded)
         hs_start_throttle_record(&starts->pieces, true);
-    item->is_piece_noted = true;
+    item->is_useful_run_recorded = true;
 }
 
-void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_order *order,
+void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_task *order,
                             hs_item_attempt_end end) {
     hs_owned_item *item = order->item;
     uint64_t ran_ms = hs_clock_monotonic_ms() - item->started_ms;
     bool is_preempted = end == HS_ITEM_ATTEMPT_PREEMPTED && item->run->was_sent;
     bool is_rejected =
         end == HS_ITEM_ATTEMPT_NO_CAPACITY || (end == HS_ITEM_ATTEMPT_PREEMPTED && !is_preempted);
-    owner->sent_back += is_rejected;
-    owner->cut_soon += is_preempted && ran_ms < HS_MIN_USEFUL_RUN_MS;
-    owner->cut_later += is_preempted && ran_ms >= HS_MIN_USEFUL_RUN_MS;
+    owner->rejected_starts += is_rejected;
+    owner->early_preemptions += is_preempted && ran_ms < HS_MIN_USEFUL_RUN_MS;
+    owner->late_preemptions += is_preempted && ran_ms >= HS_MIN_USEFUL_RUN_MS;
     if (order->service == NULL)
         return;
     hs_service_starts *starts = hs_job_starts_for_service(owner, order->service);
@@ -60,7 +60,7 @@
             continue;
         hs_service_starts *starts = hs_job_starts_for_service(owner, entry->service);
         uint64_t ran_ms = now_ms - entry->item->started_ms;
-        if (ran_ms >= HS_JOB_PASS_MS)
+        if (ran_ms >= HS_JOB_PASS_INTERVAL_MS)
             record_send(starts, entry->item, true);
         if (ran_ms >= HS_MIN_USEFUL_RUN_MS)
             record_useful_run(starts, entry->item);
@@ -76,8 +76,8 @@
                            "heathsail_job_item_cuts{cause=\"soon\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_job_item_cuts{cause=\"later\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_job_item_cuts{cause=\"not_sent\"} %" G_GUINT64_FORMAT "\n",
-                           (guint64)owner->cut_soon, (guint64)owner->cut_later,
-                           (guint64)owner->sent_back);
+                           (guint64)owner->early_preemptions, (guint64)owner->late_preemptions,
+                           (guint64)owner->rejected_starts);
     g_hash_table_iter_init(&iterator, owner->services);
     while (g_hash_table_iter_next(&iterator, &service, &value)) {
         const hs_service_starts *starts = value;
@@ -93,9 +93,10 @@
 }
 
 static void log_failed_forecast(hs_service_starts *starts, const char *service, uint64_t now_ms) {
-    if (!starts->outlook.has_failed || now_ms < starts->failed_logged_ms + FORECAST_LOG_INTERVAL_MS)
+    if (!starts->outlook.has_failed ||
+        now_ms < starts->forecast_failure_logged_ms + FORECAST_LOG_INTERVAL_MS)
         return;
-    starts->failed_logged_ms = now_ms;
+    starts->forecast_failure_logged_ms = now_ms;
     hs_log_info("demand_forecast_failed",
                 "service=%s online=%.1f expected=%.1f away_ms=%" G_GUINT64_FORMAT
                 " longest_ms=%" G_GUINT64_FORMAT " outcome=current_demand_assumed",
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -102,12 +102,12 @@
 
 static void write_partitions(GString *text, const hs_fleet_metrics_sources *sources) {
     hs_owner_counts counts = hs_daemon_directory_count_owners(
-        sources->members, hs_job_service_part_count(sources->jobs));
+        sources->members, hs_job_service_partition_count(sources->jobs));
     g_string_append_printf(text,
                            "heathsail_job_partitions_owned %u\n"
                            "heathsail_job_partitions_located %u\n"
                            "heathsail_job_items_running %u\n",
-                           counts.own, counts.located, hs_job_owner_running(sources->owner));
+                           counts.own, counts.located, hs_job_owner_running_count(sources->owner));
     hs_job_owner_write_metrics(sources->owner, text);
 }
 
--- a/src/surface/fleet_surface.c
+++ b/src/surface/fleet_surface.c
@@ -217,7 +217,7 @@
         config != NULL ? hs_fleet_config_find_route(config, terms->host, inbound->target) : NULL;
     hs_job_caller caller = {.terms = terms, .tenant = terms->told_tenant};
     if (route != NULL && route->kind == HS_ROUTE_BATCH)
-        hs_job_service_submit_of_peer(surface->settings.jobs, inbound, &caller, config, route);
+        hs_job_service_submit_from_peer(surface->settings.jobs, inbound, &caller, config, route);
     else
         reply_status(inbound, 503);
     hs_fleet_config_unref(config);
@@ -234,7 +234,7 @@
         reply_status(inbound, hs_store_client_is_failing(surface->settings.store) ? 503 : 200);
         return;
     }
-    if (hs_job_relay_is_call(inbound->target)) {
+    if (hs_job_relay_is_append_call(inbound->target)) {
         hs_job_relay_serve(surface->settings.store, inbound);
         return;
     }
@@ -246,7 +246,7 @@
     if (kind == HS_CALL_REQUEST)
         serve_passed_on(surface, inbound, &terms);
     else
-        hs_job_service_call_of_peer(surface->settings.jobs, inbound, &caller, kind, job_id);
+        hs_job_service_call_from_peer(surface->settings.jobs, inbound, &caller, kind, job_id);
 }
 
 /** Whether the front takes connections; without a front there is nothing to take. */
--- a/tests/fuzz/job_fold.c
+++ b/tests/fuzz/job_fold.c
@@ -40,7 +40,7 @@
         position += length + 1;
     }
     hs_job_state_first_needed_content(state);
-    hs_job_state_forget(state, 1);
+    hs_job_state_expire(state, 1);
     hs_job_state_free(state);
     return 0;
 }
--- a/tests/unit/test_connection_guard.c
+++ b/tests/unit/test_connection_guard.c
@@ -193,7 +193,7 @@
     uint64_t before = hs_connection_losses(HS_CONNECTION_DAEMON);
     uint64_t began_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(hs_job_peer_post(&address, "/x", body, began_ms + SIGN_MS, &answer),
-                    HS_PEER_SILENT);
+                    HS_PEER_NO_ANSWER);
     CU_ASSERT(hs_clock_monotonic_ms() - began_ms < SIGN_MS + SIGN_MS);
     CU_ASSERT_EQUAL(hs_connection_losses(HS_CONNECTION_DAEMON), before + 1);
     scripted_peer_set(
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -112,7 +112,7 @@
 static hs_quota_verdict reserve(test_daemon *daemon, const hs_fleet_config *config, const char *job,
                                 hs_quota_decision *decision) {
     hs_quota_request request = {.job_id = job,
-                                .partition = hs_job_partition_of(job, PARTITION_COUNT),
+                                .partition = hs_job_partition_number_for_job(job, PARTITION_COUNT),
                                 .tokens = JOB_TOKENS,
                                 .config = config,
                                 .route = config->routes->pdata[0],
@@ -124,7 +124,7 @@
 /** Append a record to the partition of @p job. */
 static void append_record(test_daemon *daemon, const char *job, const Hs__JobRecord *record) {
     hs_job_partition *partition =
-        daemon->partitions->pdata[hs_job_partition_of(job, PARTITION_COUNT)];
+        daemon->partitions->pdata[hs_job_partition_number_for_job(job, PARTITION_COUNT)];
     CU_ASSERT_EQUAL(hs_job_partition_append(partition, record, hs_clock_monotonic_ms() + 1000),
                     HS_STORE_DONE);
 }
--- a/tests/unit/test_records.c
+++ b/tests/unit/test_records.c
@@ -48,7 +48,7 @@
     g_autoptr(GByteArray) extended_record = g_byte_array_new();
     g_byte_array_append(extended_record, bytes, (guint)length);
     g_byte_array_append(extended_record, suffix, (guint)suffix_length);
-    return hs_job_state_apply(state, hs_job_state_next(state), extended_record->data,
+    return hs_job_state_apply(state, hs_job_state_next_offset(state), extended_record->data,
                               extended_record->len);
 }
 
@@ -76,7 +76,7 @@
         CU_ASSERT_TRUE(apply_with_suffix(unchanged, record, NULL, 0));
         CU_ASSERT_FALSE(apply_with_suffix(extended, half, NULL, 0));
         CU_ASSERT_TRUE(apply_with_suffix(extended, record, unknown_field, sizeof unknown_field));
-        hs_job_state_apply(extended, hs_job_state_next(extended), unknown_kind,
+        hs_job_state_apply(extended, hs_job_state_next_offset(extended), unknown_kind,
                            sizeof unknown_kind);
     }
     check_complete_job(unchanged);
