--- a/src/directory/caller_choice.h
+++ b/src/directory/caller_choice.h
@@ -1,10 +1,10 @@
 /**
  * @file caller_choice.h
- * Which daemons one caller is told to use, by what their machines bear. Pure.
+ * Selects the daemons that a caller should use by the capacity of their machines. Pure functions.
  *
- * Answers the load of a fleet whose machines differ: each daemon is named to as many callers as its
- * spare capacity is of the largest one's. A caller is named the same daemons each time, as long as
- * these stay the same, since it leaves connections to those that are named no longer.
+ * In a fleet of unequal machines, the share of callers that get a daemon is the daemon's spare
+ * capacity divided by the largest one. The selection is a function of the caller and the daemons,
+ * so a caller keeps its connections while the daemons' capacities don't change.
  */
 #ifndef HS_DIRECTORY_CALLER_CHOICE_H
 #define HS_DIRECTORY_CALLER_CHOICE_H
@@ -15,27 +15,28 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** A daemon that may be named. */
+/** A daemon that can be selected. */
 typedef struct {
-    uint64_t daemon; /**< Hash of its id. */
-    double capacity; /**< See hs_caller_capacity. */
-    bool is_chosen;  /**< Set by the choice. */
-} hs_caller_choice;
+    uint64_t daemon; /**< Hash of the daemon's id. */
+    double capacity; /**< See hs_caller_capacity; 0: unknown. */
+    bool is_chosen;  /**< Set by hs_caller_choice_select. */
+} hs_caller_candidate;
 
 /**
- * Requests a second that a machine can still take, by what it is shortest of; 0: not told. What is
- * taken of it leaves a rest, however much it is: a machine without callers could not show that it
- * has recovered.
+ * Returns the spare capacity of a machine, in requests per second, as limited by its scarcest
+ * resource; 0: unknown. A part of the capacity remains at any utilisation, as a machine that gets
+ * no callers could not show that it has recovered.
  */
 double hs_caller_capacity(const hs_member_size *size);
 
-/** Whether all of them bear alike, or nobody told: then nothing speaks for one before another. */
-bool hs_caller_choice_is_even(const hs_caller_choice *choices, size_t count);
+/** Reports whether all candidates have the same capacity, or none is known. */
+bool hs_caller_choice_is_uniform(const hs_caller_candidate *candidates, size_t count);
 
 /**
- * Choose among @p choices for the caller of hash @p caller, @p most of them at most. Daemons whose
- * capacity is not told count as the mean of the others.
+ * Selects up to @p max_count of @p candidates for the caller with hash @p caller. A candidate of
+ * unknown capacity counts with the mean of the others.
  */
-void hs_caller_choice_make(hs_caller_choice *choices, size_t count, uint64_t caller, size_t most);
+void hs_caller_choice_select(hs_caller_candidate *candidates, size_t count, uint64_t caller,
+                             size_t max_count);
 
 #endif
--- a/src/directory/daemon_directory.c
+++ b/src/directory/daemon_directory.c
@@ -1,5 +1,7 @@
-/** @file daemon_directory.c  Members, their registry in the store, and resolving; see
- * daemon_directory.h. */
+/**
+ * @file daemon_directory.c
+ * Members, their registry in the store, and resolution of addresses; see daemon_directory.h.
+ */
 #include "directory/daemon_directory.h"
 
 #include "base/clock.h"
@@ -18,31 +20,30 @@
 
 #include <string.h>
 
-/** Probes, time-outs of probes (150 ms) and shares are looked at this often. */
+/** Interval of the ticker, which drives probes, their time-outs and announcements. */
 #define TICK_MS 80
+/** Interval of announcements of this daemon's load on engines. */
 #define SHARES_INTERVAL_MS 240
+/** Peers that one announcement is sent to. If there are more, each round goes to the next ones. */
+#define MAX_PEERS_PER_ROUND 16
 /**
- * Peers told in one round; with more, each round goes to the next ones, and unheard ones are taken
- * as the others.
- */
-#define SHARES_PEERS_MAX 16
-/**
- * The same in a large fleet, of owners of partitions alone: of 295 daemons with 24 owners each
- * owner hears a third in the two seconds for which a word holds. The others need none, since
- * engines' arbiters tell them totals: half the datagrams, the same worth (design 0008).
+ * The same in a large fleet, where only owners of partitions receive announcements. The other
+ * daemons get the engines' load from the engines' arbiters.
  */
-#define SHARES_OWNERS_LARGE 1
-/** Daemons above which a fleet is large: three rounds of the most peers, so that all are heard. */
-#define LARGE_FLEET HS_ENGINE_WORDS_LARGE_FLEET
+#define MAX_OWNERS_PER_ROUND 1
+/** Number of other daemons above which a fleet is large. */
+#define LARGE_FLEET_PEERS HS_ENGINE_WORDS_LARGE_FLEET
 #define REGISTRY_INTERVAL_MS 4000
 #define REGISTRY_CALL_MS 1000
 #define JOIN_CHECK_MS 200
-/** What is held back is in the store so soon, in ms; no call where nothing changed. */
-#define RECORDS_INTERVAL_MS 500
-#define SETTLE_MS 1500 /* A daemon that knows only itself may not say so earlier. */
+/** Interval at which changed crash records are written to the store. */
+#define CRASH_RECORDS_INTERVAL_MS 500
+/** Time after joining for which a daemon that knows no other returns no addresses. */
+#define SETTLE_MS 1500
+/** Probe intervals after which a suspected member is declared dead. */
 #define SUSPECT_PROBES 2
 #define FORGET_MS 30000
-/** Begins the id under which a seed is proposed until it tells its own. */
+/** Prefix of the placeholder id of a seed whose own id is not known yet. */
 #define SEED_PREFIX "seed-"
 
 struct hs_daemon_directory {
@@ -53,19 +54,19 @@
     hs_crash_exchange *crashes;
     hs_tenant_limiter *limiter;
     hs_crash_store *crash_records;
-    char *seeds; /**< Guarded by the lock. */
+    char *seeds; /**< Guarded by lock. */
     gint resolve_ttl_s;
     uint64_t started_ms;
     uint64_t next_shares_ms;
-    guint next_peer;      /**< Where the next round of shares begins. */
-    hs_machine_load load; /**< Of the ticker's thread. */
-    gint taken_percent;   /**< As it was told last. */
+    guint next_peer;      /**< Index of the peer at which the next announcement starts. */
+    hs_machine_load load; /**< Used by the ticker's thread only. */
+    gint taken_percent;   /**< As last announced; atomic. */
     GMutex lock;
     hs_stop_wait pause;
     gint leaving;
-    gint joined; /**< It could serve once, and peers know of it. */
+    gint joined; /**< This daemon was ready to serve and takes part in the membership. */
     GThread *ticker;
-    GThread *registrar;
+    GThread *registry_thread;
 };
 
 static bool owns_partitions(hs_daemon_directory *directory, const char *id) {
@@ -76,26 +77,26 @@
     return owns;
 }
 
-static void take_shares(hs_daemon_directory *directory, const Hs__PeerMessage *message,
-                        const struct sockaddr_in *from) {
-    const Hs__EngineShares *told = message->engine_shares;
-    hs_crash_exchange_compare(directory->crashes, told->crash_digest, from);
+static void store_shares(hs_daemon_directory *directory, const Hs__PeerMessage *message,
+                         const struct sockaddr_in *from) {
+    const Hs__EngineShares *body = message->engine_shares;
+    hs_crash_exchange_compare(directory->crashes, body->crash_digest, from);
     g_autoptr(GArray) shares = g_array_new(FALSE, FALSE, sizeof(hs_engine_share));
-    for (size_t index = 0; index < told->n_shares; index++) {
-        const Hs__EngineShare *one = told->shares[index];
-        hs_engine_share share = {.engine_hash = one->engine_hash,
-                                 .online = one->online,
-                                 .batch = one->batch,
-                                 .queued_tokens = one->queued_tokens,
-                                 .ended_permille = one->ended_permille,
-                                 .failed_permille = one->failed_permille,
-                                 .suspected = one->suspected};
+    for (size_t index = 0; index < body->n_shares; index++) {
+        const Hs__EngineShare *entry = body->shares[index];
+        hs_engine_share share = {.engine_hash = entry->engine_hash,
+                                 .online = entry->online,
+                                 .batch = entry->batch,
+                                 .queued_tokens = entry->queued_tokens,
+                                 .ended_permille = entry->ended_permille,
+                                 .failed_permille = entry->failed_permille,
+                                 .suspected = entry->suspected};
         g_array_append_val(shares, share);
     }
-    hs_peer_word word = {.shares = shares,
-                         .batch_work_ms = told->batch_work_ms,
-                         .runs_batch = owns_partitions(directory, message->sender_id)};
-    hs_fleet_engines_put_peer(directory->settings.engines, message->sender_id, &word,
+    hs_peer_word report = {.shares = shares,
+                           .batch_work_ms = body->batch_work_ms,
+                           .runs_batch = owns_partitions(directory, message->sender_id)};
+    hs_fleet_engines_put_peer(directory->settings.engines, message->sender_id, &report,
                               hs_clock_monotonic_ms());
 }
 
@@ -108,7 +109,7 @@
         hs_crash_exchange_handle(directory->crashes, message, from))
         return;
     if (message->kind_case == HS__PEER_MESSAGE__KIND_ENGINE_SHARES)
-        take_shares(directory, message, from);
+        store_shares(directory, message, from);
 }
 
 hs_daemon_directory *hs_daemon_directory_new(const hs_daemon_directory_settings *settings,
@@ -154,13 +155,13 @@
     hs_membership *membership = hs_membership_service_lock(directory->membership);
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     hs_membership_list(membership, members);
-    bool known = false;
-    for (guint index = 0; index < members->len && !known; index++) {
+    bool is_known = false;
+    for (guint index = 0; index < members->len && !is_known; index++) {
         const hs_member *member = members->pdata[index];
-        known = member->address == peer.address && member->peer_port == peer.port &&
-                (member->state != HS_MEMBER_DEAD || strcmp(member->id, name) == 0);
+        is_known = member->address == peer.address && member->peer_port == peer.port &&
+                   (member->state != HS_MEMBER_DEAD || strcmp(member->id, name) == 0);
     }
-    if (!known)
+    if (!is_known)
         hs_membership_propose(membership, name, peer.address, peer.port, hs_clock_monotonic_ms());
     hs_membership_service_unlock(directory->membership);
 }
@@ -190,7 +191,7 @@
     propose_seeds(directory);
 }
 
-/** Write this daemon's record, or drop it when it leaves. */
+/** Writes this daemon's record to the store, or deletes it if @p leaves. */
 static bool write_record(hs_daemon_directory *directory, bool leaves) {
     g_autofree char *value =
         g_strdup_printf("%s:%u", directory->settings.address, directory->settings.peer_port);
@@ -204,31 +205,30 @@
     propose(user_data, entry->key, address);
 }
 
-/** Propose the daemons that the store lists. */
+/** Proposes the daemons that the store lists as members. */
 static bool read_registry(hs_daemon_directory *directory) {
     bool is_read = hs_keyed_topic_read(directory->settings.store, HS_TOPIC_MEMBERS,
                                        REGISTRY_CALL_MS, propose_entry, directory);
     if (is_read)
-        hs_tenant_limiter_note_known(directory->limiter);
+        hs_tenant_limiter_note_members_listed(directory->limiter);
     return is_read;
 }
 
 /**
- * Before this daemon joins it reads who else there is: it is asked, and asks, about tenants' limits
- * from its first request on. Read half a second later, it let pass a sixtieth of each limit until
- * then, after all daemons had been lost.
+ * Reads the list of daemons until a read succeeds or the daemon has joined. Tenants' limits depend
+ * on the list from the first request on: without it the daemon lets only a small part of them pass.
  */
-static void read_registry_first(hs_daemon_directory *directory) {
+static void read_registry_before_join(hs_daemon_directory *directory) {
     while (!read_registry(directory) && g_atomic_int_get(&directory->joined) == 0 &&
            hs_stop_wait_pause(&directory->pause, JOIN_CHECK_MS))
         continue;
 }
 
-static gpointer run_registrar(gpointer data) {
+static gpointer run_registry_thread(gpointer data) {
     hs_daemon_directory *directory = data;
-    bool written = false;
+    bool is_written = false;
     uint64_t next_ms = 0;
-    read_registry_first(directory);
+    read_registry_before_join(directory);
     do {
         hs_crash_store_read(directory->crash_records);
         if (g_atomic_int_get(&directory->leaving) != 0 || g_atomic_int_get(&directory->joined) == 0)
@@ -236,12 +236,12 @@
         hs_crash_store_update(directory->crash_records);
         if (hs_clock_monotonic_ms() < next_ms)
             continue;
-        if (!written)
-            written = write_record(directory, false);
+        if (!is_written)
+            is_written = write_record(directory, false);
         read_registry(directory);
         next_ms = hs_clock_monotonic_ms() + REGISTRY_INTERVAL_MS;
     } while (hs_stop_wait_pause(&directory->pause, g_atomic_int_get(&directory->joined) != 0
-                                                       ? RECORDS_INTERVAL_MS
+                                                       ? CRASH_RECORDS_INTERVAL_MS
                                                        : JOIN_CHECK_MS));
     return NULL;
 }
@@ -252,7 +252,7 @@
     bool owns_partitions;
 } live_peer;
 
-/** Live members but this daemon: of live_peer. @p self_owns: whether this one owns partitions. */
+/** Lists the other live members: of live_peer. @p self_owns: this daemon owns partitions. */
 static GArray *live_peers(hs_daemon_directory *directory, bool *self_owns) {
     GArray *peers = g_array_new(FALSE, FALSE, sizeof(live_peer));
     g_autoptr(GPtrArray) members = g_ptr_array_new();
@@ -272,30 +272,30 @@
 }
 
 static uint32_t count_owners(const GArray *peers) {
-    uint32_t owners = 0;
+    uint32_t owner_count = 0;
     for (guint index = 0; index < peers->len; index++)
-        owners += g_array_index(peers, live_peer, index).owns_partitions;
-    return owners;
+        owner_count += g_array_index(peers, live_peer, index).owns_partitions;
+    return owner_count;
 }
 
 /**
- * Send to the next few peers. In a large fleet these are daemons that run batch items, which need
- * to know what online requests leave them; an engine's arbiter tells the others what they need.
- * Where this daemon runs batch items itself, all others that do hear it: they share the free slots.
+ * Sends @p message to the next few peers. In a large fleet these are owners of partitions, which
+ * run batch items and need to know the slots that online requests leave free. If this daemon owns
+ * partitions itself, the message goes to all other owners too, as they share the free slots.
  */
 static void send_in_turn(hs_daemon_directory *directory, const GArray *peers, bool self_owns,
                          const Hs__PeerMessage *message) {
-    bool owners_only = peers->len > LARGE_FLEET && count_owners(peers) > 0;
-    guint most = owners_only ? SHARES_OWNERS_LARGE : SHARES_PEERS_MAX;
+    bool owners_only = peers->len > LARGE_FLEET_PEERS && count_owners(peers) > 0;
+    guint max_peers = owners_only ? MAX_OWNERS_PER_ROUND : MAX_PEERS_PER_ROUND;
     guint first = directory->next_peer;
-    guint told = 0;
+    guint sent = 0;
     for (guint count = 0; count < peers->len; count++) {
         const live_peer *peer = &g_array_index(peers, live_peer, (first + count) % peers->len);
-        bool is_next = told < most && (!owners_only || peer->owns_partitions);
+        bool is_next = sent < max_peers && (!owners_only || peer->owns_partitions);
         if (!is_next && !(self_owns && peer->owns_partitions))
             continue;
         hs_peer_socket_send(directory->socket, peer->address.address, peer->address.port, message);
-        told++;
+        sent++;
         if (is_next)
             directory->next_peer = (first + count + 1) % peers->len;
     }
@@ -305,19 +305,19 @@
     g_autoptr(GArray) shares = hs_fleet_engines_own_shares(directory->settings.engines);
     bool self_owns = false;
     g_autoptr(GArray) peers = live_peers(directory, &self_owns);
-    g_autofree Hs__EngineShare *told = g_new(Hs__EngineShare, shares->len + 1);
+    g_autofree Hs__EngineShare *entries = g_new(Hs__EngineShare, shares->len + 1);
     g_autofree Hs__EngineShare **list = g_new(Hs__EngineShare *, shares->len + 1);
     for (guint index = 0; index < shares->len; index++) {
         const hs_engine_share *share = &g_array_index(shares, hs_engine_share, index);
-        hs__engine_share__init(&told[index]);
-        told[index].engine_hash = share->engine_hash;
-        told[index].online = share->online;
-        told[index].batch = share->batch;
-        told[index].queued_tokens = share->queued_tokens;
-        told[index].ended_permille = share->ended_permille;
-        told[index].failed_permille = share->failed_permille;
-        told[index].suspected = share->suspected;
-        list[index] = &told[index];
+        hs__engine_share__init(&entries[index]);
+        entries[index].engine_hash = share->engine_hash;
+        entries[index].online = share->online;
+        entries[index].batch = share->batch;
+        entries[index].queued_tokens = share->queued_tokens;
+        entries[index].ended_permille = share->ended_permille;
+        entries[index].failed_permille = share->failed_permille;
+        entries[index].suspected = share->suspected;
+        list[index] = &entries[index];
     }
     Hs__EngineShares body = HS__ENGINE_SHARES__INIT;
     body.n_shares = shares->len;
@@ -332,27 +332,27 @@
     send_in_turn(directory, peers, self_owns, &message);
 }
 
-/** Pause between two rounds, and note how late it ended; false when the duty is to end. */
+/** Pauses between two rounds and records the delay; false: the ticker has to stop. */
 static bool pause_round(hs_daemon_directory *directory) {
     uint64_t due_ms = hs_clock_monotonic_ms() + TICK_MS;
-    bool goes_on = hs_stop_wait_pause(&directory->pause, TICK_MS);
+    bool continues = hs_stop_wait_pause(&directory->pause, TICK_MS);
     uint64_t now_ms = hs_clock_monotonic_ms();
     hs_machine_load_note(&directory->load, now_ms > due_ms ? (double)(now_ms - due_ms) : 0);
-    return goes_on;
+    return continues;
 }
 
-/** Tell the others where much more, or less, of this machine is taken than they know. */
-static void tell_taken(hs_daemon_directory *directory, uint64_t now_ms) {
+/** Announces the utilisation of this machine if it has changed by a step. */
+static void announce_utilisation(hs_daemon_directory *directory, uint64_t now_ms) {
     directory->load.memory_percent = hs_memory_taken_percent();
-    uint32_t taken = hs_machine_load_taken_percent(&directory->load, now_ms);
-    if ((gint)taken == g_atomic_int_get(&directory->taken_percent))
+    uint32_t utilisation = hs_machine_load_taken_percent(&directory->load, now_ms);
+    if ((gint)utilisation == g_atomic_int_get(&directory->taken_percent))
         return;
-    hs_log_info("machine_load", "taken_percent=%u before=%d late_ms=%.1f memory_percent=%u", taken,
-                g_atomic_int_get(&directory->taken_percent), directory->load.late_ms,
+    hs_log_info("machine_load", "taken_percent=%u before=%d late_ms=%.1f memory_percent=%u",
+                utilisation, g_atomic_int_get(&directory->taken_percent), directory->load.delay_ms,
                 directory->load.memory_percent);
-    g_atomic_int_set(&directory->taken_percent, (gint)taken);
+    g_atomic_int_set(&directory->taken_percent, (gint)utilisation);
     hs_membership *membership = hs_membership_service_lock(directory->membership);
-    hs_membership_tell_taken(membership, taken);
+    hs_membership_tell_taken(membership, utilisation);
     hs_membership_service_unlock(directory->membership);
 }
 
@@ -370,7 +370,7 @@
     propose_seeds(directory);
     while (pause_round(directory)) {
         uint64_t now_ms = hs_clock_monotonic_ms();
-        tell_taken(directory, now_ms);
+        announce_utilisation(directory, now_ms);
         hs_wake_watch_look(directory->settings.wakes);
         hs_membership_service_tick(directory->membership, now_ms);
         hs_crash_exchange_tick(directory->crashes, now_ms);
@@ -386,7 +386,7 @@
 
 void hs_daemon_directory_start(hs_daemon_directory *directory) {
     directory->ticker = g_thread_new("directory", run_ticker, directory);
-    directory->registrar = g_thread_new("registrar", run_registrar, directory);
+    directory->registry_thread = g_thread_new("registrar", run_registry_thread, directory);
 }
 
 void hs_daemon_directory_leave(hs_daemon_directory *directory) {
@@ -401,7 +401,7 @@
     hs_stop_wait_ask(&directory->pause);
     if (directory->ticker != NULL) {
         g_thread_join(directory->ticker);
-        g_thread_join(directory->registrar);
+        g_thread_join(directory->registry_thread);
         if (g_atomic_int_get(&directory->joined) != 0)
             hs_peer_socket_stop(directory->socket);
     }
@@ -437,12 +437,12 @@
     return addresses;
 }
 
-void hs_daemon_directory_tell_owned(hs_daemon_directory *directory, const GArray *parts,
+void hs_daemon_directory_tell_owned(hs_daemon_directory *directory, const GArray *partitions,
                                     uint64_t generation) {
     g_autoptr(GArray) owned = g_array_new(FALSE, FALSE, sizeof(hs_owned_partition));
     g_autoptr(GPtrArray) no_engines = g_ptr_array_new();
-    for (guint index = 0; index < parts->len; index++) {
-        hs_owned_partition partition = {.partition = g_array_index(parts, uint32_t, index),
+    for (guint index = 0; index < partitions->len; index++) {
+        hs_owned_partition partition = {.partition = g_array_index(partitions, uint32_t, index),
                                         .epoch = (uint32_t)generation};
         g_array_append_val(owned, partition);
     }
@@ -451,11 +451,11 @@
     hs_membership_service_unlock(directory->membership);
 }
 
-bool hs_daemon_directory_owner(hs_daemon_directory *directory, uint32_t part,
+bool hs_daemon_directory_owner(hs_daemon_directory *directory, uint32_t partition,
                                hs_daemon_address *owner) {
     uint32_t epoch = 0;
     const hs_membership *membership = hs_membership_service_lock(directory->membership);
-    const hs_member *member = hs_membership_owner(membership, part, &epoch);
+    const hs_member *member = hs_membership_owner(membership, partition, &epoch);
     bool is_other = member != NULL && member != hs_membership_self(membership) &&
                     member->state == HS_MEMBER_ALIVE;
     if (is_other)
@@ -465,12 +465,12 @@
 }
 
 hs_owner_counts hs_daemon_directory_count_owners(hs_daemon_directory *directory,
-                                                 uint32_t part_count) {
+                                                 uint32_t partition_count) {
     hs_owner_counts counts = {0};
     const hs_membership *membership = hs_membership_service_lock(directory->membership);
-    for (uint32_t part = 0; part < part_count; part++) {
+    for (uint32_t partition = 0; partition < partition_count; partition++) {
         uint32_t epoch = 0;
-        const hs_member *member = hs_membership_owner(membership, part, &epoch);
+        const hs_member *member = hs_membership_owner(membership, partition, &epoch);
         counts.own += member != NULL && member == hs_membership_self(membership);
         counts.located += member != NULL && member->state == HS_MEMBER_ALIVE;
     }
--- a/src/directory/machine_load.c
+++ b/src/directory/machine_load.c
@@ -3,36 +3,37 @@
 
 #include <math.h>
 
-/** Weight of the latest pause: of some twelve a second, a mean over about a second. */
-#define LATE_WEIGHT 0.08
-/** Longer ones are stops of the whole process, in ms, and say nothing of its processor. */
-#define LATE_MOST_MS 500.0
-/** Pauses end so late on an idle machine too, in ms: a timer's own inexactness. */
-#define LATE_USUAL_MS 2.0
-/** Late by this much, in ms, a request is held up at each of its steps for a tenth of an objective
- * of half a second: half of the machine counts as taken. */
-#define LATE_HALF_MS 12.0
-/** Steps in which it is told, in percent. */
+/** Weight of the latest pause in the average; about 12 pauses end per second. */
+#define DELAY_WEIGHT 0.08
+/** Longer delays are ignored: the whole process was stopped, which is no sign of load. */
+#define MAX_DELAY_MS 500.0
+/** Delay on an idle machine, from the imprecision of timers. */
+#define TIMER_DELAY_MS 2.0
+/** Delay, beyond that of timers, at which the utilisation is 50 percent. */
+#define HALF_LOAD_DELAY_MS 12.0
+/** Granularity of the reported utilisation. */
 #define STEP_PERCENT 25
-/** A step is told when the load lies this far within it, in percent, and */
+/** Hysteresis: distance beyond the boundary of a step at which the step is reported. */
 #define STEP_MARGIN_PERCENT 8.0
-/** not sooner than this after the one before, in ms. */
-#define STEP_LEAST_MS 2000
+/** Minimum time between two changes of the reported utilisation. */
+#define MIN_STEP_INTERVAL_MS 2000
 
-void hs_machine_load_note(hs_machine_load *load, double late_ms) {
-    if (late_ms > LATE_MOST_MS)
+void hs_machine_load_note(hs_machine_load *load, double delay_ms) {
+    if (delay_ms > MAX_DELAY_MS)
         return;
-    load->late_ms += (fmax(late_ms, 0) - load->late_ms) * LATE_WEIGHT;
+    load->delay_ms += (fmax(delay_ms, 0) - load->delay_ms) * DELAY_WEIGHT;
 }
 
 uint32_t hs_machine_load_taken_percent(hs_machine_load *load, uint64_t now_ms) {
-    double late_ms = fmax(load->late_ms - LATE_USUAL_MS, 0);
-    double taken = fmax(100 * late_ms / (late_ms + LATE_HALF_MS), load->memory_percent);
-    double away = fabs(taken - load->told_percent);
-    bool is_due = load->told_ms == 0 || now_ms >= load->told_ms + STEP_LEAST_MS;
-    if (!is_due || away < STEP_PERCENT / 2.0 + STEP_MARGIN_PERCENT)
-        return load->told_percent;
-    load->told_percent = (uint32_t)lround(taken / STEP_PERCENT) * STEP_PERCENT;
-    load->told_ms = now_ms;
-    return load->told_percent;
+    double delay_ms = fmax(load->delay_ms - TIMER_DELAY_MS, 0);
+    double utilisation =
+        fmax(100 * delay_ms / (delay_ms + HALF_LOAD_DELAY_MS), load->memory_percent);
+    double difference = fabs(utilisation - load->reported_percent);
+    bool is_due =
+        load->reported_at_ms == 0 || now_ms >= load->reported_at_ms + MIN_STEP_INTERVAL_MS;
+    if (!is_due || difference < STEP_PERCENT / 2.0 + STEP_MARGIN_PERCENT)
+        return load->reported_percent;
+    load->reported_percent = (uint32_t)lround(utilisation / STEP_PERCENT) * STEP_PERCENT;
+    load->reported_at_ms = now_ms;
+    return load->reported_percent;
 }
--- a/src/directory/machine_load.h
+++ b/src/directory/machine_load.h
@@ -1,9 +1,10 @@
 /**
  * @file machine_load.h
- * How much of its machine is taken, by how late a short pause ends there, or by its memory. Pure.
+ * Estimates the utilisation of this daemon's machine by the delay with which short pauses end, and
+ * by the machine's memory. Pure functions; the caller synchronises access.
  *
- * A thread that is ready and does not run is what callers feel, whatever takes the processor: this
- * daemon, another program, or a machine that runs slower than it says.
+ * The scheduling delay covers every cause that slows requests down: this daemon, other programs,
+ * and a processor slower than its nominal capacity.
  */
 #ifndef HS_DIRECTORY_MACHINE_LOAD_H
 #define HS_DIRECTORY_MACHINE_LOAD_H
@@ -11,20 +12,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Zero-initialise. */
+/** Zero-initialise. Times are monotonic. */
 typedef struct {
-    double late_ms;          /**< How late pauses end: mean of about the last second, in ms. */
-    uint32_t memory_percent; /**< Taken of the memory for others; set by the owner. */
-    uint32_t told_percent;   /**< As the other daemons were told last. */
-    uint64_t told_ms;        /**< When told_percent changed last. */
+    double delay_ms;           /**< Moving average, over about a second, of the delay of pauses. */
+    uint32_t memory_percent;   /**< Memory in use; set by the struct's owner. */
+    uint32_t reported_percent; /**< Utilisation as last reported to the other daemons. */
+    uint64_t reported_at_ms;   /**< Time of the last change of reported_percent; 0: none. */
 } hs_machine_load;
 
-/** A pause ended @p late_ms after its time. */
-void hs_machine_load_note(hs_machine_load *load, double late_ms);
+/** Records that a pause ended @p delay_ms after its due time. */
+void hs_machine_load_note(hs_machine_load *load, double delay_ms);
 
 /**
- * Part of the machine that is taken, in percent and in coarse steps that change seldom: each
- * change is told to all daemons.
+ * Returns the utilisation of the machine in percent. The value has coarse steps with hysteresis and
+ * a minimum interval, as each change is sent to all daemons.
  */
 uint32_t hs_machine_load_taken_percent(hs_machine_load *load, uint64_t now_ms);
 
--- a/src/directory/peer_questions.c
+++ b/src/directory/peer_questions.c
@@ -7,86 +7,84 @@
 #include <string.h>
 
 /**
- * Wait in ms for an answer before it is asked for once more: some twenty times what a datagram
- * takes there and back, as a daemon that has used up its share of a processor answers a tenth of a
- * second late.
+ * Time-out of each send. Well above a datagram's round trip, as a daemon that is throttled by its
+ * processor quota answers late.
  */
-#define ANSWER_MS 60
-/** Sends of a question. Datagrams are lost now and then: the second of two lost in a row is one in
- * ten thousand. */
-#define TRIES 2
+#define ANSWER_TIMEOUT_MS 60
+/** Sends of a query before it fails, as datagrams may be lost. */
+#define MAX_SENDS 2
 
-/** A question that waits; on its asker's stack. */
+/** Query whose answer is awaited; on the stack of the sending thread. */
 typedef struct {
     uint64_t sequence;
     bool is_answered;
     void *answer;
-} waiting_question;
+} pending_query;
 
 struct hs_peer_questions {
     size_t answer_bytes;
-    GMutex lock; /**< Guards what follows. */
+    GMutex lock; /**< Guards the members below. */
     GCond answered;
-    GHashTable *waiting; /**< sequence -> waiting_question* */
+    GHashTable *pending; /**< sequence -> pending_query* */
     uint64_t sequence;
 };
 
 hs_peer_questions *hs_peer_questions_new(size_t answer_bytes) {
-    hs_peer_questions *questions = g_new0(hs_peer_questions, 1);
-    questions->answer_bytes = answer_bytes;
-    g_mutex_init(&questions->lock);
-    g_cond_init(&questions->answered);
-    questions->waiting = g_hash_table_new(g_int64_hash, g_int64_equal);
-    return questions;
+    hs_peer_questions *queries = g_new0(hs_peer_questions, 1);
+    queries->answer_bytes = answer_bytes;
+    g_mutex_init(&queries->lock);
+    g_cond_init(&queries->answered);
+    queries->pending = g_hash_table_new(g_int64_hash, g_int64_equal);
+    return queries;
 }
 
-void hs_peer_questions_free(hs_peer_questions *questions) {
-    if (questions == NULL)
+void hs_peer_questions_free(hs_peer_questions *queries) {
+    if (queries == NULL)
         return;
-    g_hash_table_destroy(questions->waiting);
-    g_cond_clear(&questions->answered);
-    g_mutex_clear(&questions->lock);
-    g_free(questions);
+    g_hash_table_destroy(queries->pending);
+    g_cond_clear(&queries->answered);
+    g_mutex_clear(&queries->lock);
+    g_free(queries);
 }
 
-/** Wait for the answer after one send. */
-static bool await_answer(hs_peer_questions *questions, const waiting_question *question) {
-    hs_pause pause = hs_clock_pause_begin(ANSWER_MS);
+/** Waits for the answer after one send. */
+static bool await_answer(hs_peer_questions *queries, const pending_query *query) {
+    hs_pause pause = hs_clock_pause_begin(ANSWER_TIMEOUT_MS);
     bool is_waiting = true;
-    g_mutex_lock(&questions->lock);
-    while (is_waiting && !question->is_answered)
-        is_waiting = hs_clock_pause_wait(&pause, &questions->answered, &questions->lock);
-    bool is_answered = question->is_answered;
-    g_mutex_unlock(&questions->lock);
+    g_mutex_lock(&queries->lock);
+    while (is_waiting && !query->is_answered)
+        is_waiting = hs_clock_pause_wait(&pause, &queries->answered, &queries->lock);
+    bool is_answered = query->is_answered;
+    g_mutex_unlock(&queries->lock);
     return is_answered;
 }
 
-bool hs_peer_questions_ask(hs_peer_questions *questions, hs_question_sender send, void *user_data,
+bool hs_peer_questions_ask(hs_peer_questions *queries, hs_peer_query_sender send, void *user_data,
                            void *answer) {
-    waiting_question question = {.answer = answer};
-    g_mutex_lock(&questions->lock);
-    question.sequence = ++questions->sequence;
-    g_hash_table_insert(questions->waiting, &question.sequence, &question);
-    g_mutex_unlock(&questions->lock);
+    pending_query query = {.answer = answer};
+    g_mutex_lock(&queries->lock);
+    query.sequence = ++queries->sequence;
+    g_hash_table_insert(queries->pending, &query.sequence, &query);
+    g_mutex_unlock(&queries->lock);
     bool is_answered = false;
-    for (int attempt = 0; attempt < TRIES && !is_answered; attempt++) {
-        send(question.sequence, user_data);
-        is_answered = await_answer(questions, &question);
+    for (int attempt = 0; attempt < MAX_SENDS && !is_answered; attempt++) {
+        send(query.sequence, user_data);
+        is_answered = await_answer(queries, &query);
     }
-    g_mutex_lock(&questions->lock);
-    g_hash_table_remove(questions->waiting, &question.sequence);
-    is_answered = question.is_answered;
-    g_mutex_unlock(&questions->lock);
+    g_mutex_lock(&queries->lock);
+    g_hash_table_remove(queries->pending, &query.sequence);
+    is_answered = query.is_answered;
+    g_mutex_unlock(&queries->lock);
     return is_answered;
 }
 
-void hs_peer_questions_answer(hs_peer_questions *questions, uint64_t sequence, const void *answer) {
-    g_mutex_lock(&questions->lock);
-    waiting_question *question = g_hash_table_lookup(questions->waiting, &sequence);
-    if (question != NULL && !question->is_answered) {
-        memcpy(question->answer, answer, questions->answer_bytes);
-        question->is_answered = true;
-        g_cond_broadcast(&questions->answered);
+void hs_peer_questions_answer(hs_peer_questions *queries, uint64_t sequence, const void *answer) {
+    g_mutex_lock(&queries->lock);
+    pending_query *query = g_hash_table_lookup(queries->pending, &sequence);
+    if (query != NULL && !query->is_answered) {
+        memcpy(query->answer, answer, queries->answer_bytes);
+        query->is_answered = true;
+        g_cond_broadcast(&queries->answered);
     }
-    g_mutex_unlock(&questions->lock);
+    g_mutex_unlock(&queries->lock);
 }
--- a/src/directory/peer_questions.h
+++ b/src/directory/peer_questions.h
@@ -1,6 +1,6 @@
 /**
  * @file peer_questions.h
- * Questions to other daemons by datagram, whose answers their askers wait for. Shared by threads.
+ * Queries to other daemons by datagram, for which the sending thread waits. Thread-safe.
  */
 #ifndef HS_DIRECTORY_PEER_QUESTIONS_H
 #define HS_DIRECTORY_PEER_QUESTIONS_H
@@ -11,22 +11,23 @@
 
 typedef struct hs_peer_questions hs_peer_questions;
 
-/** @p answer_bytes: of each answer. */
+/** @p answer_bytes: size of each answer. */
 hs_peer_questions *hs_peer_questions_new(size_t answer_bytes);
-void hs_peer_questions_free(hs_peer_questions *questions);
 
-/** Sends a question under its number; may be called again, since datagrams are lost now and then.
- */
-typedef void (*hs_question_sender)(uint64_t sequence, void *user_data);
+/** Frees the queries; none may be pending. NULL is allowed. */
+void hs_peer_questions_free(hs_peer_questions *queries);
+
+/** Sends the query with @p sequence. Called again if no answer arrives in time. */
+typedef void (*hs_peer_query_sender)(uint64_t sequence, void *user_data);
 
 /**
- * Ask and wait, while a request of a caller does; false: no answer came, after 120 ms. @p answer is
- * filled where one did.
+ * Sends a query and waits for the answer. Returns false if none arrives within 120 ms; otherwise
+ * copies the answer to @p answer, which has the size of an answer.
  */
-bool hs_peer_questions_ask(hs_peer_questions *questions, hs_question_sender send, void *user_data,
+bool hs_peer_questions_ask(hs_peer_questions *queries, hs_peer_query_sender send, void *user_data,
                            void *answer);
 
-/** The answer to a question came; one that nobody waits for any more is dropped. */
-void hs_peer_questions_answer(hs_peer_questions *questions, uint64_t sequence, const void *answer);
+/** Completes the query @p sequence with @p answer. Ignored if the query is no longer pending. */
+void hs_peer_questions_answer(hs_peer_questions *queries, uint64_t sequence, const void *answer);
 
 #endif
--- a/src/directory/slot_arbiter.c
+++ b/src/directory/slot_arbiter.c
@@ -1,4 +1,4 @@
-/** @file slot_arbiter.c  Messages about engines' slots; see slot_arbiter.h. */
+/** @file slot_arbiter.c  Messages on engines' slots; see slot_arbiter.h. */
 #include "directory/slot_arbiter.h"
 
 #include "base/clock.h"
@@ -8,10 +8,10 @@
 
 #include <string.h>
 
-/** Words in one answer, its own among them, of some 36 bytes each: it fits an Ethernet frame. */
-#define ANSWER_WORDS_MOST 32
-/** A word's tag and length in the message. */
-#define WORD_HEAD_BYTES 2
+/** Maximum number of load reports in one answer, so that the answer fits an Ethernet frame. */
+#define MAX_ANSWER_REPORTS 32
+/** Tag and length of an encoded report. */
+#define REPORT_HEADER_BYTES 2
 
 struct hs_slot_arbiter {
     hs_fleet_engines *engines;
@@ -20,7 +20,7 @@
     hs_slot_ledger *ledger;
 };
 
-/** A daemon that messages go to. */
+/** Receiver of messages. */
 typedef struct {
     char id[64];
     uint32_t address;
@@ -28,8 +28,8 @@
     bool is_self;
 } peer;
 
-/** The arbiter of an engine: first by rendezvous among live daemons. */
-static peer arbiter_of(hs_slot_arbiter *arbiter, uint64_t engine_hash) {
+/** Finds the arbiter of an engine; the port is 0 if there is none. */
+static peer find_arbiter(hs_slot_arbiter *arbiter, uint64_t engine_hash) {
     g_autofree char *key = g_strdup_printf("engine-%" G_GINT64_MODIFIER "x", engine_hash);
     peer found = {0};
     const hs_membership *membership = hs_membership_service_lock(arbiter->membership);
@@ -55,85 +55,87 @@
     return is_own_id;
 }
 
-/** Pass on who must leave an engine; this daemon's own items are told at once. */
-static void pass_on(hs_slot_arbiter *arbiter, uint64_t engine_hash, const GArray *asks) {
-    for (guint index = 0; index < asks->len; index++) {
-        const hs_slot_ask *ask = &g_array_index(asks, hs_slot_ask, index);
+/** Sends preemption requests for an engine to the daemons; this daemon's own apply at once. */
+static void send_preemptions(hs_slot_arbiter *arbiter, uint64_t engine_hash,
+                             const GArray *requests) {
+    for (guint index = 0; index < requests->len; index++) {
+        const hs_slot_ask *request = &g_array_index(requests, hs_slot_ask, index);
         hs_log_debug("step_aside_asked", "engine_hash=%" G_GINT64_MODIFIER "x daemon=%s count=%u",
-                     engine_hash, ask->daemon, ask->count);
+                     engine_hash, request->daemon, request->count);
         peer to = {0};
-        g_strlcpy(to.id, ask->daemon, sizeof to.id);
-        if (!hs_membership_service_address(arbiter->membership, ask->daemon, &to.address, &to.port))
+        g_strlcpy(to.id, request->daemon, sizeof to.id);
+        if (!hs_membership_service_address(arbiter->membership, request->daemon, &to.address,
+                                           &to.port))
             continue;
         Hs__StepAside body = HS__STEP_ASIDE__INIT;
         body.engine_hash = engine_hash;
-        body.count = ask->count;
+        body.count = request->count;
         Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
         message.kind_case = HS__PEER_MESSAGE__KIND_STEP_ASIDE;
         message.step_aside = &body;
-        if (is_self(arbiter, ask->daemon))
-            hs_fleet_engines_step_aside(arbiter->engines, engine_hash, ask->count);
+        if (is_self(arbiter, request->daemon))
+            hs_fleet_engines_step_aside(arbiter->engines, engine_hash, request->count);
         else
             send_to(arbiter, &to, &message);
     }
 }
 
-/** Note what one daemon has on an engine and act on it. */
-static hs_engine_total take_word(hs_slot_arbiter *arbiter, const hs_slot_word *word) {
-    g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+/** Stores a daemon's report of its use and sends the resulting preemption requests. */
+static hs_engine_total put_report(hs_slot_arbiter *arbiter, const hs_slot_word *report) {
+    g_autoptr(GArray) requests = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
     g_mutex_lock(&arbiter->lock);
-    hs_engine_total total =
-        hs_slot_ledger_take(arbiter->ledger, word, hs_clock_monotonic_ms(), asks);
+    hs_engine_total load =
+        hs_slot_ledger_take(arbiter->ledger, report, hs_clock_monotonic_ms(), requests);
     g_mutex_unlock(&arbiter->lock);
-    pass_on(arbiter, word->use.engine_hash, asks);
-    return total;
+    send_preemptions(arbiter, report->use.engine_hash, requests);
+    return load;
 }
 
-static hs_slot_word word_from(const Hs__PeerMessage *message, const Hs__EngineUse *told) {
+static hs_slot_word decode_use(const Hs__PeerMessage *message, const Hs__EngineUse *use) {
     return (hs_slot_word){.daemon = message->sender_id,
                           .incarnation = message->sender_incarnation,
-                          .use = {.engine_hash = told->engine_hash,
+                          .use = {.engine_hash = use->engine_hash,
                                   .sequence = message->engine_uses->sequence,
-                                  .slots = told->slots,
-                                  .online = told->online,
-                                  .batch = told->batch,
-                                  .rank_ms = told->rank_ms,
-                                  .served = told->served,
-                                  .failed = told->failed,
-                                  .queued_tokens = told->queued_tokens,
-                                  .run_events = told->run_events,
-                                  .run_ms = told->run_ms,
-                                  .slowdown_percent = told->slowdown_percent,
-                                  .slowdown_age_ms = told->slowdown_age_ms}};
+                                  .slots = use->slots,
+                                  .online = use->online,
+                                  .batch = use->batch,
+                                  .rank_ms = use->rank_ms,
+                                  .served = use->served,
+                                  .failed = use->failed,
+                                  .queued_tokens = use->queued_tokens,
+                                  .run_events = use->run_events,
+                                  .run_ms = use->run_ms,
+                                  .slowdown_percent = use->slowdown_percent,
+                                  .slowdown_age_ms = use->slowdown_age_ms}};
 }
 
-static void write_total(const hs_engine_total *total, Hs__EngineTotal *told) {
-    hs__engine_total__init(told);
-    told->engine_hash = total->engine_hash;
-    told->online = total->online;
-    told->batch = total->batch;
-    told->queued_tokens = total->queued_tokens;
-    told->is_failing = total->is_failing;
-    told->event_us = total->event_us;
-    told->slowdown_percent = total->slowdown_percent;
-    told->slowdown_age_ms = total->slowdown_age_ms;
-    told->age_ms = total->age_ms;
+static void encode_report(const hs_engine_total *load, Hs__EngineTotal *encoded) {
+    hs__engine_total__init(encoded);
+    encoded->engine_hash = load->engine_hash;
+    encoded->online = load->online;
+    encoded->batch = load->batch;
+    encoded->queued_tokens = load->queued_tokens;
+    encoded->is_failing = load->is_failing;
+    encoded->event_us = load->event_us;
+    encoded->slowdown_percent = load->slowdown_percent;
+    encoded->slowdown_age_ms = load->slowdown_age_ms;
+    encoded->age_ms = load->age_ms;
 }
 
-static hs_engine_total read_total(const Hs__EngineTotal *told) {
-    return (hs_engine_total){.engine_hash = told->engine_hash,
-                             .online = told->online,
-                             .batch = told->batch,
-                             .queued_tokens = told->queued_tokens,
-                             .is_failing = told->is_failing,
-                             .event_us = told->event_us,
-                             .slowdown_percent = told->slowdown_percent,
-                             .slowdown_age_ms = told->slowdown_age_ms,
-                             .age_ms = told->age_ms};
+static hs_engine_total decode_report(const Hs__EngineTotal *encoded) {
+    return (hs_engine_total){.engine_hash = encoded->engine_hash,
+                             .online = encoded->online,
+                             .batch = encoded->batch,
+                             .queued_tokens = encoded->queued_tokens,
+                             .is_failing = encoded->is_failing,
+                             .event_us = encoded->event_us,
+                             .slowdown_percent = encoded->slowdown_percent,
+                             .slowdown_age_ms = encoded->slowdown_age_ms,
+                             .age_ms = encoded->age_ms};
 }
 
-/** What this daemon knows as an arbiter is what it believes as a sender. */
-static void believe_own_words(hs_slot_arbiter *arbiter) {
+/** Copies this daemon's reports as an arbiter to its own table of engines. */
+static void store_own_reports(hs_slot_arbiter *arbiter) {
     g_autoptr(GArray) own = g_array_new(FALSE, FALSE, sizeof(hs_engine_total));
     g_mutex_lock(&arbiter->lock);
     hs_slot_ledger_list(arbiter->ledger, hs_clock_monotonic_ms(), own);
@@ -143,60 +145,61 @@
                                        &g_array_index(own, hs_engine_total, index));
 }
 
-static bool is_answered(const Hs__EngineTotals *body, uint64_t engine_hash) {
+static bool has_report(const Hs__EngineTotals *body, uint64_t engine_hash) {
     for (size_t index = 0; index < body->n_totals; index++)
         if (body->totals[index]->engine_hash == engine_hash)
             return true;
     return false;
 }
 
-/** Words in the form that engine_words.h picks from; the index takes the place of the hash. */
-static GArray *words_to_pick(const GArray *known, const Hs__EngineTotals *body) {
-    GArray *words = g_array_new(FALSE, FALSE, sizeof(hs_engine_word));
+/** Lists the reports missing in @p body as relay candidates; the index replaces the hash. */
+static GArray *list_relay_candidates(const GArray *known, const Hs__EngineTotals *body) {
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(hs_engine_word));
     for (guint index = 0; index < known->len; index++) {
-        const hs_engine_total *total = &g_array_index(known, hs_engine_total, index);
-        hs_engine_word word = {.engine_hash = index, .age_ms = total->age_ms};
-        if (!is_answered(body, total->engine_hash))
-            g_array_append_val(words, word);
+        const hs_engine_total *load = &g_array_index(known, hs_engine_total, index);
+        hs_engine_word report = {.engine_hash = index, .age_ms = load->age_ms};
+        if (!has_report(body, load->engine_hash))
+            g_array_append_val(candidates, report);
     }
-    return words;
+    return candidates;
 }
 
 /**
- * In a large fleet add the freshest words to an answer, as far as its datagram has room; the words,
- * NULL where there are none. Free them and the list with g_free.
+ * In a large fleet, adds the most recent reports to an answer, as far as the datagram's size
+ * allows. Returns the reports, or NULL if none are relayed. Free them and @p body's list with
+ * g_free.
  */
-static Hs__EngineTotal *add_words(hs_slot_arbiter *arbiter, Hs__EngineTotals *body) {
+static Hs__EngineTotal *add_relayed_reports(hs_slot_arbiter *arbiter, Hs__EngineTotals *body) {
     if (!hs_fleet_engines_passes_words(arbiter->engines))
         return NULL;
-    believe_own_words(arbiter);
+    store_own_reports(arbiter);
     g_autoptr(GArray) known = hs_fleet_engines_words(arbiter->engines);
-    g_autoptr(GArray) words = words_to_pick(known, body);
-    size_t room = body->n_totals < ANSWER_WORDS_MOST ? ANSWER_WORDS_MOST - body->n_totals : 0;
-    size_t count = hs_engine_words_pick((hs_engine_word *)words->data, words->len);
+    g_autoptr(GArray) candidates = list_relay_candidates(known, body);
+    size_t capacity = body->n_totals < MAX_ANSWER_REPORTS ? MAX_ANSWER_REPORTS - body->n_totals : 0;
+    size_t count = hs_engine_words_pick((hs_engine_word *)candidates->data, candidates->len);
     size_t bytes = 0;
-    body->n_passed_on = MIN(count, room);
-    Hs__EngineTotal *told = g_new(Hs__EngineTotal, body->n_passed_on + 1);
+    body->n_passed_on = MIN(count, capacity);
+    Hs__EngineTotal *encoded = g_new(Hs__EngineTotal, body->n_passed_on + 1);
     body->passed_on = g_new(Hs__EngineTotal *, body->n_passed_on + 1);
     for (size_t index = 0; index < body->n_passed_on; index++) {
-        const hs_engine_word *word = &g_array_index(words, hs_engine_word, index);
-        write_total(&g_array_index(known, hs_engine_total, word->engine_hash), &told[index]);
-        body->passed_on[index] = &told[index];
-        bytes += hs__engine_total__get_packed_size(&told[index]) + WORD_HEAD_BYTES;
+        const hs_engine_word *report = &g_array_index(candidates, hs_engine_word, index);
+        encode_report(&g_array_index(known, hs_engine_total, report->engine_hash), &encoded[index]);
+        body->passed_on[index] = &encoded[index];
+        bytes += hs__engine_total__get_packed_size(&encoded[index]) + REPORT_HEADER_BYTES;
     }
     hs_fleet_engines_note_passed_on(arbiter->engines, body->n_passed_on, bytes);
-    return told;
+    return encoded;
 }
 
-static void take_uses(hs_slot_arbiter *arbiter, const Hs__PeerMessage *message,
-                      const struct sockaddr_in *from) {
+static void handle_uses(hs_slot_arbiter *arbiter, const Hs__PeerMessage *message,
+                        const struct sockaddr_in *from) {
     const Hs__EngineUses *uses = message->engine_uses;
     g_autofree Hs__EngineTotal *totals = g_new(Hs__EngineTotal, uses->n_uses + 1);
     g_autofree Hs__EngineTotal **list = g_new(Hs__EngineTotal *, uses->n_uses + 1);
     for (size_t index = 0; index < uses->n_uses; index++) {
-        hs_slot_word word = word_from(message, uses->uses[index]);
-        hs_engine_total sum = take_word(arbiter, &word);
-        write_total(&sum, &totals[index]);
+        hs_slot_word report = decode_use(message, uses->uses[index]);
+        hs_engine_total load = put_report(arbiter, &report);
+        encode_report(&load, &totals[index]);
         list[index] = &totals[index];
     }
     if (!uses->wants_totals)
@@ -204,24 +207,24 @@
     Hs__EngineTotals body = HS__ENGINE_TOTALS__INIT;
     body.n_totals = uses->n_uses;
     body.totals = list;
-    Hs__EngineTotal *passed_on = add_words(arbiter, &body);
+    Hs__EngineTotal *relayed = add_relayed_reports(arbiter, &body);
     Hs__PeerMessage answer = HS__PEER_MESSAGE__INIT;
     answer.kind_case = HS__PEER_MESSAGE__KIND_ENGINE_TOTALS;
     answer.engine_totals = &body;
     peer to = {.address = g_ntohl(from->sin_addr.s_addr), .port = g_ntohs(from->sin_port)};
     send_to(arbiter, &to, &answer);
     g_free(body.passed_on);
-    g_free(passed_on);
+    g_free(relayed);
 }
 
-static void take_totals(hs_slot_arbiter *arbiter, const Hs__EngineTotals *told) {
-    for (size_t index = 0; index < told->n_totals; index++) {
-        hs_engine_total total = read_total(told->totals[index]);
-        hs_fleet_engines_put_total(arbiter->engines, &total);
+static void handle_totals(hs_slot_arbiter *arbiter, const Hs__EngineTotals *body) {
+    for (size_t index = 0; index < body->n_totals; index++) {
+        hs_engine_total load = decode_report(body->totals[index]);
+        hs_fleet_engines_put_total(arbiter->engines, &load);
     }
-    for (size_t index = 0; index < told->n_passed_on; index++) {
-        hs_engine_total total = read_total(told->passed_on[index]);
-        hs_fleet_engines_put_passed_on(arbiter->engines, &total);
+    for (size_t index = 0; index < body->n_passed_on; index++) {
+        hs_engine_total load = decode_report(body->passed_on[index]);
+        hs_fleet_engines_put_passed_on(arbiter->engines, &load);
     }
 }
 
@@ -229,10 +232,10 @@
                             const struct sockaddr_in *from) {
     switch (message->kind_case) {
     case HS__PEER_MESSAGE__KIND_ENGINE_USES:
-        take_uses(arbiter, message, from);
+        handle_uses(arbiter, message, from);
         return true;
     case HS__PEER_MESSAGE__KIND_ENGINE_TOTALS:
-        take_totals(arbiter, message->engine_totals);
+        handle_totals(arbiter, message->engine_totals);
         return true;
     case HS__PEER_MESSAGE__KIND_STEP_ASIDE:
         hs_fleet_engines_step_aside(arbiter->engines, message->step_aside->engine_hash,
@@ -243,35 +246,35 @@
     }
 }
 
-/** This daemon's own use of an engine that it arbitrates itself. */
-static void take_own(hs_slot_arbiter *arbiter, const peer *self, const hs_engine_use *own) {
-    hs_slot_word word = {.daemon = self->id,
-                         .incarnation = hs_membership_service_incarnation(arbiter->membership),
-                         .use = *own};
-    hs_engine_total total = take_word(arbiter, &word);
-    hs_fleet_engines_put_total(arbiter->engines, &total);
+/** Stores this daemon's own use of an engine that it arbitrates. */
+static void put_own_use(hs_slot_arbiter *arbiter, const peer *self, const hs_engine_use *own) {
+    hs_slot_word report = {.daemon = self->id,
+                           .incarnation = hs_membership_service_incarnation(arbiter->membership),
+                           .use = *own};
+    hs_engine_total load = put_report(arbiter, &report);
+    hs_fleet_engines_put_total(arbiter->engines, &load);
 }
 
-/** Send @p uses, all of engines that @p to arbitrates. */
+/** Sends @p uses, all of engines that @p to arbitrates. */
 static void send_uses(hs_slot_arbiter *arbiter, const peer *to, const hs_engine_use *uses,
                       size_t count, bool wants_totals) {
-    g_autofree Hs__EngineUse *told = g_new(Hs__EngineUse, count);
+    g_autofree Hs__EngineUse *encoded = g_new(Hs__EngineUse, count);
     g_autofree Hs__EngineUse **list = g_new(Hs__EngineUse *, count);
     for (size_t index = 0; index < count; index++) {
-        hs__engine_use__init(&told[index]);
-        told[index].engine_hash = uses[index].engine_hash;
-        told[index].slots = uses[index].slots;
-        told[index].online = uses[index].online;
-        told[index].batch = uses[index].batch;
-        told[index].rank_ms = uses[index].rank_ms;
-        told[index].served = uses[index].served;
-        told[index].failed = uses[index].failed;
-        told[index].queued_tokens = uses[index].queued_tokens;
-        told[index].run_events = uses[index].run_events;
-        told[index].run_ms = uses[index].run_ms;
-        told[index].slowdown_percent = uses[index].slowdown_percent;
-        told[index].slowdown_age_ms = uses[index].slowdown_age_ms;
-        list[index] = &told[index];
+        hs__engine_use__init(&encoded[index]);
+        encoded[index].engine_hash = uses[index].engine_hash;
+        encoded[index].slots = uses[index].slots;
+        encoded[index].online = uses[index].online;
+        encoded[index].batch = uses[index].batch;
+        encoded[index].rank_ms = uses[index].rank_ms;
+        encoded[index].served = uses[index].served;
+        encoded[index].failed = uses[index].failed;
+        encoded[index].queued_tokens = uses[index].queued_tokens;
+        encoded[index].run_events = uses[index].run_events;
+        encoded[index].run_ms = uses[index].run_ms;
+        encoded[index].slowdown_percent = uses[index].slowdown_percent;
+        encoded[index].slowdown_age_ms = uses[index].slowdown_age_ms;
+        list[index] = &encoded[index];
     }
     Hs__EngineUses body = HS__ENGINE_USES__INIT;
     body.sequence = uses[count - 1].sequence;
@@ -284,17 +287,17 @@
     send_to(arbiter, to, &message);
 }
 
-/** What this daemon has on an engine changed: the table of engines calls this. */
-static void tell(const hs_engine_use *use, bool started, void *user_data) {
+/** Reports a changed use of an engine to the engine's arbiter; an observer of the table. */
+static void report_use(const hs_engine_use *use, bool started, void *user_data) {
     hs_slot_arbiter *arbiter = user_data;
-    peer to = arbiter_of(arbiter, use->engine_hash);
+    peer to = find_arbiter(arbiter, use->engine_hash);
     if (to.is_self)
-        take_own(arbiter, &to, use);
+        put_own_use(arbiter, &to, use);
     else if (to.port != 0)
         send_uses(arbiter, &to, use, 1, started);
 }
 
-/** A use and where it is told. */
+/** A use and the arbiter to which it is reported. */
 typedef struct {
     peer to;
     hs_engine_use use;
@@ -309,7 +312,7 @@
     g_autoptr(GArray) addressed = g_array_new(FALSE, FALSE, sizeof(addressed_use));
     for (guint index = 0; index < uses->len; index++) {
         addressed_use entry = {.use = g_array_index(uses, hs_engine_use, index)};
-        entry.to = arbiter_of(arbiter, entry.use.engine_hash);
+        entry.to = find_arbiter(arbiter, entry.use.engine_hash);
         g_array_append_val(addressed, entry);
     }
     g_array_sort(addressed, by_receiver);
@@ -319,7 +322,7 @@
         bool is_last = index + 1 == addressed->len ||
                        by_receiver(entry, &g_array_index(addressed, addressed_use, index + 1)) != 0;
         if (entry->to.is_self) {
-            take_own(arbiter, &entry->to, &entry->use);
+            put_own_use(arbiter, &entry->to, &entry->use);
             continue;
         }
         g_array_append_val(group, entry->use);
@@ -339,7 +342,7 @@
     arbiter->membership = membership;
     arbiter->ledger = hs_slot_ledger_new();
     g_mutex_init(&arbiter->lock);
-    hs_fleet_engines_set_teller(engines, tell, arbiter);
+    hs_fleet_engines_set_teller(engines, report_use, arbiter);
     return arbiter;
 }
 
--- a/src/directory/slot_arbiter.h
+++ b/src/directory/slot_arbiter.h
@@ -1,12 +1,12 @@
 /**
  * @file slot_arbiter.h
- * Engines' slots shared between daemons: tells an engine's arbiter what this daemon has there, and
- * is itself the arbiter of some engines.
+ * Sharing of engines' slots among daemons: reports this daemon's use of engines to their arbiters,
+ * and acts as the arbiter of some engines. Thread-safe.
  *
- * The arbiter of an engine is the live daemon that ranks first for it by rendezvous; no election
- * and nothing kept. Where two daemons disagree for a moment, or the arbiter is silent, nobody is
- * asked to step aside by it; what daemons tell each other at intervals (fleet/engine_peers.c) then
- * still does, later.
+ * The arbiter of an engine is the live daemon that ranks first for the engine by rendezvous
+ * hashing, without election or stored state. While daemons disagree on the arbiter, or the arbiter
+ * does not respond, no items are preempted by it; the loads that daemons exchange at intervals
+ * (fleet/engine_peers.c) still lead to preemption, with more delay.
  */
 #ifndef HS_DIRECTORY_SLOT_ARBITER_H
 #define HS_DIRECTORY_SLOT_ARBITER_H
@@ -16,15 +16,20 @@
 
 typedef struct hs_slot_arbiter hs_slot_arbiter;
 
-/** All are borrowed. */
+/** Creates an arbiter and observes the uses of @p engines. Both arguments are borrowed. */
 hs_slot_arbiter *hs_slot_arbiter_new(hs_fleet_engines *engines, hs_membership_service *membership);
+
+/** Frees the arbiter. NULL is allowed. */
 void hs_slot_arbiter_free(hs_slot_arbiter *arbiter);
 
-/** True when the message was about slots, and was handled. */
+/** Handles a message on engines' slots. Returns false for any other message. */
 bool hs_slot_arbiter_handle(hs_slot_arbiter *arbiter, const Hs__PeerMessage *message,
                             const struct sockaddr_in *from);
 
-/** Repeat what this daemon has on all engines, one message an arbiter. */
+/**
+ * Reports this daemon's use of all engines, with one message per arbiter, and expires old reports.
+ * The directory's ticker calls it at intervals.
+ */
 void hs_slot_arbiter_refresh(hs_slot_arbiter *arbiter);
 
 #endif
--- a/src/directory/tenant_limiter.h
+++ b/src/directory/tenant_limiter.h
@@ -1,12 +1,12 @@
 /**
  * @file tenant_limiter.h
- * Keeps tenants within their limits over all daemons: asks a tenant's home for each request, and is
- * the home of some tenants.
+ * Enforces tenants' limits over all daemons: sends a query to the tenant's limit owner for each
+ * request, and is the limit owner of some tenants. Thread-safe.
  *
- * The home of a tenant is the live daemon that ranks first for it by rendezvous; nothing is
- * configured or kept. What it lets pass is decided in tenants/limit_book.h. Where the home does not
- * answer, this daemon decides by its own part of the limit, so that no limit is ever exceeded since
- * a daemon is lost or cut off.
+ * The limit owner of a tenant is the live daemon that ranks first for the tenant by rendezvous
+ * hashing, without configuration or stored state. Decisions are made in tenants/limit_book.h. If
+ * the owner does not respond, this daemon decides by its own allowance, so that the loss or
+ * partition of a daemon does not lead to exceeded limits.
  */
 #ifndef HS_DIRECTORY_TENANT_LIMITER_H
 #define HS_DIRECTORY_TENANT_LIMITER_H
@@ -16,63 +16,74 @@
 
 typedef struct hs_tenant_limiter hs_tenant_limiter;
 
-/** @p tolerance: requests above its burst that a tenant may send at one time. Others borrowed. */
+/**
+ * Creates a limiter. @p tolerance: requests beyond its burst that a tenant may send at once.
+ * @p membership is borrowed.
+ */
 hs_tenant_limiter *hs_tenant_limiter_new(hs_membership_service *membership, double tolerance);
+
+/** Frees the limiter. NULL is allowed. */
 void hs_tenant_limiter_free(hs_tenant_limiter *limiter);
 
-/** A tenant's limit by a version of the configuration. Borrowed. */
+/** A tenant's limit by a version of the configuration. Pointers are borrowed. */
 typedef struct {
     const char *name;
     double rate_per_s;
     double burst;
     uint64_t version;
-    uint64_t used_ms; /**< By this daemon's requests; see hs_fleet_engines_tenant_asked_ms. */
+    uint64_t used_ms; /**< Slot time; see hs_fleet_engines_tenant_asked_ms. */
 } hs_limited_tenant;
 
-/** Who decided a request, for logs. */
+/** What decided on a request, for logs. */
 typedef enum {
-    HS_LIMIT_BY_SELF, /**< This daemon is the tenant's home. */
-    HS_LIMIT_BY_HOME,
-    HS_LIMIT_BY_PART, /**< The home did not answer: by this daemon's part. */
+    HS_LIMIT_BY_SELF,      /**< This daemon, as the limit owner. */
+    HS_LIMIT_BY_OWNER,     /**< The limit owner, another daemon. */
+    HS_LIMIT_BY_ALLOWANCE, /**< This daemon, as the owner did not respond. */
 } hs_limit_decider;
 
+/** Static name of a decider, for logs. */
 const char *hs_limit_decider_name(hs_limit_decider decider);
 
-/** Whether a request of the tenant may pass. Waits for the home, a hop there and back. */
+/**
+ * Decides whether a request of the tenant may pass and stores in @p decider what decided. Waits for
+ * the limit owner's response.
+ */
 hs_limit_verdict hs_tenant_limiter_ask(hs_tenant_limiter *limiter, const hs_limited_tenant *tenant,
                                        hs_limit_decider *decider);
 
 /**
- * Note what this daemon's requests of a tenant asked for (@p used_ms as in hs_limited_tenant), and
- * answer the slots that it asks for of late, as far as this daemon knows. For tenants without a
- * limit, whose home is not asked.
+ * Records the slot time that this daemon's requests of a tenant have requested so far (@p used_ms
+ * as in hs_limited_tenant). Returns the slots that the tenant requested recently, as far as this
+ * daemon knows. For tenants without a limit, for which no queries are sent.
  */
 double hs_tenant_limiter_note_own_use(hs_tenant_limiter *limiter, const char *tenant,
                                       uint64_t used_ms);
 
-/** Tenants that ask for most, as far as this daemon knows, as metrics; see hs_tenant_uses_top. Free
- * with g_free. */
+/**
+ * Returns metrics of the tenants that request the most slots, as far as this daemon knows; see
+ * hs_tenant_uses_top. Free with g_free.
+ */
 char *hs_tenant_limiter_describe_shares(hs_tenant_limiter *limiter);
 
-/** True when the message was about limits, and was handled. */
+/** Handles a message on tenants' limits. Returns false for any other message. */
 bool hs_tenant_limiter_handle(hs_tenant_limiter *limiter, const Hs__PeerMessage *message,
                               const struct sockaddr_in *from);
 
 /**
- * The store's list of daemons was read, and its daemons proposed as members. Until then others may
- * be many, and let requests pass at the same time.
+ * Notes that the daemons in the store's list were proposed as members. Until then, the limiter
+ * assumes that many unknown daemons serve the same tenants.
  */
-void hs_tenant_limiter_note_known(hs_tenant_limiter *limiter);
+void hs_tenant_limiter_note_members_listed(hs_tenant_limiter *limiter);
 
-/** One round of the directory's ticker. */
+/** Discards stale and unused buckets. The directory's ticker calls it at each round. */
 void hs_tenant_limiter_tick(hs_tenant_limiter *limiter);
 
 /** Counters for metrics. */
 typedef struct {
     uint64_t passed;
     uint64_t refused;
-    uint64_t by_part; /**< Of both, decided without the home. */
-    uint64_t tenants; /**< That this daemon has a bucket of now. */
+    uint64_t by_part; /**< Of both, decided by this daemon's allowance. */
+    uint64_t tenants; /**< Tenants with a bucket at this daemon. */
 } hs_tenant_limiter_counters;
 
 hs_tenant_limiter_counters hs_tenant_limiter_count(hs_tenant_limiter *limiter);
--- a/src/fleet/slot_ledger.c
+++ b/src/fleet/slot_ledger.c
@@ -1,4 +1,4 @@
-/** @file slot_ledger.c  Uses of engines by daemon, and who steps aside; see slot_ledger.h. */
+/** @file slot_ledger.c  Uses of engines by daemon, and preemption; see slot_ledger.h. */
 #include "fleet/slot_ledger.h"
 
 #include "base/hash.h"
@@ -8,45 +8,44 @@
 
 #include <string.h>
 
-/** A daemon's word counts for this long; it is repeated several times meanwhile. */
-#define USE_VALID_MS 2000
-/** Items that were asked to leave count as gone for this long, unless the daemon says so before. */
-#define LEAVING_VALID_MS 60
+/** Time after which a daemon's report expires; several reports are sent in this time. */
+#define REPORT_VALID_MS 2000
+/** Time for which an item to preempt is not counted, unless the daemon reports its end before. */
+#define PREEMPTION_VALID_MS 60
 
-/** More ends at once than this say no more of an engine's health. */
-#define ENDS_MOST 32
-/** An engine that nobody uses any more stays known as failing for this long after its time down. */
-#define HEALTH_KEPT_MS 10000
-/** An engine is told as idle for this long after its last use, in ms; later nothing is told of it.
- */
-#define IDLE_KEPT_MS 10000
-/** Its pace is kept for this long after its last run, in ms. */
-#define PACE_KEPT_MS 40000
-/** Events that took longer than this, in ms, are ignored: no caller waits for such a stream. */
-#define EVENT_MOST_MS 10000
+/** Bound of the results that one report adds to an engine's health. */
+#define MAX_RESULTS 32
+/** Time after its time down for which the health of an unused engine is kept. */
+#define HEALTH_RETENTION_MS 10000
+/** Time after the last report on an engine for which the engine is still listed, as idle. */
+#define IDLE_RETENTION_MS 10000
+/** Time after the latest observed run for which an engine's pace is kept. */
+#define PACE_RETENTION_MS 40000
+/** Longer mean intervals between events are ignored as implausible. */
+#define MAX_EVENT_MS 10000
 /**
- * An item that was just started stays only where another can wait this much longer: a cut costs the
- * reading of the prompt and of what was made.
+ * Added to the preemption rank of an item that was just started. Preempting an older item costs
+ * more: its prompt and output so far have to be processed again.
  */
-#define STARTED_FIRST_MS 1500
+#define STARTED_RANK_BONUS_MS 1500
 
-/** One daemon's last word on an engine. */
+/** Latest report of one daemon on an engine. */
 typedef struct {
     char *daemon;
     uint64_t incarnation;
-    hs_engine_use told;
-    uint32_t leaving; /**< Of the batch items: asked to leave, not yet said to be gone. */
-    uint64_t leaving_until_ms;
-    uint64_t told_ms; /**< 0: it has told nothing yet. */
+    hs_engine_use reported;
+    uint32_t preempted; /**< Batch items to preempt whose end was not reported yet. */
+    uint64_t preempted_until_ms;
+    uint64_t reported_at_ms; /**< 0: no report yet. */
 } daemon_use;
 
-/** One engine's uses. */
+/** Uses of one engine by all daemons, and the state derived from their reports. */
 typedef struct {
     uint64_t hash;
     GPtrArray *uses; /**< of daemon_use* */
     hs_engine_health health;
     hs_engine_pace pace;
-    uint64_t told_ms; /**< When a daemon told of it last. */
+    uint64_t reported_at_ms; /**< Time of the latest report of any daemon. */
 } engine_uses;
 
 struct hs_slot_ledger {
@@ -78,7 +77,7 @@
     g_free(ledger);
 }
 
-static engine_uses *engine_of(hs_slot_ledger *ledger, uint64_t hash) {
+static engine_uses *find_or_add_engine(hs_slot_ledger *ledger, uint64_t hash) {
     engine_uses *engine = g_hash_table_lookup(ledger->engines, &hash);
     if (engine != NULL)
         return engine;
@@ -89,7 +88,7 @@
     return engine;
 }
 
-static daemon_use *use_of(engine_uses *engine, const char *daemon) {
+static daemon_use *find_or_add_use(engine_uses *engine, const char *daemon) {
     for (guint index = 0; index < engine->uses->len; index++) {
         daemon_use *use = engine->uses->pdata[index];
         if (g_str_equal(use->daemon, daemon))
@@ -101,46 +100,47 @@
     return use;
 }
 
-/** Batch items that stay. */
-static uint32_t staying(const daemon_use *use, uint64_t now_ms) {
-    uint32_t leaving = now_ms < use->leaving_until_ms ? MIN(use->leaving, use->told.batch) : 0;
-    return use->told.batch - leaving;
+/** Counts the batch items that are not being preempted. */
+static uint32_t count_remaining_items(const daemon_use *use, uint64_t now_ms) {
+    uint32_t preempted =
+        now_ms < use->preempted_until_ms ? MIN(use->preempted, use->reported.batch) : 0;
+    return use->reported.batch - preempted;
 }
 
 static void expire_uses(engine_uses *engine, uint64_t now_ms) {
     for (guint index = engine->uses->len; index > 0; index--) {
         const daemon_use *use = engine->uses->pdata[index - 1];
-        if (now_ms > use->told_ms + USE_VALID_MS)
+        if (now_ms > use->reported_at_ms + REPORT_VALID_MS)
             g_ptr_array_remove_index_fast(engine->uses, index - 1);
     }
 }
 
-/** What a daemon started by a word. */
+/** Requests that a daemon started since its previous report. */
 typedef struct {
     bool any;
     bool batch;
-} started_work;
+} started_requests;
 
 /**
- * Ends between two counts. A count that falls began anew: the daemon had dropped the engine from
- * its table and met it again.
+ * Returns the increase of a counter, up to MAX_RESULTS; 0 if the counter decreased, as it restarts
+ * if the daemon removes the engine from its table and adds it again.
  */
-static uint32_t ends_since(uint32_t before, uint32_t now) {
-    return now > before ? MIN(now - before, ENDS_MOST) : 0;
+static uint32_t count_since(uint32_t before, uint32_t now) {
+    return now > before ? MIN(now - before, MAX_RESULTS) : 0;
 }
 
 /**
- * Take how a daemon's requests ended since its last word. Its first word, or its first after a
- * restart or a long silence, only says where its counts stand.
+ * Records the results of a daemon's requests since its previous report. The daemon's first report,
+ * also after a restart or an expired report, only sets the baseline.
  */
-static void note_ends(engine_uses *engine, const daemon_use *use, const hs_slot_word *word,
-                      uint64_t now_ms) {
-    if (use->told_ms == 0 || use->incarnation != word->incarnation)
+static void note_results(engine_uses *engine, const daemon_use *use, const hs_slot_word *report,
+                         uint64_t now_ms) {
+    if (use->reported_at_ms == 0 || use->incarnation != report->incarnation)
         return;
     hs_health_state before = engine->health.state;
     hs_engine_health_note(&engine->health, hs_hash_bytes(use->daemon, strlen(use->daemon)),
-                          ends_since(use->told.served, word->use.served),
-                          ends_since(use->told.failed, word->use.failed), now_ms);
+                          count_since(use->reported.served, report->use.served),
+                          count_since(use->reported.failed, report->use.failed), now_ms);
     if (engine->health.state != before)
         hs_log_info("engine_health",
                     "engine_hash=%" G_GINT64_MODIFIER "x state=%s before=%s failure_rate=%.2f "
@@ -151,139 +151,141 @@
 }
 
 /**
- * Take what a daemon's runs there made since its last word, and what the engine said of itself.
- * Counts that fall began anew; those of a daemon's first word only say where they stand.
+ * Records the events of a daemon's runs since its previous report, and the engine's own slowdown
+ * figure. Decreasing counters and a daemon's first report only set the baseline.
  */
-static void note_pace(engine_uses *engine, const daemon_use *use, const hs_slot_word *word,
+static void note_pace(engine_uses *engine, const daemon_use *use, const hs_slot_word *report,
                       uint64_t now_ms) {
-    hs_engine_pace_note_word(&engine->pace, word->use.slowdown_percent, word->use.slowdown_age_ms,
-                             now_ms);
-    if (use->told_ms == 0 || use->incarnation != word->incarnation ||
-        word->use.run_events <= use->told.run_events || word->use.run_ms < use->told.run_ms)
+    hs_engine_pace_note_word(&engine->pace, report->use.slowdown_percent,
+                             report->use.slowdown_age_ms, now_ms);
+    if (use->reported_at_ms == 0 || use->incarnation != report->incarnation ||
+        report->use.run_events <= use->reported.run_events ||
+        report->use.run_ms < use->reported.run_ms)
         return;
-    uint64_t events = word->use.run_events - use->told.run_events;
-    uint64_t took_ms = word->use.run_ms - use->told.run_ms;
-    if (took_ms / events < EVENT_MOST_MS)
+    uint64_t events = report->use.run_events - use->reported.run_events;
+    uint64_t took_ms = report->use.run_ms - use->reported.run_ms;
+    if (took_ms / events < MAX_EVENT_MS)
         hs_engine_pace_note_events(&engine->pace, events, took_ms, now_ms);
 }
 
-/** What the engine's pace is by all daemons' words. */
-static void add_pace(const engine_uses *engine, uint64_t now_ms, hs_engine_total *total) {
-    total->event_us = hs_engine_pace_event_us(&engine->pace, now_ms);
+/** Adds the engine's pace, as observed by all daemons, to @p load. */
+static void add_pace(const engine_uses *engine, uint64_t now_ms, hs_engine_total *load) {
+    load->event_us = hs_engine_pace_event_us(&engine->pace, now_ms);
     if (engine->pace.slowdown_percent == 0)
         return;
-    total->slowdown_percent = engine->pace.slowdown_percent;
-    total->slowdown_age_ms = (uint32_t)MIN(now_ms - engine->pace.told_ms, UINT32_MAX);
+    load->slowdown_percent = engine->pace.slowdown_percent;
+    load->slowdown_age_ms = (uint32_t)MIN(now_ms - engine->pace.told_ms, UINT32_MAX);
 }
 
-/** Take the word. */
-static started_work note(daemon_use *use, const hs_slot_word *word, uint64_t now_ms) {
-    const hs_engine_use *before = &use->told;
-    const hs_engine_use *now = &word->use;
-    started_work started = {.any = now->online + now->batch > before->online + before->batch,
-                            .batch = now->batch > before->batch};
+static started_requests store_report(daemon_use *use, const hs_slot_word *report, uint64_t now_ms) {
+    const hs_engine_use *before = &use->reported;
+    const hs_engine_use *now = &report->use;
+    started_requests started = {.any = now->online + now->batch > before->online + before->batch,
+                                .batch = now->batch > before->batch};
     uint32_t left = before->batch > now->batch ? before->batch - now->batch : 0;
-    use->leaving -= MIN(use->leaving, left);
-    use->incarnation = word->incarnation;
-    use->told = word->use;
-    use->told_ms = now_ms;
+    use->preempted -= MIN(use->preempted, left);
+    use->incarnation = report->incarnation;
+    use->reported = report->use;
+    use->reported_at_ms = now_ms;
     return started;
 }
 
-static bool is_old(const daemon_use *use, const hs_slot_word *word) {
-    if (use->incarnation != word->incarnation)
-        return word->incarnation < use->incarnation;
-    return word->use.sequence <= use->told.sequence;
+static bool is_outdated(const daemon_use *use, const hs_slot_word *report) {
+    if (use->incarnation != report->incarnation)
+        return report->incarnation < use->incarnation;
+    return report->use.sequence <= use->reported.sequence;
 }
 
-static hs_engine_total sum(const engine_uses *engine, uint64_t now_ms) {
-    hs_engine_total total = {.engine_hash = engine->hash};
+static hs_engine_total sum_uses(const engine_uses *engine, uint64_t now_ms) {
+    hs_engine_total load = {.engine_hash = engine->hash};
     for (guint index = 0; index < engine->uses->len; index++) {
         const daemon_use *use = engine->uses->pdata[index];
-        total.online += use->told.online;
-        total.batch += staying(use, now_ms);
-        total.queued_tokens += use->told.queued_tokens;
+        load.online += use->reported.online;
+        load.batch += count_remaining_items(use, now_ms);
+        load.queued_tokens += use->reported.queued_tokens;
     }
-    return total;
+    return load;
 }
 
-/** How readily a daemon's item leaves; @p started: the daemon has just started one there. */
-static int64_t readiness(const daemon_use *use, bool started) {
-    return (int64_t)use->told.rank_ms + (started ? STARTED_FIRST_MS : 0);
+/** Preemption rank of a daemon's items; @p started: the daemon has just started one. */
+static int64_t preemption_rank(const daemon_use *use, bool started) {
+    return (int64_t)use->reported.rank_ms + (started ? STARTED_RANK_BONUS_MS : 0);
 }
 
-/** The daemon whose item leaves next; NULL: none has an item that stays. */
-static daemon_use *next_to_leave(const engine_uses *engine, const daemon_use *starter,
-                                 uint64_t now_ms) {
+/** Finds the daemon whose item is preempted next; NULL: no item is left to preempt. */
+static daemon_use *find_next_to_preempt(const engine_uses *engine, const daemon_use *starter,
+                                        uint64_t now_ms) {
     daemon_use *next = NULL;
     for (guint index = 0; index < engine->uses->len; index++) {
         daemon_use *use = engine->uses->pdata[index];
-        if (staying(use, now_ms) > 0 &&
-            (next == NULL || readiness(use, use == starter) > readiness(next, next == starter)))
+        if (count_remaining_items(use, now_ms) > 0 &&
+            (next == NULL ||
+             preemption_rank(use, use == starter) > preemption_rank(next, next == starter)))
             next = use;
     }
     return next;
 }
 
-/** Ask one item of @p use to leave. */
-static void ask_one(daemon_use *use, uint64_t now_ms, GArray *asks) {
-    if (now_ms >= use->leaving_until_ms)
-        use->leaving = 0;
-    use->leaving++;
-    use->leaving_until_ms = now_ms + LEAVING_VALID_MS;
-    for (guint index = 0; index < asks->len; index++) {
-        hs_slot_ask *ask = &g_array_index(asks, hs_slot_ask, index);
-        if (g_str_equal(ask->daemon, use->daemon)) {
-            ask->count++;
+/** Adds the preemption of one item of @p use to @p requests. */
+static void preempt_one(daemon_use *use, uint64_t now_ms, GArray *requests) {
+    if (now_ms >= use->preempted_until_ms)
+        use->preempted = 0;
+    use->preempted++;
+    use->preempted_until_ms = now_ms + PREEMPTION_VALID_MS;
+    for (guint index = 0; index < requests->len; index++) {
+        hs_slot_ask *request = &g_array_index(requests, hs_slot_ask, index);
+        if (g_str_equal(request->daemon, use->daemon)) {
+            request->count++;
             return;
         }
     }
-    hs_slot_ask ask = {.count = 1};
-    g_strlcpy(ask.daemon, use->daemon, sizeof ask.daemon);
-    g_array_append_val(asks, ask);
+    hs_slot_ask request = {.count = 1};
+    g_strlcpy(request.daemon, use->daemon, sizeof request.daemon);
+    g_array_append_val(requests, request);
 }
 
 /**
- * What a daemon hears of an engine's health. Whoever starts nothing may hear that it fails only
- * while nobody may go there: the word is believed for a while, and passed on.
+ * Reports whether a daemon should avoid the engine. For a daemon that starts no request, the result
+ * is true only while all daemons should, as that daemon keeps the report for a while and relays it.
  */
 static bool is_failing_for(hs_engine_health *health, bool starts, uint64_t now_ms) {
     bool is_admitted = hs_engine_health_admit(health, starts, now_ms);
     return starts ? !is_admitted : hs_engine_health_is_avoided(health, now_ms);
 }
 
-hs_engine_total hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *word,
-                                    uint64_t now_ms, GArray *asks) {
-    engine_uses *engine = engine_of(ledger, word->use.engine_hash);
+hs_engine_total hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *report,
+                                    uint64_t now_ms, GArray *requests) {
+    engine_uses *engine = find_or_add_engine(ledger, report->use.engine_hash);
     expire_uses(engine, now_ms);
-    engine->told_ms = now_ms;
-    daemon_use *sender = use_of(engine, word->daemon);
-    started_work started = {0};
-    if (!is_old(sender, word)) {
-        note_ends(engine, sender, word, now_ms);
-        note_pace(engine, sender, word, now_ms);
-        started = note(sender, word, now_ms);
+    engine->reported_at_ms = now_ms;
+    daemon_use *sender = find_or_add_use(engine, report->daemon);
+    started_requests started = {0};
+    if (!is_outdated(sender, report)) {
+        note_results(engine, sender, report, now_ms);
+        note_pace(engine, sender, report, now_ms);
+        started = store_report(sender, report, now_ms);
     }
-    hs_engine_total total = sum(engine, now_ms);
-    add_pace(engine, now_ms, &total);
-    total.is_failing = is_failing_for(&engine->health, started.any, now_ms);
-    while (total.online + total.batch > word->use.slots && total.batch > 0) {
-        ask_one(next_to_leave(engine, started.batch ? sender : NULL, now_ms), now_ms, asks);
-        total.batch--;
+    hs_engine_total load = sum_uses(engine, now_ms);
+    add_pace(engine, now_ms, &load);
+    load.is_failing = is_failing_for(&engine->health, started.any, now_ms);
+    while (load.online + load.batch > report->use.slots && load.batch > 0) {
+        preempt_one(find_next_to_preempt(engine, started.batch ? sender : NULL, now_ms), now_ms,
+                    requests);
+        load.batch--;
     }
-    return total;
+    return load;
 }
 
-void hs_slot_ledger_list(const hs_slot_ledger *ledger, uint64_t now_ms, GArray *totals) {
+void hs_slot_ledger_list(const hs_slot_ledger *ledger, uint64_t now_ms, GArray *reports) {
     GHashTableIter iterator;
     gpointer value = NULL;
     g_hash_table_iter_init(&iterator, ledger->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const engine_uses *engine = value;
-        hs_engine_total total = sum(engine, now_ms);
-        add_pace(engine, now_ms, &total);
-        total.is_failing = hs_engine_health_is_avoided(&engine->health, now_ms);
-        g_array_append_val(totals, total);
+        hs_engine_total load = sum_uses(engine, now_ms);
+        add_pace(engine, now_ms, &load);
+        load.is_failing = hs_engine_health_is_avoided(&engine->health, now_ms);
+        g_array_append_val(reports, load);
     }
 }
 
@@ -295,9 +297,11 @@
         engine_uses *engine = value;
         expire_uses(engine, now_ms);
         bool is_over = engine->health.state == HS_HEALTH_SOUND ||
-                       now_ms > engine->health.down_until_ms + HEALTH_KEPT_MS;
-        bool has_pace = engine->pace.events > 0 && now_ms < engine->pace.seen_ms + PACE_KEPT_MS;
-        bool is_idle = engine->uses->len == 0 && now_ms > engine->told_ms + IDLE_KEPT_MS;
+                       now_ms > engine->health.down_until_ms + HEALTH_RETENTION_MS;
+        bool has_pace =
+            engine->pace.events > 0 && now_ms < engine->pace.seen_ms + PACE_RETENTION_MS;
+        bool is_idle =
+            engine->uses->len == 0 && now_ms > engine->reported_at_ms + IDLE_RETENTION_MS;
         if (is_idle && is_over && !has_pace)
             g_hash_table_iter_remove(&iterator);
     }
--- a/src/fleet/slot_ledger.h
+++ b/src/fleet/slot_ledger.h
@@ -1,14 +1,15 @@
 /**
  * @file slot_ledger.h
- * What all daemons have on the engines that this daemon arbitrates, and who must step aside. Pure.
+ * Requests of all daemons on the engines that this daemon arbitrates, and the choice of batch items
+ * to preempt. Pure; the caller synchronises access.
  *
- * Each engine has one arbiter among the daemons. Every daemon tells it what it has there, as
- * counts and not as changes, so that a lost message is mended by the next. When the counts exceed
- * the engine's slots, batch items leave: those of the highest rank first, and one that was just
- * started before one that was begun earlier and can wait only a little longer. The daemons together
- * are over an engine's slots for as long as one message there and one back take, however many they
- * are. With its counts each daemon tells how its requests there ended and how long their events
- * took, so that the arbiter knows an engine that fails or is slow before most daemons have met it.
+ * Each engine has one arbiter among the daemons. Every daemon reports its use of the engine to the
+ * arbiter. Reports hold absolute counts instead of changes, so the next report corrects a lost one.
+ * If the counts exceed the engine's slots, batch items are preempted: those of the highest
+ * preemption rank first; an item that was just started counts with a higher rank. Whatever the
+ * number of daemons, an engine's slots are exceeded for one message round trip only. Reports also
+ * include the results of a daemon's requests and the time between their events, so the arbiter
+ * detects a failing or slow engine before most daemons have used the engine.
  */
 #ifndef HS_FLEET_SLOT_LEDGER_H
 #define HS_FLEET_SLOT_LEDGER_H
@@ -18,36 +19,38 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** What one daemon says that it has on an engine. */
+/** A daemon's report of its use of an engine. */
 typedef struct {
-    const char *daemon;
-    uint64_t incarnation; /**< With the use's sequence: orders the words of a daemon. */
+    const char *daemon;   /**< Id of the sender; borrowed. */
+    uint64_t incarnation; /**< Of the sender. Orders its reports, together with use.sequence. */
     hs_engine_use use;
 } hs_slot_word;
 
-/** Batch items of a daemon that must leave an engine. */
+/** Request to preempt batch items of a daemon on an engine. */
 typedef struct {
-    char daemon[64];
-    uint32_t count;
+    char daemon[64]; /**< Id of the daemon. */
+    uint32_t count;  /**< Items to preempt. */
 } hs_slot_ask;
 
 typedef struct hs_slot_ledger hs_slot_ledger;
 
 hs_slot_ledger *hs_slot_ledger_new(void);
+
+/** Frees the ledger. NULL is allowed. */
 void hs_slot_ledger_free(hs_slot_ledger *ledger);
 
 /**
- * Take a daemon's word; older words than the last are passed over. Who must leave is appended to
- * @p asks (of hs_slot_ask) and counts as gone from then on, also in the answer: what all daemons
- * have on the engine.
+ * Stores a daemon's report; a report that is not newer than the stored one is ignored. Appends the
+ * items to preempt to @p requests (of hs_slot_ask). Returns the requests of all daemons on the
+ * engine; items to preempt are no longer counted.
  */
-hs_engine_total hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *word,
-                                    uint64_t now_ms, GArray *asks);
+hs_engine_total hs_slot_ledger_take(hs_slot_ledger *ledger, const hs_slot_word *report,
+                                    uint64_t now_ms, GArray *requests);
 
-/** Append to @p totals (of hs_engine_total) what all daemons have on each engine now. */
-void hs_slot_ledger_list(const hs_slot_ledger *ledger, uint64_t now_ms, GArray *totals);
+/** Appends the requests of all daemons on each engine to @p reports (of hs_engine_total). */
+void hs_slot_ledger_list(const hs_slot_ledger *ledger, uint64_t now_ms, GArray *reports);
 
-/** Drop the words of daemons that were not heard for long. */
+/** Removes expired reports, and engines on which nothing was reported recently. */
 void hs_slot_ledger_expire(hs_slot_ledger *ledger, uint64_t now_ms);
 
 #endif
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -1,4 +1,4 @@
-/** @file test_slots.c  Engines' slots shared between many daemons: the arbiter's ledger. */
+/** @file test_slots.c  Sharing of engines' slots among daemons: the arbiter's ledger and leases. */
 #include "base/clock.h"
 #include "base/hash.h"
 #include "fleet/fleet_engines.h"
@@ -10,99 +10,99 @@
 #define ENGINE 77
 #define SLOTS 8
 
-/** Daemon "b" has the items that can wait longest. */
-static int32_t rank_of(const char *daemon) {
+/** The items of daemon "b" are preempted first. */
+static int32_t get_rank(const char *daemon) {
     return strcmp(daemon, "b") == 0 ? 9000 : 5000;
 }
 
-/** A word of a daemon, with the next sequence. */
-static hs_engine_total tell(hs_slot_ledger *ledger, const char *daemon, uint32_t online,
-                            uint32_t batch, uint64_t now_ms, GArray *asks) {
+/** Reports a daemon's use with the next sequence. */
+static hs_engine_total put_report(hs_slot_ledger *ledger, const char *daemon, uint32_t online,
+                                  uint32_t batch, uint64_t now_ms, GArray *requests) {
     static uint64_t sequence = 0;
-    hs_slot_word word = {.daemon = daemon,
-                         .incarnation = 1,
-                         .use = {.engine_hash = ENGINE,
-                                 .sequence = ++sequence,
-                                 .slots = SLOTS,
-                                 .online = online,
-                                 .batch = batch,
-                                 .rank_ms = rank_of(daemon)}};
-    g_array_set_size(asks, 0);
-    return hs_slot_ledger_take(ledger, &word, now_ms, asks);
+    hs_slot_word report = {.daemon = daemon,
+                           .incarnation = 1,
+                           .use = {.engine_hash = ENGINE,
+                                   .sequence = ++sequence,
+                                   .slots = SLOTS,
+                                   .online = online,
+                                   .batch = batch,
+                                   .rank_ms = get_rank(daemon)}};
+    g_array_set_size(requests, 0);
+    return hs_slot_ledger_take(ledger, &report, now_ms, requests);
 }
 
-static uint32_t asked_of(const GArray *asks, const char *daemon) {
-    for (guint index = 0; index < asks->len; index++)
-        if (strcmp(g_array_index(asks, hs_slot_ask, index).daemon, daemon) == 0)
-            return g_array_index(asks, hs_slot_ask, index).count;
+static uint32_t preempted_count(const GArray *requests, const char *daemon) {
+    for (guint index = 0; index < requests->len; index++)
+        if (strcmp(g_array_index(requests, hs_slot_ask, index).daemon, daemon) == 0)
+            return g_array_index(requests, hs_slot_ask, index).count;
     return 0;
 }
 
-/** An online request that finds all slots taken moves one item, the one that can wait longest. */
-static void an_online_request_moves_one_item(void) {
+/** An online request on a full engine preempts one item, the one of the highest rank. */
+static void an_online_request_preempts_one_item(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    GArray *asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
-    tell(ledger, "a", 0, 3, 1, asks);
-    tell(ledger, "b", 0, 5, 1, asks);
-    CU_ASSERT_EQUAL(asks->len, 0);
-    hs_engine_total totals = tell(ledger, "c", 1, 0, 2, asks);
-    CU_ASSERT_EQUAL(asks->len, 1);
-    CU_ASSERT_EQUAL(asked_of(asks, "b"), 1);
-    CU_ASSERT_EQUAL(totals.online, 1);
-    CU_ASSERT_EQUAL(totals.batch, 7);
-    tell(ledger, "c", 1, 0, 3, asks); /* The same word again asks nobody twice. */
-    CU_ASSERT_EQUAL(asks->len, 0);
-    tell(ledger, "b", 0, 4, 4, asks); /* It left. */
-    CU_ASSERT_EQUAL(asks->len, 0);
-    tell(ledger, "c", 3, 0, 5, asks);
-    CU_ASSERT_EQUAL(asked_of(asks, "b") + asked_of(asks, "a"), 2);
-    g_array_free(asks, TRUE);
+    GArray *requests = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+    put_report(ledger, "a", 0, 3, 1, requests);
+    put_report(ledger, "b", 0, 5, 1, requests);
+    CU_ASSERT_EQUAL(requests->len, 0);
+    hs_engine_total load = put_report(ledger, "c", 1, 0, 2, requests);
+    CU_ASSERT_EQUAL(requests->len, 1);
+    CU_ASSERT_EQUAL(preempted_count(requests, "b"), 1);
+    CU_ASSERT_EQUAL(load.online, 1);
+    CU_ASSERT_EQUAL(load.batch, 7);
+    put_report(ledger, "c", 1, 0, 3, requests); /* A repeated report preempts no second item. */
+    CU_ASSERT_EQUAL(requests->len, 0);
+    put_report(ledger, "b", 0, 4, 4, requests); /* The item ended. */
+    CU_ASSERT_EQUAL(requests->len, 0);
+    put_report(ledger, "c", 3, 0, 5, requests);
+    CU_ASSERT_EQUAL(preempted_count(requests, "b") + preempted_count(requests, "a"), 2);
+    g_array_free(requests, TRUE);
     hs_slot_ledger_free(ledger);
 }
 
 /**
- * Who starts an item where no slot is free gives it up again, unless another can wait for much
- * longer.
+ * An item started without a free slot is preempted itself, unless another item has a much higher
+ * rank.
  */
-static void an_item_too_many_goes_back(void) {
+static void an_item_beyond_the_slots_is_preempted(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    GArray *asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
-    tell(ledger, "a", 0, 8, 1, asks);
-    tell(ledger, "b", 0, 1, 2, asks);
-    CU_ASSERT_EQUAL(asked_of(asks, "b"), 1);
-    CU_ASSERT_EQUAL(asked_of(asks, "a"), 0);
-    tell(ledger, "b", 0, 0, 3, asks);
-    tell(ledger, "c", 0, 1, 4, asks); /* No more slack than "a": it goes back. */
-    CU_ASSERT_EQUAL(asked_of(asks, "c"), 1);
-    tell(ledger, "a", 0, 4, 5, asks);
-    tell(ledger, "c", 0, 0, 5, asks);
-    tell(ledger, "b", 0, 4, 5, asks);
-    tell(ledger, "c", 0, 1, 6, asks);
-    CU_ASSERT_EQUAL(asked_of(asks, "b"), 1); /* 4 s more than it. */
-    CU_ASSERT_EQUAL(asked_of(asks, "c"), 0);
-    g_array_free(asks, TRUE);
+    GArray *requests = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+    put_report(ledger, "a", 0, 8, 1, requests);
+    put_report(ledger, "b", 0, 1, 2, requests);
+    CU_ASSERT_EQUAL(preempted_count(requests, "b"), 1);
+    CU_ASSERT_EQUAL(preempted_count(requests, "a"), 0);
+    put_report(ledger, "b", 0, 0, 3, requests);
+    put_report(ledger, "c", 0, 1, 4, requests); /* Same rank as "a": the new item is preempted. */
+    CU_ASSERT_EQUAL(preempted_count(requests, "c"), 1);
+    put_report(ledger, "a", 0, 4, 5, requests);
+    put_report(ledger, "c", 0, 0, 5, requests);
+    put_report(ledger, "b", 0, 4, 5, requests);
+    put_report(ledger, "c", 0, 1, 6, requests);
+    CU_ASSERT_EQUAL(preempted_count(requests, "b"), 1); /* A rank 4 s higher. */
+    CU_ASSERT_EQUAL(preempted_count(requests, "c"), 0);
+    g_array_free(requests, TRUE);
     hs_slot_ledger_free(ledger);
 }
 
-/** Lost, old and never repeated words: counts are mended, old ones passed over, silence expires. */
-static void words_may_be_lost_or_old(void) {
+/** Lost reports are corrected by later ones, outdated ones are ignored, all expire. */
+static void lost_and_outdated_reports_are_tolerated(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    GArray *asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
-    tell(ledger, "a", 4, 4, 1, asks);
+    GArray *requests = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+    put_report(ledger, "a", 4, 4, 1, requests);
     hs_slot_word old = {
         .daemon = "a", .incarnation = 1, .use = {.engine_hash = ENGINE, .slots = SLOTS}};
-    CU_ASSERT_EQUAL(hs_slot_ledger_take(ledger, &old, 2, asks).online, 4);
-    old.incarnation = 2; /* Another life of the daemon: it has nothing there. */
-    CU_ASSERT_EQUAL(hs_slot_ledger_take(ledger, &old, 3, asks).online, 0);
-    tell(ledger, "b", 0, 8, 4, asks);
-    tell(ledger, "c", 1, 0, 5, asks);
-    CU_ASSERT_EQUAL(asked_of(asks, "b"), 1);
-    tell(ledger, "c", 1, 0, 500, asks); /* It never left: the message was lost. */
-    CU_ASSERT_EQUAL(asked_of(asks, "b"), 1);
-    hs_engine_total totals = tell(ledger, "c", 1, 0, 5000, asks);
-    CU_ASSERT_EQUAL(totals.batch, 0);
+    CU_ASSERT_EQUAL(hs_slot_ledger_take(ledger, &old, 2, requests).online, 4);
+    old.incarnation = 2; /* A restart of the daemon. */
+    CU_ASSERT_EQUAL(hs_slot_ledger_take(ledger, &old, 3, requests).online, 0);
+    put_report(ledger, "b", 0, 8, 4, requests);
+    put_report(ledger, "c", 1, 0, 5, requests);
+    CU_ASSERT_EQUAL(preempted_count(requests, "b"), 1);
+    put_report(ledger, "c", 1, 0, 500, requests); /* The preemption request was lost. */
+    CU_ASSERT_EQUAL(preempted_count(requests, "b"), 1);
+    hs_engine_total load = put_report(ledger, "c", 1, 0, 5000, requests);
+    CU_ASSERT_EQUAL(load.batch, 0);
     hs_slot_ledger_expire(ledger, 60000);
-    g_array_free(asks, TRUE);
+    g_array_free(requests, TRUE);
     hs_slot_ledger_free(ledger);
 }
 
@@ -110,13 +110,12 @@
 #define STEPS 40000
 
 /**
- * 360 daemons that start and end requests at random, and obey what they are asked: after each word
- * the requests that stay fit the slots, or no batch item is left. So the daemons are over an
- * engine's slots only by words on their way.
+ * Daemons start and end requests at random and preempt items as requested. After each report, the
+ * remaining requests fit the slots, or no batch item is left.
  */
-static void many_daemons_are_over_by_words_on_their_way_only(void) {
+static void preemption_keeps_many_daemons_within_the_slots(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    GArray *asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+    GArray *requests = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
     static char names[DAEMONS][8];
     uint32_t online[DAEMONS] = {0};
     uint32_t batch[DAEMONS] = {0};
@@ -125,7 +124,7 @@
         g_snprintf(names[daemon], sizeof names[daemon], "d%d", daemon);
     GArray *none = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
     uint32_t exceeded = 0;
-    uint32_t false_asks = 0;
+    uint32_t invalid_requests = 0;
     for (int step = 0; step < STEPS; step++) {
         int daemon = g_rand_int_range(chance, 0, DAEMONS);
         if (g_rand_int_range(chance, 0, 3) == 0 && online[daemon] > 0)
@@ -134,29 +133,29 @@
             online[daemon]++;
         else
             batch[daemon]++;
-        hs_engine_total totals =
-            tell(ledger, names[daemon], online[daemon], batch[daemon], (uint64_t)step, asks);
-        exceeded += totals.online + totals.batch > SLOTS && totals.batch > 0;
-        for (int other = 0; other < DAEMONS && asks->len > 0; other++) {
-            uint32_t leaves = asked_of(asks, names[other]);
-            false_asks += leaves > batch[other];
-            batch[other] -= MIN(leaves, batch[other]);
-            if (leaves > 0)
-                tell(ledger, names[other], online[other], batch[other], (uint64_t)step, none);
-            false_asks += none->len;
+        hs_engine_total load = put_report(ledger, names[daemon], online[daemon], batch[daemon],
+                                          (uint64_t)step, requests);
+        exceeded += load.online + load.batch > SLOTS && load.batch > 0;
+        for (int other = 0; other < DAEMONS && requests->len > 0; other++) {
+            uint32_t preempted = preempted_count(requests, names[other]);
+            invalid_requests += preempted > batch[other];
+            batch[other] -= MIN(preempted, batch[other]);
+            if (preempted > 0)
+                put_report(ledger, names[other], online[other], batch[other], (uint64_t)step, none);
+            invalid_requests += none->len;
         }
         for (int other = 0; other < DAEMONS && step % 500 == 0; other++)
-            tell(ledger, names[other], online[other], batch[other], (uint64_t)step, asks);
+            put_report(ledger, names[other], online[other], batch[other], (uint64_t)step, requests);
     }
     CU_ASSERT_EQUAL(exceeded, 0);
-    CU_ASSERT_EQUAL(false_asks, 0);
+    CU_ASSERT_EQUAL(invalid_requests, 0);
     g_array_free(none, TRUE);
     g_rand_free(chance);
-    g_array_free(asks, TRUE);
+    g_array_free(requests, TRUE);
     hs_slot_ledger_free(ledger);
 }
 
-/** A table with the engine "e1" of the service "svc". Free with hs_fleet_engines_free. */
+/** Creates a table with the engine "e1" of the service "svc". Free with hs_fleet_engines_free. */
 static hs_fleet_engines *table_of_one_engine(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     hs_engine_entry entry = {.id = g_strdup("e1"),
@@ -169,26 +168,26 @@
     return engines;
 }
 
-/** Told uses, as the table of engines hands them to the arbiter. */
+/** Uses that the table of engines reported to its observer. */
 typedef struct {
     hs_engine_use last;
-    int told;
+    int count;
     int started;
-} told_uses;
+} observed_uses;
 
-static void note_use(const hs_engine_use *use, bool started, void *user_data) {
-    told_uses *told = user_data;
-    CU_ASSERT(use->sequence > told->last.sequence);
-    told->last = *use;
-    told->told++;
-    told->started += started;
+static void observe_use(const hs_engine_use *use, bool started, void *user_data) {
+    observed_uses *observed = user_data;
+    CU_ASSERT(use->sequence > observed->last.sequence);
+    observed->last = *use;
+    observed->count++;
+    observed->started += started;
 }
 
-/** Each begin and end of a request is told; a word to step aside reaches the newest item. */
-static void uses_are_told_at_each_change(void) {
+/** Each start and end of a request is reported; a preemption affects the newest item. */
+static void uses_are_reported_at_each_change(void) {
     hs_fleet_engines *engines = table_of_one_engine();
-    told_uses told = {0};
-    hs_fleet_engines_set_teller(engines, note_use, &told);
+    observed_uses observed = {0};
+    hs_fleet_engines_set_teller(engines, observe_use, &observed);
     hs_interrupt flags[2];
     hs_engine_lease *leases[2];
     for (int index = 0; index < 2; index++) {
@@ -197,24 +196,24 @@
         leases[index] = hs_fleet_engines_take(engines, &query);
         CU_ASSERT_PTR_NOT_NULL_FATAL(leases[index]);
     }
-    CU_ASSERT_EQUAL(told.started, 2);
-    CU_ASSERT_EQUAL(told.last.batch, 2);
+    CU_ASSERT_EQUAL(observed.started, 2);
+    CU_ASSERT_EQUAL(observed.last.batch, 2);
     uint64_t hash = hs_hash_bytes("e1", 2);
-    CU_ASSERT_EQUAL(told.last.engine_hash, hash);
+    CU_ASSERT_EQUAL(observed.last.engine_hash, hash);
     CU_ASSERT_EQUAL(hs_fleet_engines_step_aside(engines, hash, 1), 1);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[0]), HS_INTERRUPT_NONE);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[1]), HS_INTERRUPT_YIELD);
     CU_ASSERT_EQUAL(hs_fleet_engines_step_aside(engines, 12345, 1), 0);
     hs_engine_total total = {.engine_hash = hash, .online = 6, .batch = 2};
-    hs_fleet_engines_put_total(engines, &total); /* Six online requests of others. */
+    hs_fleet_engines_put_total(engines, &total); /* Six online requests of other daemons. */
     hs_engine_query one_more = {.service = "svc", .work = HS_WORK_BATCH};
     CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &one_more));
     for (int index = 0; index < 2; index++)
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_DROPPED);
-    CU_ASSERT_EQUAL(told.told, 4);
-    CU_ASSERT_EQUAL(told.last.batch, 0);
+    CU_ASSERT_EQUAL(observed.count, 4);
+    CU_ASSERT_EQUAL(observed.last.batch, 0);
     GArray *uses = hs_fleet_engines_own_uses(engines);
-    CU_ASSERT_EQUAL(uses->len, 1); /* Left lately: told once more, so that a lost word mends. */
+    CU_ASSERT_EQUAL(uses->len, 1); /* Used recently: reported again in case a report was lost. */
     g_array_free(uses, TRUE);
     hs_fleet_engines_set_teller(engines, NULL, NULL);
     for (int index = 0; index < 2; index++)
@@ -222,13 +221,13 @@
     hs_fleet_engines_free(engines);
 }
 
-/** An arbiter in the same thread: tells totals at each begin, or is silent. */
+/** Arbiter in the same thread: responds to each start of a request unless it is silent. */
 typedef struct {
     hs_fleet_engines *engines;
     bool is_silent;
-    uint32_t online; /**< Of all daemons, as it tells. */
+    uint32_t online; /**< Of all daemons, in its response. */
     uint32_t queued_tokens;
-    bool says_failing;
+    bool reports_failing;
 } test_arbiter;
 
 static void arbitrate(const hs_engine_use *use, bool started, void *user_data) {
@@ -236,46 +235,46 @@
     hs_engine_total total = {.engine_hash = use->engine_hash,
                              .online = arbiter->online,
                              .queued_tokens = arbiter->queued_tokens,
-                             .is_failing = arbiter->says_failing};
+                             .is_failing = arbiter->reports_failing};
     if (started && !arbiter->is_silent)
         hs_fleet_engines_put_total(arbiter->engines, &total);
 }
 
-static hs_lease_word word_of(hs_fleet_engines *engines) {
+static hs_lease_word confirm_lease(hs_fleet_engines *engines) {
     hs_engine_query query = {.service = "svc"};
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
-    hs_lease_word word = hs_engine_lease_confirm(lease, 20);
+    hs_lease_word confirmation = hs_engine_lease_confirm(lease, 20);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
-    return word;
+    return confirmation;
 }
 
-/** A request hears whether online requests of all daemons fill the slots; silence lets it go on. */
-static void a_request_hears_the_arbiter_first(void) {
+/** A lease is confirmed according to the load of all daemons; without a response it is not. */
+static void requests_wait_for_the_arbiters_response(void) {
     hs_fleet_engines *engines = table_of_one_engine();
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_UNHEARD); /* Nobody to tell. */
+    CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_UNHEARD); /* There is no arbiter. */
     test_arbiter arbiter = {.engines = engines, .online = SLOTS};
     hs_fleet_engines_set_teller(engines, arbitrate, &arbiter);
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_FITS);
-    arbiter.queued_tokens = 100000; /* Long prompts of others, not read yet. */
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_CROWDED);
+    CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_FITS);
+    arbiter.queued_tokens = 100000; /* Long unread prompts of other requests. */
+    CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_CROWDED);
     arbiter.queued_tokens = 100;
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_FITS);
+    CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_FITS);
     arbiter.online = SLOTS + 1;
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_CROWDED);
-    arbiter.says_failing = true;
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_FAILING);
+    CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_CROWDED);
+    arbiter.reports_failing = true;
+    CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_FAILING);
     hs_engine_query item = {.service = "svc", .work = HS_WORK_BATCH};
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &item)); /* Suspected for a while. */
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &item)); /* The engine is suspected. */
     arbiter.is_silent = true;
-    uint64_t began_ms = hs_clock_monotonic_ms();
-    CU_ASSERT_EQUAL(word_of(engines), HS_LEASE_UNHEARD);
-    CU_ASSERT(hs_clock_monotonic_ms() - began_ms >= 18);
+    uint64_t start_ms = hs_clock_monotonic_ms();
+    CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_UNHEARD);
+    CU_ASSERT(hs_clock_monotonic_ms() - start_ms >= 18);
     hs_fleet_engines_set_teller(engines, NULL, NULL);
     hs_fleet_engines_free(engines);
 }
 
-/** An item that is asked aside before it was sent is told so at once. */
-static void an_item_hears_that_it_is_one_too_many(void) {
+/** The confirmation of an item's lease ends at once if the item is preempted. */
+static void an_item_is_preempted_before_it_is_sent(void) {
     hs_fleet_engines *engines = table_of_one_engine();
     test_arbiter silent = {.engines = engines, .is_silent = true};
     hs_fleet_engines_set_teller(engines, arbitrate, &silent);
@@ -284,9 +283,9 @@
     hs_engine_query query = {.service = "svc", .work = HS_WORK_BATCH, .yield = &flag};
     hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
     CU_ASSERT_EQUAL(hs_fleet_engines_step_aside(engines, hs_hash_bytes("e1", 2), 1), 1);
-    uint64_t began_ms = hs_clock_monotonic_ms();
+    uint64_t start_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(hs_engine_lease_confirm(lease, 2000), HS_LEASE_CROWDED);
-    CU_ASSERT(hs_clock_monotonic_ms() - began_ms < 1000);
+    CU_ASSERT(hs_clock_monotonic_ms() - start_ms < 1000);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     hs_fleet_engines_set_teller(engines, NULL, NULL);
     hs_interrupt_clear(&flag);
@@ -294,13 +293,13 @@
 }
 
 const test_case slot_tests[] = {
-    {"a_request_hears_the_arbiter_first", a_request_hears_the_arbiter_first},
-    {"an_item_hears_that_it_is_one_too_many", an_item_hears_that_it_is_one_too_many},
-    {"an_online_request_moves_one_item", an_online_request_moves_one_item},
-    {"an_item_too_many_goes_back", an_item_too_many_goes_back},
-    {"words_may_be_lost_or_old", words_may_be_lost_or_old},
-    {"many_daemons_are_over_by_words_on_their_way_only",
-     many_daemons_are_over_by_words_on_their_way_only},
-    {"uses_are_told_at_each_change", uses_are_told_at_each_change},
+    {"requests_wait_for_the_arbiters_response", requests_wait_for_the_arbiters_response},
+    {"an_item_is_preempted_before_it_is_sent", an_item_is_preempted_before_it_is_sent},
+    {"an_online_request_preempts_one_item", an_online_request_preempts_one_item},
+    {"an_item_beyond_the_slots_is_preempted", an_item_beyond_the_slots_is_preempted},
+    {"lost_and_outdated_reports_are_tolerated", lost_and_outdated_reports_are_tolerated},
+    {"preemption_keeps_many_daemons_within_the_slots",
+     preemption_keeps_many_daemons_within_the_slots},
+    {"uses_are_reported_at_each_change", uses_are_reported_at_each_change},
     {NULL, NULL},
 };
