--- a/src/directory/crash_exchange.c
+++ b/src/directory/crash_exchange.c
@@ -30,7 +30,7 @@
 #define REFRESH_INTERVAL_MS 1000
 
 struct hs_crash_exchange {
-    hs_peer_questions *trial_queries; /**< Answers: hs_trial_verdict. */
+    hs_peer_queries *trial_queries; /**< Answers: hs_trial_verdict. */
     hs_crash_watch *watch;
     hs_membership_service *membership;
     GMutex lock; /**< Guards deciders, answer_count and answer_window_start_ms. */
@@ -146,7 +146,7 @@
             return hs_crash_watch_decide_trial(exchange->watch, query, "self");
         outgoing_trial_query outgoing = {
             .exchange = exchange, .query = query, .to = chosen.address};
-        if (!hs_peer_questions_ask(exchange->trial_queries, send_trial_query, &outgoing, &verdict))
+        if (!hs_peer_queries_run(exchange->trial_queries, send_trial_query, &outgoing, &verdict))
             verdict = HS_TRIAL_UNANSWERED;
         record_verdict(exchange, chosen.incarnation_hash, verdict);
         if (!query->is_accepted)
@@ -191,7 +191,7 @@
 
 hs_crash_exchange *hs_crash_exchange_new(hs_crash_watch *watch, hs_membership_service *membership) {
     hs_crash_exchange *exchange = g_new0(hs_crash_exchange, 1);
-    exchange->trial_queries = hs_peer_questions_new(sizeof(hs_trial_verdict));
+    exchange->trial_queries = hs_peer_queries_new(sizeof(hs_trial_verdict));
     hs_crash_watch_set_trial_query(watch, query_decider, exchange);
     exchange->watch = watch;
     exchange->membership = membership;
@@ -204,7 +204,7 @@
     if (exchange == NULL)
         return;
     hs_crash_watch_set_trial_query(exchange->watch, NULL, NULL);
-    hs_peer_questions_free(exchange->trial_queries);
+    hs_peer_queries_free(exchange->trial_queries);
     hs_trial_deciders_free(exchange->deciders);
     g_mutex_clear(&exchange->lock);
     g_free(exchange);
@@ -252,7 +252,7 @@
         return true;
     case HS__PEER_MESSAGE__KIND_TRIAL_VERDICT:
         verdict = read_verdict(message->trial_verdict);
-        hs_peer_questions_answer(exchange->trial_queries, message->trial_verdict->sequence,
+        hs_peer_queries_complete(exchange->trial_queries, message->trial_verdict->sequence,
                                  &verdict);
         return true;
     default:
--- a/src/jobs/job_calls.c
+++ b/src/jobs/job_calls.c
@@ -186,7 +186,7 @@
     hs_daemon_directory *daemons = call->service->daemons;
     hs_daemon_address owner;
     uint32_t number = hs_job_partition_number(call->partition);
-    if (daemons == NULL || !hs_daemon_directory_owner(daemons, number, &owner))
+    if (daemons == NULL || !hs_daemon_directory_find_owner(daemons, number, &owner))
         return false;
     uint64_t limit_ms =
         MIN(call->terms->wait_ms, (uint64_t)MAX_RESULT_WAIT_MS) + OWNER_ANSWER_SLACK_MS;
--- a/src/jobs/job_owner.c
+++ b/src/jobs/job_owner.c
@@ -174,7 +174,7 @@
         if (((hs_owned_job_partition *)owner->partitions->pdata[number])->is_owned)
             g_array_append_val(numbers, number);
     if (owner->settings.daemons != NULL)
-        hs_daemon_directory_tell_owned(owner->settings.daemons, numbers, owner->generation);
+        hs_daemon_directory_announce_owned(owner->settings.daemons, numbers, owner->generation);
 }
 
 void hs_job_owner_release_superseded(hs_job_owner *owner) {
@@ -183,7 +183,7 @@
         hs_owned_job_partition *owned = owner->partitions->pdata[number];
         hs_daemon_address other;
         if (!owned->is_owned || owner->settings.daemons == NULL ||
-            !hs_daemon_directory_owner(owner->settings.daemons, number, &other))
+            !hs_daemon_directory_find_owner(owner->settings.daemons, number, &other))
             continue;
         hs_log_info("partition_superseded",
                     "part=%u generation=%" G_GUINT64_FORMAT " reason=newer_assignment_announced",
--- a/src/jobs/job_relay.c
+++ b/src/jobs/job_relay.c
@@ -70,7 +70,7 @@
     for (uint32_t attempt = 0; attempt < MAX_PEERS_ASKED && !is_found; attempt++) {
         uint32_t other = (partition + attempt) % relay->part_count;
         is_found =
-            hs_daemon_directory_owner(relay->daemons, other, peer) &&
+            hs_daemon_directory_find_owner(relay->daemons, other, peer) &&
             hs_job_peer_can_reach_store(peer, hs_clock_monotonic_ms() + STORE_CHECK_LIMIT_MS);
     }
     record_search(relay, is_found);
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -79,14 +79,14 @@
 
 static void write_limits(GString *text, hs_daemon_directory *members) {
     hs_tenant_limiter_counters counters =
-        hs_tenant_limiter_count(hs_daemon_directory_limiter(members));
+        hs_tenant_limiter_get_counters(hs_daemon_directory_limiter(members));
     g_string_append_printf(text,
                            "heathsail_tenant_asks{verdict=\"passed\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_tenant_asks{verdict=\"refused\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_tenant_asks_without_home %" G_GUINT64_FORMAT "\n"
                            "heathsail_tenant_buckets %" G_GUINT64_FORMAT "\n",
                            (guint64)counters.passed, (guint64)counters.refused,
-                           (guint64)counters.by_part, (guint64)counters.tenants);
+                           (guint64)counters.by_allowance, (guint64)counters.tenants);
 }
 
 static void write_job_reads(GString *text, hs_job_service *jobs) {
@@ -165,7 +165,7 @@
     write_admission(text, sources->jobs);
     write_limits(text, sources->members);
     g_autofree char *shares =
-        hs_tenant_limiter_describe_shares(hs_daemon_directory_limiter(sources->members));
+        hs_tenant_limiter_describe_slot_use(hs_daemon_directory_limiter(sources->members));
     g_string_append(text, shares);
     g_autofree char *levels = hs_fair_shares_describe(online->levels);
     g_string_append(text, levels);
--- a/src/surface/fleet_surface.c
+++ b/src/surface/fleet_surface.c
@@ -120,7 +120,7 @@
                                  .version = config->version,
                                  .used_ms = used_ms};
     hs_limit_decider decider = HS_LIMIT_BY_SELF;
-    hs_limit_verdict verdict = hs_tenant_limiter_ask(limiter, &limited, &decider);
+    hs_limit_verdict verdict = hs_tenant_limiter_check(limiter, &limited, &decider);
     *used_slots = verdict.used_slots;
     if (verdict.passes)
         return true;
--- a/tests/unit/test_pace.c
+++ b/tests/unit/test_pace.c
@@ -127,15 +127,15 @@
                                          uint64_t incarnation, uint64_t events, uint64_t took_ms,
                                          uint64_t now_ms) {
     static uint64_t sequence = 0;
-    g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
-    hs_slot_word report = {.daemon = daemon,
-                           .incarnation = incarnation,
-                           .use = {.engine_hash = 7,
-                                   .sequence = ++sequence,
-                                   .slots = 8,
-                                   .run_events = events,
-                                   .run_ms = took_ms}};
-    return hs_slot_ledger_take(ledger, &report, now_ms, asks);
+    g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
+    hs_use_report report = {.daemon = daemon,
+                            .incarnation = incarnation,
+                            .use = {.engine_hash = 7,
+                                    .sequence = ++sequence,
+                                    .slots = 8,
+                                    .run_events = events,
+                                    .run_ms = took_ms}};
+    return hs_slot_ledger_put_report(ledger, &report, now_ms, asks);
 }
 
 /** Lost reports, restarts of a daemon and counters that fall must not count as runs. */
--- a/tests/unit/test_words.c
+++ b/tests/unit/test_words.c
@@ -127,18 +127,18 @@
 static void fail_engine(hs_slot_ledger *ledger, GArray *preemptions) {
     static const char *const daemons[] = {"a", "b", "c"};
     for (uint64_t index = 0; index < 6; index++) { /* A start and a failure of each daemon. */
-        hs_slot_word update = {.daemon = daemons[index / 2], .incarnation = 1};
+        hs_use_report update = {.daemon = daemons[index / 2], .incarnation = 1};
         update.use = (hs_engine_use){
             .engine_hash = 7, .sequence = index + 1, .slots = 8, .failed = index % 2};
         update.use.online = 1 - update.use.failed;
-        hs_slot_ledger_take(ledger, &update, 100 + index, preemptions);
+        hs_slot_ledger_put_report(ledger, &update, 100 + index, preemptions);
     }
 }
 
 /** Reports say that an engine is failing while it is down, and again while a probe is in flight. */
 static void a_failing_report_ends_with_the_down_time(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    g_autoptr(GArray) preemptions = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
+    g_autoptr(GArray) preemptions = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
     g_autoptr(GArray) reports = g_array_new(FALSE, FALSE, sizeof(hs_engine_load_report));
     fail_engine(ledger, preemptions);
     hs_slot_ledger_list(ledger, 110, reports);
@@ -147,10 +147,10 @@
     g_array_set_size(reports, 0);
     hs_slot_ledger_list(ledger, 1200, reports); /* The down time is over: a probe may be sent. */
     CU_ASSERT_FALSE(g_array_index(reports, hs_engine_load_report, 0).is_failing);
-    hs_slot_word probe = {.daemon = "a", .incarnation = 1};
+    hs_use_report probe = {.daemon = "a", .incarnation = 1};
     probe.use =
         (hs_engine_use){.engine_hash = 7, .sequence = 9, .slots = 8, .failed = 1, .online = 1};
-    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &probe, 1201, preemptions).is_failing);
+    CU_ASSERT_FALSE(hs_slot_ledger_put_report(ledger, &probe, 1201, preemptions).is_failing);
     g_array_set_size(reports, 0);
     hs_slot_ledger_list(ledger, 1202, reports);
     CU_ASSERT_TRUE(g_array_index(reports, hs_engine_load_report, 0).is_failing);
@@ -163,21 +163,21 @@
  */
 static void responses_to_running_streams_end_with_the_down_time(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
-    g_autoptr(GArray) preemptions = g_array_new(FALSE, FALSE, sizeof(hs_slot_ask));
-    hs_slot_word stream = {.daemon = "d", .incarnation = 1};
+    g_autoptr(GArray) preemptions = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
+    hs_use_report stream = {.daemon = "d", .incarnation = 1};
     stream.use = (hs_engine_use){.engine_hash = 7, .sequence = 1, .slots = 8, .batch = 1};
-    hs_slot_ledger_take(ledger, &stream, 99, preemptions);
+    hs_slot_ledger_put_report(ledger, &stream, 99, preemptions);
     fail_engine(ledger, preemptions);
     stream.use.sequence = 7;
-    CU_ASSERT_TRUE(hs_slot_ledger_take(ledger, &stream, 110, preemptions).is_failing);
+    CU_ASSERT_TRUE(hs_slot_ledger_put_report(ledger, &stream, 110, preemptions).is_failing);
     stream.use.sequence = 8;
-    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &stream, 1200, preemptions).is_failing);
-    hs_slot_word probe = {.daemon = "a", .incarnation = 1};
+    CU_ASSERT_FALSE(hs_slot_ledger_put_report(ledger, &stream, 1200, preemptions).is_failing);
+    hs_use_report probe = {.daemon = "a", .incarnation = 1};
     probe.use =
         (hs_engine_use){.engine_hash = 7, .sequence = 9, .slots = 8, .failed = 1, .online = 1};
-    CU_ASSERT_FALSE(hs_slot_ledger_take(ledger, &probe, 1201, preemptions).is_failing);
+    CU_ASSERT_FALSE(hs_slot_ledger_put_report(ledger, &probe, 1201, preemptions).is_failing);
     stream.use.sequence = 10;
-    CU_ASSERT_TRUE(hs_slot_ledger_take(ledger, &stream, 1202, preemptions).is_failing);
+    CU_ASSERT_TRUE(hs_slot_ledger_put_report(ledger, &stream, 1202, preemptions).is_failing);
     hs_slot_ledger_free(ledger);
 }
 
