--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -1,12 +1,14 @@
-/** @file membership.c  The state machine; see membership.h. */
+/** @file membership.c  See membership.h. */
 #include "membership/membership_state.h"
 
 #include <string.h>
 
-#define INDIRECT_PROBES 2
-/** An account that needs no passing on: more than any number of times an account rides. */
-#define SENT_ENOUGH 1000000U
-#define GOSSIP_FACTOR 3 /* An account rides GOSSIP_FACTOR * log2(size) times before it rests. */
+/** Members that are requested to probe a member that did not answer. */
+#define INDIRECT_PROBE_COUNT 2
+/** Count of a record that is not to be relayed; greater than any limit by GOSSIP_FACTOR. */
+#define SENT_COUNT_NO_RELAY 1000000U
+/** A record is sent GOSSIP_FACTOR * log2(number of members) times. */
+#define GOSSIP_FACTOR 3
 
 static void free_member(gpointer data) {
     hs_member *member = data;
@@ -74,7 +76,7 @@
     membership->self->sent_count = 0;
 }
 
-static bool same_owned(const GArray *left, const GArray *right) {
+static bool is_owned_equal(const GArray *left, const GArray *right) {
     if (left->len != right->len)
         return false;
     for (guint index = 0; index < left->len; index++) {
@@ -87,7 +89,7 @@
     return true;
 }
 
-static bool same_names(const GPtrArray *left, const GPtrArray *right) {
+static bool are_names_equal(const GPtrArray *left, const GPtrArray *right) {
     if (left->len != right->len)
         return false;
     for (guint index = 0; index < left->len; index++)
@@ -105,8 +107,8 @@
 void hs_membership_update_self(hs_membership *membership, uint64_t config_offset,
                                const GArray *owned, const GPtrArray *leaving_engines) {
     hs_member *self = membership->self;
-    if (self->config_offset == config_offset && same_owned(self->owned, owned) &&
-        same_names(self->leaving_engines, leaving_engines))
+    if (self->config_offset == config_offset && is_owned_equal(self->owned, owned) &&
+        are_names_equal(self->leaving_engines, leaving_engines))
         return;
     copy_names(self->leaving_engines, leaving_engines);
     self->config_offset = config_offset;
@@ -161,15 +163,19 @@
     member->state = state;
     membership->live_version += was_live != hs_member_is_live(member);
     member->sent_count = 0;
-    membership->has_news = true;
+    membership->has_pending_gossip = true;
 }
 
-/** Others speak ill of us: answer with a newer version, or a new incarnation if held for dead. */
+/**
+ * Refutes a record that reports this daemon as suspect with a newer version, one that reports it as
+ * dead with a new incarnation. Returns true if the incarnation changed.
+ */
 static bool refute(hs_membership *membership, const Hs__MemberRecord *record) {
     hs_member *self = membership->self;
     hs_member_state claimed = state_of_record(record);
-    bool about_now = record->incarnation > self->incarnation ||
-                     (record->incarnation == self->incarnation && record->version >= self->version);
+    bool is_current =
+        record->incarnation > self->incarnation ||
+        (record->incarnation == self->incarnation && record->version >= self->version);
     if (claimed == HS_MEMBER_DEAD && record->incarnation >= self->incarnation &&
         self->state != HS_MEMBER_LEAVING) {
         self->incarnation = record->incarnation + 1;
@@ -177,15 +183,15 @@
         raise_own_version(membership);
         return true;
     }
-    if (claimed == HS_MEMBER_SUSPECT && about_now) {
+    if (claimed == HS_MEMBER_SUSPECT && is_current) {
         self->version = record->version;
         raise_own_version(membership);
     }
     return false;
 }
 
-/** Whether @p record overtakes what we hold of @p member. */
-static bool overtakes(const hs_member *member, const Hs__MemberRecord *record) {
+/** Returns whether @p record supersedes the current record of @p member. */
+static bool supersedes(const hs_member *member, const Hs__MemberRecord *record) {
     hs_member_state state = state_of_record(record);
     if (member->state == HS_MEMBER_PROPOSED)
         return state != HS_MEMBER_DEAD;
@@ -204,7 +210,7 @@
     return state == HS_MEMBER_SUSPECT && member->state == HS_MEMBER_ALIVE;
 }
 
-static bool same_owned_as_record(const hs_member *member, const Hs__MemberRecord *record) {
+static bool is_content_equal(const hs_member *member, const Hs__MemberRecord *record) {
     if (member->size.taken_percent != record->taken_percent)
         return false;
     if (member->owned->len != record->n_owned ||
@@ -223,7 +229,7 @@
     return true;
 }
 
-static bool is_size_told(const hs_member_size *size) {
+static bool is_size_reported(const hs_member_size *size) {
     return size->cores_permille > 0 || size->memory_mb > 0;
 }
 
@@ -235,11 +241,13 @@
                             .taken_percent = record->taken_percent};
 }
 
-/** An older build passes an account on without the size: it is kept, or taken from an account that
- * says nothing else new. */
+/**
+ * Copies the machine size if the record has one. Older builds relay records without it; then the
+ * known size is retained.
+ */
 static void copy_size(hs_member *member, const Hs__MemberRecord *record) {
     hs_member_size size = size_of_record(record);
-    if (is_size_told(&size))
+    if (is_size_reported(&size))
         member->size = size;
 }
 
@@ -270,7 +278,7 @@
 }
 
 bool hs_membership_learn(hs_membership *membership, const Hs__MemberRecord *record,
-                         hs_account_source source, uint64_t now_ms) {
+                         hs_record_source source, uint64_t now_ms) {
     if (strcmp(record->id, membership->self->id) == 0)
         return refute(membership, record);
     hs_member *member = g_hash_table_lookup(membership->members, record->id);
@@ -280,7 +288,7 @@
         member = add_member(membership, record->id);
         member->state = HS_MEMBER_PROPOSED;
     }
-    if (!overtakes(member, record)) {
+    if (!supersedes(member, record)) {
         bool is_same =
             record->incarnation == member->incarnation && record->version == member->version;
         if (is_same)
@@ -289,21 +297,21 @@
     }
     bool was_live = hs_member_is_live(member);
     uint32_t sent_count = member->sent_count;
-    /* A new configuration offset alone is not passed on: each member says its own with every
-     * message, and one change of configuration would else make every account news to relay. */
-    bool is_news = member->state != state_of_record(record) ||
-                   member->incarnation != record->incarnation ||
-                   !same_owned_as_record(member, record);
+    /* A change of the configuration offset alone is not relayed: each member sends its own offset
+     * with every probe, and a configuration change would cause a relay of every record. */
+    bool has_relayed_change = member->state != state_of_record(record) ||
+                              member->incarnation != record->incarnation ||
+                              !is_content_equal(member, record);
     copy_record(member, record);
     set_state(membership, member, state_of_record(record), now_ms);
-    if (!is_news)
+    if (!has_relayed_change)
         member->sent_count = sent_count;
-    else if (source == HS_ACCOUNT_ANSWER)
-        member->sent_count = SENT_ENOUGH;
+    else if (source == HS_RECORD_FROM_COMPARISON)
+        member->sent_count = SENT_COUNT_NO_RELAY;
     return was_live != hs_member_is_live(member);
 }
 
-/** Ids of all others worth probing, shuffled. */
+/** Fills the round with the ids of all other members that are not dead, shuffled. */
 static void start_round(hs_membership *membership) {
     GHashTableIter iterator;
     gpointer data;
@@ -315,9 +323,9 @@
     }
     for (guint index = membership->round->len; index > 1; index--) {
         guint other = (guint)g_rand_int_range(membership->random, 0, (gint32)index);
-        gpointer kept = membership->round->pdata[index - 1];
+        gpointer swapped = membership->round->pdata[index - 1];
         membership->round->pdata[index - 1] = membership->round->pdata[other];
-        membership->round->pdata[other] = kept;
+        membership->round->pdata[other] = swapped;
     }
 }
 
@@ -334,7 +342,7 @@
     return NULL;
 }
 
-/** Suspects past their time are dead; the dead past theirs are forgotten. */
+/** Marks expired suspects dead and removes expired dead and proposed members. */
 static bool age_members(hs_membership *membership, uint64_t now_ms) {
     bool changed = false;
     GHashTableIter iterator;
@@ -376,7 +384,8 @@
     return changed;
 }
 
-static void ask_others(hs_membership *membership, const open_probe *probe, GArray *orders) {
+static void order_indirect_probes(hs_membership *membership, const open_probe *probe,
+                                  GArray *orders) {
     g_autoptr(GPtrArray) helpers = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer data;
@@ -387,7 +396,7 @@
             strcmp(member->id, probe->member_id) != 0)
             g_ptr_array_add(helpers, data);
     }
-    for (int count = 0; count < INDIRECT_PROBES && helpers->len > 0; count++) {
+    for (int count = 0; count < INDIRECT_PROBE_COUNT && helpers->len > 0; count++) {
         guint chosen = (guint)g_rand_int_range(membership->random, 0, (gint32)helpers->len);
         order_probe(orders, helpers->pdata[chosen], probe->sequence, probe->member_id);
         g_ptr_array_remove_index_fast(helpers, chosen);
@@ -400,9 +409,9 @@
     for (guint index = 0; index < membership->open_probes->len;) {
         open_probe *probe = &g_array_index(membership->open_probes, open_probe, index);
         uint64_t waited_ms = now_ms - probe->sent_ms;
-        if (waited_ms > timeout_ms && !probe->asked_others) {
-            probe->asked_others = true;
-            ask_others(membership, probe, orders);
+        if (waited_ms > timeout_ms && !probe->sent_indirect) {
+            probe->sent_indirect = true;
+            order_indirect_probes(membership, probe, orders);
         }
         if (waited_ms <= 2 * (uint64_t)timeout_ms) {
             index++;
@@ -437,9 +446,9 @@
     return (first->sent_count > second->sent_count) - (first->sent_count < second->sent_count);
 }
 
-/** Accounts that have not ridden often enough yet, the freshest first. */
-static void collect_news(const hs_membership *membership, GPtrArray *candidates) {
-    uint32_t rest_after =
+/** Appends members whose record was not sent often enough yet, least often sent first. */
+static void collect_unsent_records(const hs_membership *membership, GPtrArray *candidates) {
+    uint32_t max_sent_count =
         GOSSIP_FACTOR * (uint32_t)g_bit_storage(g_hash_table_size(membership->members));
     GHashTableIter iterator;
     gpointer data;
@@ -447,23 +456,23 @@
     while (g_hash_table_iter_next(&iterator, NULL, &data)) {
         const hs_member *member = data;
         if (member != membership->self && member->state != HS_MEMBER_PROPOSED &&
-            member->sent_count < rest_after)
+            member->sent_count < max_sent_count)
             g_ptr_array_add(candidates, data);
     }
     g_ptr_array_sort(candidates, compare_sent_count);
 }
 
-void hs_membership_gossip(hs_membership *membership, const char *receiver_id, size_t limit,
-                          GPtrArray *records) {
+void hs_membership_collect_gossip(hs_membership *membership, const char *receiver_id, size_t limit,
+                                  GPtrArray *records) {
     g_autoptr(GPtrArray) candidates = g_ptr_array_new();
-    if (membership->has_news)
-        collect_news(membership, candidates);
-    membership->has_news = candidates->len > 0;
+    if (membership->has_pending_gossip)
+        collect_unsent_records(membership, candidates);
+    membership->has_pending_gossip = candidates->len > 0;
     g_ptr_array_add(records, membership->self);
     hs_member *receiver = g_hash_table_lookup(membership->members, receiver_id);
-    bool must_be_told = receiver != NULL &&
-                        (receiver->state == HS_MEMBER_SUSPECT || receiver->state == HS_MEMBER_DEAD);
-    if (must_be_told) {
+    bool must_notify_receiver = receiver != NULL && (receiver->state == HS_MEMBER_SUSPECT ||
+                                                     receiver->state == HS_MEMBER_DEAD);
+    if (must_notify_receiver) {
         g_ptr_array_remove(candidates, receiver);
         g_ptr_array_add(records, receiver);
     }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,14 +1,17 @@
 /**
  * @file membership.h
- * Which daemons are live: probes with incarnation numbers and gossip. Pure state machine.
+ * State machine of the failure detector (SWIM): probes, incarnation numbers and gossip.
  *
- * Every account of a member is ordered by (incarnation, version). Only the member itself raises
- * them, so that its own word always overtakes what others suspect. A member that leaves says so
- * once and for the whole incarnation: no older account, and no stale list entry, undoes it. The
- * platform's list only proposes addresses to probe.
+ * Member records are ordered by (incarnation, version). Only the member itself raises them, so its
+ * own record supersedes suspicion by others. Leaving is final for an incarnation: neither an older
+ * record nor a stale entry of the platform's list reverts it. The platform's list only proposes
+ * addresses to probe.
  *
- * Cost: each member sends one probe an interval whatever the size of the fleet, and an account
- * spreads by riding on probes a number of times that grows with the logarithm of the size.
+ * Each member sends one probe per interval, independent of the number of members. Records are sent
+ * along with probes and acknowledgements, a number of times that grows with the logarithm of the
+ * number of members.
+ *
+ * Performs no I/O. Not thread-safe: membership_service.h adds a lock.
  */
 #ifndef HS_MEMBERSHIP_MEMBERSHIP_H
 #define HS_MEMBERSHIP_MEMBERSHIP_H
@@ -20,9 +23,10 @@
 #include <stdint.h>
 
 /**
- * PROPOSED -> ALIVE when it answers; ALIVE <-> SUSPECT by probes and refutation;
- * ALIVE/SUSPECT -> LEAVING by the member's own word; SUSPECT -> DEAD by time; any -> ALIVE only
- * by a newer incarnation.
+ * Transitions: PROPOSED -> state of the first record, unless DEAD; ALIVE <-> SUSPECT by unanswered
+ * probes and refutation; ALIVE or SUSPECT -> LEAVING announced by the member; SUSPECT -> DEAD after
+ * suspect_ms; LEAVING -> DEAD after an unanswered probe. LEAVING or DEAD -> ALIVE only with a newer
+ * incarnation.
  */
 typedef enum {
     HS_MEMBER_PROPOSED,
@@ -38,13 +42,13 @@
     bool has_ready_items;
 } hs_owned_partition;
 
-/** What a member's machine bears, as it tells; 0: not told. */
+/** Capacity of a member's machine as reported by the member; 0: not reported. */
 typedef struct {
-    uint32_t cores_permille; /**< Of one core. */
+    uint32_t cores_permille; /**< In thousandths of a core. */
     uint32_t memory_mb;
     uint32_t descriptors;
     uint32_t link_kbps;
-    uint32_t taken_percent; /**< Of what it is shortest of, of late. */
+    uint32_t taken_percent; /**< Recent utilization of the most utilized resource. */
 } hs_member_size;
 
 typedef struct {
@@ -53,128 +57,158 @@
     hs_member_state state;
     uint64_t incarnation;
     uint32_t version;
-    uint32_t address; /**< IPv4 number in host order. */
+    uint32_t address; /**< IPv4 address in host byte order. */
     uint16_t peer_port;
     uint16_t admin_port;
     uint64_t config_offset;
-    GArray *owned;              /**< of hs_owned_partition */
-    GPtrArray *leaving_engines; /**< of char*: engines it knows at first hand to leave */
+    GArray *owned;              /**< Of hs_owned_partition. */
+    GPtrArray *leaving_engines; /**< Of char*: engines that announced their leaving to it. */
     hs_member_size size;
     uint64_t state_since_ms;
-    uint32_t sent_count; /**< Times this account rode on a message. */
+    uint32_t sent_count; /**< Times sent as gossip since the last change to relay. */
 } hs_member;
 
 typedef struct {
     uint32_t probe_timeout_ms;
-    uint32_t suspect_ms;
-    uint32_t forget_ms; /**< Dead members are forgotten after this. */
+    uint32_t suspect_ms; /**< Time until a suspected member is marked dead. */
+    uint32_t forget_ms;  /**< Time until a dead or only proposed member is removed. */
 } hs_membership_settings;
 
 typedef struct hs_membership hs_membership;
 
-/** What the caller must send. */
+/** A probe for the caller to send. */
 typedef struct {
     uint32_t address;
     uint16_t port;
     uint32_t sequence;
     char receiver_id[64];
-    char target_id[64]; /**< Not empty: ask the receiver to probe this member for us. */
+    char target_id[64]; /**< Not empty: the receiver is to probe this member (indirect probe). */
 } hs_probe_order;
 
-/** @p self is copied; its state is ALIVE. */
+/**
+ * Creates the state with a copy of @p self as its only member, in state ALIVE. Free with
+ * hs_membership_free.
+ */
 hs_membership *hs_membership_new(const hs_member *self, const hs_membership_settings *settings,
                                  uint32_t random_seed);
+
+/** NULL is allowed. */
 void hs_membership_free(hs_membership *membership);
 
-/** Our own account. Borrowed. */
+/** Returns this daemon's own member, owned by @p membership. */
 const hs_member *hs_membership_self(const hs_membership *membership);
 
-/** Tell how much of what this member's machine is shortest of is taken, in percent. */
+/** Sets the utilization that this daemon reports; see hs_member_size. */
 void hs_membership_tell_taken(hs_membership *membership, uint32_t taken_percent);
 
-/** Change what we say of ourselves; raises our version when something changed. */
+/** Updates this daemon's own record; raises its version if a value changed. */
 void hs_membership_update_self(hs_membership *membership, uint64_t config_offset,
                                const GArray *owned, const GPtrArray *leaving_engines);
 
-/** Say that we leave; final for this incarnation. */
+/** Marks this daemon as leaving; final for its incarnation. */
 void hs_membership_leave(hs_membership *membership);
 
-/** An address from the platform's list. Never overrides a live account. */
+/** Adds a member to probe, unless a member with this id is known. */
 void hs_membership_propose(hs_membership *membership, const char *id, uint32_t address,
                            uint16_t peer_port, uint64_t now_ms);
 
-/** How an account came. */
+/** How a member record was received. */
 typedef enum {
-    HS_ACCOUNT_NEWS,   /**< Told unasked; it is passed on for a while. */
-    HS_ACCOUNT_ANSWER, /**< Asked for; it is no news to others, so that it is not passed on. */
-} hs_account_source;
+    HS_ACCOUNT_NEWS,           /**< Sent as gossip; it is relayed. */
+    HS_RECORD_FROM_COMPARISON, /**< Sent on request; not relayed, as others have it. */
+} hs_record_source;
 
-/** Take an account heard from a peer. True when the set of live members changed by it. */
+/**
+ * Applies a record received from a peer if it supersedes the current one. A record that reports
+ * this daemon as suspect or dead is refuted. Returns true if a member became live or ceased to be
+ * live, or if this daemon took a new incarnation.
+ */
 bool hs_membership_learn(hs_membership *membership, const Hs__MemberRecord *record,
-                         hs_account_source source, uint64_t now_ms);
+                         hs_record_source source, uint64_t now_ms);
 
 /**
- * Hashes of all accounts as they are held here: of uint32_t, appended to @p known. Another daemon
- * tells by them what this one lacks (hs_membership_missing), so that a comparison costs four bytes
- * an account where nothing differs.
+ * Appends a hash (uint32_t) of each member record to @p known. Another daemon uses the hashes to
+ * find the records that this one lacks (hs_membership_list_missing).
  */
-void hs_membership_known(const hs_membership *membership, GArray *known);
+void hs_membership_list_hashes(const hs_membership *membership, GArray *known);
 
-/** Members whose account here is not among @p known. @p members: borrowed, appended. */
-void hs_membership_missing(const hs_membership *membership, const uint32_t *known, size_t count,
-                           GPtrArray *members);
+/**
+ * Appends the members whose record hash is not among @p known. @p members: of hs_member*, owned by
+ * @p membership.
+ */
+void hs_membership_list_missing(const hs_membership *membership, const uint32_t *known,
+                                size_t count, GPtrArray *members);
 
-/** Once an interval: the next probe; also ages suspects. @p orders: of hs_probe_order, appended. */
+/**
+ * Appends the next probe to @p orders (of hs_probe_order), marks expired suspects dead and removes
+ * members that were dead or only proposed for forget_ms. To be called once per probe interval.
+ * Returns true if a member was marked dead.
+ */
 bool hs_membership_probe_next(hs_membership *membership, uint64_t now_ms, GArray *orders);
 
-/** Often: indirect probes for those that did not answer in time, and suspicion. */
+/**
+ * Appends indirect probes for members that did not answer in time to @p orders, and suspects
+ * members that did not answer these either. To be called several times per probe timeout. Returns
+ * true if a leaving member was marked dead.
+ */
 bool hs_membership_check_probes(hs_membership *membership, uint64_t now_ms, GArray *orders);
 
-/** An answer to probe @p sequence, by or for @p subject_id. */
+/** Handles an acknowledgement of probe @p sequence, sent by or on behalf of @p subject_id. */
 void hs_membership_acknowledge(hs_membership *membership, uint32_t sequence,
                                const char *subject_id);
 
 /**
- * Accounts to ride on a message to @p receiver_id: those sent least often. A receiver that is
- * suspected or held for dead is always told so, else it could not refute once the account has
- * stopped spreading. @p records: borrowed members, appended.
+ * Appends at most @p limit members whose records are to be sent to @p receiver_id: this daemon's
+ * own and those sent least often. The record of a receiver that is suspect or dead is always
+ * included, as the receiver could not refute it otherwise after its dissemination ended.
+ * @p records: of hs_member*, owned by @p membership.
  */
-void hs_membership_gossip(hs_membership *membership, const char *receiver_id, size_t limit,
-                          GPtrArray *records);
+void hs_membership_collect_gossip(hs_membership *membership, const char *receiver_id, size_t limit,
+                                  GPtrArray *records);
 
+/** Returns the member or NULL. Owned by @p membership. */
 const hs_member *hs_membership_find(const hs_membership *membership, const char *id);
 
-/** All accounts, self included. @p members: borrowed, appended. */
+/** Appends all members, self included. @p members: of hs_member*, owned by @p membership. */
 void hs_membership_list(const hs_membership *membership, GPtrArray *members);
 
-/** True for members that count as running: alive or only suspected. */
+/** Returns true if the member is alive or suspect. */
 bool hs_member_is_live(const hs_member *member);
 
-/** Live member with the highest weight for @p key, its zone first if @p zone is given. */
+/**
+ * Returns the live member with the highest rendezvous hash weight for @p key, among those of
+ * @p zone if there are any; NULL if no member is live. @p zone NULL: any zone.
+ */
 const hs_member *hs_membership_rank_first(const hs_membership *membership, const char *key,
                                           const char *zone);
 
 /**
- * The live member that follows @p after in the order of weights for @p key, the highest first;
- * @p after NULL: the first one. NULL: @p after is the last.
+ * Returns the live member that follows @p after in descending order of weights for @p key, or NULL
+ * if none follows. @p after NULL: returns the first.
  */
 const hs_member *hs_membership_rank_next(const hs_membership *membership, const char *key,
                                          const hs_member *after);
 
-/** The live or leaving member that says it owns @p partition under the highest epoch, or NULL. */
+/**
+ * Returns the live or leaving member that claims @p partition with the highest epoch, or NULL.
+ * @p epoch receives the epoch, 0 if there is no owner.
+ */
 const hs_member *hs_membership_owner(const hs_membership *membership, uint32_t partition,
                                      uint32_t *epoch);
 
-/** URL on the operators' listener of a member at @p address and @p port. Free with g_free. */
+/**
+ * Returns a URL on a member's admin listener. @p address: IPv4 in host byte order. Free with
+ * g_free.
+ */
 char *hs_member_admin_url(uint32_t address, uint16_t port, const char *path);
 
-/** Number of times we took a new incarnation because others held us for dead. */
+/** Returns how often this daemon took a new incarnation because others reported it dead. */
 uint32_t hs_membership_rejoin_count(const hs_membership *membership);
 
-/** Changes whenever the set of live members does, so that ranks may be kept until then. */
+/** Returns a version that changes with the set of live members; ranks may be cached until then. */
 uint64_t hs_membership_live_version(const hs_membership *membership);
 
-/** Live members, self included. */
+/** Returns the number of live members, self included. */
 uint32_t hs_membership_live_count(const hs_membership *membership);
 
 #endif
--- a/src/membership/membership_query.c
+++ b/src/membership/membership_query.c
@@ -1,4 +1,4 @@
-/** @file membership_query.c  Questions to the membership state: who is live, first, owner. */
+/** @file membership_query.c  Read access to the membership state: live members, ranks, owners. */
 #include "base/hash.h"
 #include "membership/membership_state.h"
 
@@ -52,7 +52,7 @@
     return best;
 }
 
-/** Of two members, by weight and, where these are equal, by id: negative: @p one goes first. */
+/** Orders members by descending weight, then by id. Returns less than 0 if @p one is first. */
 static int compare_rank(const char *key, const hs_member *one, const hs_member *other) {
     uint64_t weight = hs_hash_pair(key, one->id);
     uint64_t other_weight = hs_hash_pair(key, other->id);
--- a/src/membership/membership_service.c
+++ b/src/membership/membership_service.c
@@ -1,4 +1,4 @@
-/** @file membership_service.c  Probes over the peer socket; see membership_service.h. */
+/** @file membership_service.c  See membership_service.h. */
 #include "membership/membership_service.h"
 
 #include "base/clock.h"
@@ -8,56 +8,56 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-/** Accounts in one datagram: some 1,000 bytes. */
-#define GOSSIP_LIMIT 12
+/** Member records per datagram; about 1,000 bytes. */
+#define MAX_DATAGRAM_RECORDS 12
 /**
- * Most accounts that go with one probe or acknowledgement, in further datagrams, while so much is
- * news: when hundreds of daemons die or start together, their accounts would else wait in line for
- * seconds, and callers be sent to the dead meanwhile.
+ * Member records sent with one probe or acknowledgement, in additional datagrams. One datagram per
+ * probe would delay the records for seconds if hundreds of daemons fail or start at once, and
+ * callers would be directed to failed daemons meanwhile.
  */
-#define GOSSIP_BURST 60
-/** Between looks at what is due, in ms: a fifth of the shortest probe interval in use (100 ms). */
+#define MAX_GOSSIP_RECORDS 60
 #define TICK_MS 20
-/** Indirect probes that are remembered: far more than are under way at once at 360 daemons. */
-#define RELAYS_KEPT 256
-/** Members told directly that we leave; the others hear it from them. Chosen, not measured. */
-#define LEAVE_MESSAGES 32
+/** Indirect probes awaiting an acknowledgement; the oldest are dropped beyond this. */
+#define MAX_INDIRECT_PROBES 256
+/** Members notified directly when this daemon leaves; the others are notified by gossip. */
+#define MAX_LEAVE_MESSAGES 32
 /**
- * A new daemon asks for all accounts with each probe at first, for about as long as all daemons of
- * a fleet need to start (in ms), then each SETTLING_EVERY_MS until accounts of a start together
- * have gone round, then now and then, so that nothing stays unheard for good. Chosen, not measured.
+ * A new daemon requests missing records with each probe for JOINING_MS, about the time in which all
+ * daemons of a fleet start, then every SETTLING_COMPARE_INTERVAL_MS until SETTLING_MS after its
+ * start, then every COMPARE_INTERVAL_MS to repair records lost in gossip.
  */
 #define JOINING_MS 1500
 #define SETTLING_MS 10000
-#define SETTLING_EVERY_MS 2000
-#define COMPARE_EVERY_MS 60000
+#define SETTLING_COMPARE_INTERVAL_MS 2000
+#define COMPARE_INTERVAL_MS 60000
 
-/** An indirect probe that we run for somebody else. */
+/** An indirect probe sent on behalf of another member, the origin. */
 typedef struct {
     uint32_t own_sequence;
     uint32_t origin_sequence;
     uint32_t origin_address;
     uint16_t origin_port;
     char subject_id[64];
-} relay;
+} indirect_probe;
 
 struct hs_membership_service {
     hs_membership_service_settings settings;
     hs_peer_socket *socket;
     GMutex lock;
     hs_membership *membership;
-    GArray *relays;
-    uint32_t next_relay_sequence;
+    GArray *indirect_probes; /**< Of indirect_probe. */
+    uint32_t next_indirect_sequence;
     uint64_t next_probe_ms;
-    uint32_t rounds;
-    uint64_t started_ms;      /**< When the first probe went out; 0: none yet. */
-    uint64_t next_compare_ms; /**< When all accounts are asked for again. */
+    uint32_t rounds;          /**< Probe intervals begun. */
+    uint64_t started_ms;      /**< Time of the first probe; 0: none yet. */
+    uint64_t next_compare_ms; /**< Time of the next request for missing records. */
     char *self_id;
     gint stopping;
     GThread *thread;
 };
 
-#define RELAY_SEQUENCE_BASE 0x80000000U
+/** Distinguishes sequences of indirect probes from those of the state machine. */
+#define INDIRECT_SEQUENCE_BASE 0x80000000U
 
 hs_membership_service *hs_membership_service_new(const hs_member *self,
                                                  const hs_membership_service_settings *settings,
@@ -67,15 +67,15 @@
     service->socket = socket;
     g_mutex_init(&service->lock);
     service->membership = hs_membership_new(self, &settings->membership, g_str_hash(self->id));
-    service->relays = g_array_new(FALSE, FALSE, sizeof(relay));
-    service->next_relay_sequence = RELAY_SEQUENCE_BASE;
+    service->indirect_probes = g_array_new(FALSE, FALSE, sizeof(indirect_probe));
+    service->next_indirect_sequence = INDIRECT_SEQUENCE_BASE;
     service->self_id = g_strdup(self->id);
     return service;
 }
 
 void hs_membership_service_free(hs_membership_service *service) {
     hs_membership_free(service->membership);
-    g_array_free(service->relays, TRUE);
+    g_array_free(service->indirect_probes, TRUE);
     g_free(service->self_id);
     g_mutex_clear(&service->lock);
     g_free(service);
@@ -90,20 +90,20 @@
     g_mutex_unlock(&service->lock);
 }
 
-/** Accounts that go with a message. */
+/** Member records to send with a message. */
 typedef struct {
-    GPtrArray *records; /**< of Hs__MemberRecord*, owned. */
+    GPtrArray *records; /**< Of Hs__MemberRecord*, owned. */
 } gossip;
 
-static gossip take_gossip(hs_membership_service *service, const char *receiver_id) {
+static gossip collect_gossip(hs_membership_service *service, const char *receiver_id) {
     g_autoptr(GPtrArray) members = g_ptr_array_new();
-    gossip taken = {.records = g_ptr_array_new_with_free_func(hs_member_record_free)};
+    gossip selected = {.records = g_ptr_array_new_with_free_func(hs_member_record_free)};
     g_mutex_lock(&service->lock);
-    hs_membership_gossip(service->membership, receiver_id, GOSSIP_BURST, members);
+    hs_membership_collect_gossip(service->membership, receiver_id, MAX_GOSSIP_RECORDS, members);
     for (guint index = 0; index < members->len; index++)
-        g_ptr_array_add(taken.records, hs_member_record_new(members->pdata[index]));
+        g_ptr_array_add(selected.records, hs_member_record_new(members->pdata[index]));
     g_mutex_unlock(&service->lock);
-    return taken;
+    return selected;
 }
 
 uint64_t hs_membership_service_incarnation(hs_membership_service *service) {
@@ -120,10 +120,9 @@
     g_mutex_unlock(&service->lock);
 }
 
-/** Where a member's datagrams go. */
 typedef struct {
     uint32_t address;
-    uint16_t port; /**< 0: nowhere. */
+    uint16_t port; /**< 0: unknown. */
 } member_address;
 
 static member_address address_of(const hs_member *member) {
@@ -162,12 +161,12 @@
     hs_membership_service_send(service, to.address, to.port, message);
 }
 
-/** Send accounts, a datagram's worth at a time. */
-static void send_accounts(hs_membership_service *service, uint32_t address, uint16_t port,
-                          Hs__MemberRecord **records, size_t count, bool is_answer) {
-    for (size_t first = 0; first < count; first += GOSSIP_LIMIT) {
+/** Sends records, at most MAX_DATAGRAM_RECORDS per datagram. */
+static void send_records(hs_membership_service *service, uint32_t address, uint16_t port,
+                         Hs__MemberRecord **records, size_t count, bool is_answer) {
+    for (size_t first = 0; first < count; first += MAX_DATAGRAM_RECORDS) {
         Hs__MemberList list = HS__MEMBER_LIST__INIT;
-        list.n_records = MIN(GOSSIP_LIMIT, count - first);
+        list.n_records = MIN(MAX_DATAGRAM_RECORDS, count - first);
         list.records = records + first;
         list.is_answer = is_answer;
         Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
@@ -177,67 +176,66 @@
     }
 }
 
-/** What of @p taken did not fit into the message that went before. */
-static void send_rest(hs_membership_service *service, uint32_t address, uint16_t port,
-                      const gossip *taken) {
-    if (taken->records->len > GOSSIP_LIMIT)
-        send_accounts(service, address, port,
-                      (Hs__MemberRecord **)taken->records->pdata + GOSSIP_LIMIT,
-                      taken->records->len - GOSSIP_LIMIT, false);
+/** Sends the records that exceed the limit of the message sent before. */
+static void send_remaining(hs_membership_service *service, uint32_t address, uint16_t port,
+                           const gossip *selected) {
+    if (selected->records->len > MAX_DATAGRAM_RECORDS)
+        send_records(service, address, port,
+                     (Hs__MemberRecord **)selected->records->pdata + MAX_DATAGRAM_RECORDS,
+                     selected->records->len - MAX_DATAGRAM_RECORDS, false);
 }
 
-/** Hashes of the accounts held here: of uint32_t. Free with g_array_unref. */
-static GArray *take_known(hs_membership_service *service) {
+/** Returns the hashes (uint32_t) of all member records. Free with g_array_unref. */
+static GArray *copy_hashes(hs_membership_service *service) {
     GArray *known = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     g_mutex_lock(&service->lock);
-    hs_membership_known(service->membership, known);
+    hs_membership_list_hashes(service->membership, known);
     g_mutex_unlock(&service->lock);
     return known;
 }
 
 static void send_probe(hs_membership_service *service, const hs_probe_order *order, bool want_all) {
-    gossip taken = take_gossip(service, order->receiver_id);
-    g_autoptr(GArray) known = want_all ? take_known(service) : NULL;
+    gossip selected = collect_gossip(service, order->receiver_id);
+    g_autoptr(GArray) known = want_all ? copy_hashes(service) : NULL;
     Hs__Probe probe = HS__PROBE__INIT;
     probe.sequence = order->sequence;
     probe.target_id = (char *)order->target_id;
     probe.want_all = want_all;
     probe.n_known = known != NULL ? known->len : 0;
     probe.known = known != NULL ? (uint32_t *)(void *)known->data : NULL;
-    probe.n_gossip = MIN(taken.records->len, GOSSIP_LIMIT);
-    probe.gossip = (Hs__MemberRecord **)taken.records->pdata;
+    probe.n_gossip = MIN(selected.records->len, MAX_DATAGRAM_RECORDS);
+    probe.gossip = (Hs__MemberRecord **)selected.records->pdata;
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_PROBE;
     message.probe = &probe;
     hs_membership_service_send(service, order->address, order->port, &message);
-    send_rest(service, order->address, order->port, &taken);
-    g_ptr_array_free(taken.records, TRUE);
+    send_remaining(service, order->address, order->port, &selected);
+    g_ptr_array_free(selected.records, TRUE);
 }
 
-/** Whom an acknowledgement goes to. */
 typedef struct {
-    const char *id; /**< Empty when unknown. */
+    const char *id; /**< Empty if unknown. */
     uint32_t address;
     uint16_t port;
 } ack_receiver;
 
 static void send_ack(hs_membership_service *service, const ack_receiver *receiver,
                      uint32_t sequence, const char *subject_id) {
-    gossip taken = take_gossip(service, receiver->id);
+    gossip selected = collect_gossip(service, receiver->id);
     Hs__ProbeAck ack = HS__PROBE_ACK__INIT;
     ack.sequence = sequence;
     ack.subject_id = (char *)subject_id;
-    ack.n_gossip = MIN(taken.records->len, GOSSIP_LIMIT);
-    ack.gossip = (Hs__MemberRecord **)taken.records->pdata;
+    ack.n_gossip = MIN(selected.records->len, MAX_DATAGRAM_RECORDS);
+    ack.gossip = (Hs__MemberRecord **)selected.records->pdata;
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_PROBE_ACK;
     message.probe_ack = &ack;
     hs_membership_service_send(service, receiver->address, receiver->port, &message);
-    send_rest(service, receiver->address, receiver->port, &taken);
-    g_ptr_array_free(taken.records, TRUE);
+    send_remaining(service, receiver->address, receiver->port, &selected);
+    g_ptr_array_free(selected.records, TRUE);
 }
 
-/** One line a message: hundreds of members join within a second of a start of all. */
+/** Logs one line per message, as hundreds of members may join within a second. */
 static void log_changes(Hs__MemberRecord *const *changed, guint count) {
     g_autoptr(GString) members = g_string_new(NULL);
     for (guint index = 0; index < count; index++)
@@ -246,8 +244,8 @@
     hs_log_info("membership_change", "count=%u members=%s", count, members->str);
 }
 
-static void learn_all(hs_membership_service *service, Hs__MemberRecord **records, size_t count,
-                      hs_account_source source) {
+static void apply_member_records(hs_membership_service *service, Hs__MemberRecord **records,
+                                 size_t count, hs_record_source source) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_autoptr(GPtrArray) changed = g_ptr_array_new();
     g_mutex_lock(&service->lock);
@@ -259,46 +257,47 @@
         log_changes((Hs__MemberRecord *const *)changed->pdata, changed->len);
 }
 
-/** Probe @p target_id for the sender and remember whom to tell. */
-static void relay_probe(hs_membership_service *service, const Hs__Probe *probe,
-                        const struct sockaddr_in *from) {
-    relay entry = {.origin_sequence = probe->sequence,
-                   .origin_address = ntohl(from->sin_addr.s_addr),
-                   .origin_port = ntohs(from->sin_port)};
+/** Probes the target on behalf of the sender and stores the sender for the acknowledgement. */
+static void send_indirect_probe(hs_membership_service *service, const Hs__Probe *probe,
+                                const struct sockaddr_in *from) {
+    indirect_probe entry = {.origin_sequence = probe->sequence,
+                            .origin_address = ntohl(from->sin_addr.s_addr),
+                            .origin_port = ntohs(from->sin_port)};
     g_strlcpy(entry.subject_id, probe->target_id, sizeof entry.subject_id);
     g_mutex_lock(&service->lock);
     const hs_member *target = hs_membership_find(service->membership, probe->target_id);
-    entry.own_sequence = service->next_relay_sequence++ | RELAY_SEQUENCE_BASE;
+    entry.own_sequence = service->next_indirect_sequence++ | INDIRECT_SEQUENCE_BASE;
     hs_probe_order order = {.sequence = entry.own_sequence};
     if (target != NULL) {
         order.address = target->address;
         order.port = target->peer_port;
         g_strlcpy(order.receiver_id, target->id, sizeof order.receiver_id);
-        g_array_append_val(service->relays, entry);
+        g_array_append_val(service->indirect_probes, entry);
     }
-    if (service->relays->len > RELAYS_KEPT)
-        g_array_remove_index(service->relays, 0);
+    if (service->indirect_probes->len > MAX_INDIRECT_PROBES)
+        g_array_remove_index(service->indirect_probes, 0);
     g_mutex_unlock(&service->lock);
     if (order.port != 0)
         send_probe(service, &order, false);
 }
 
-static bool take_relay(hs_membership_service *service, uint32_t sequence, relay *found) {
+static bool remove_indirect_probe(hs_membership_service *service, uint32_t sequence,
+                                  indirect_probe *found) {
     bool matches = false;
     g_mutex_lock(&service->lock);
-    for (guint index = 0; index < service->relays->len && !matches; index++) {
-        *found = g_array_index(service->relays, relay, index);
+    for (guint index = 0; index < service->indirect_probes->len && !matches; index++) {
+        *found = g_array_index(service->indirect_probes, indirect_probe, index);
         matches = found->own_sequence == sequence;
         if (matches)
-            g_array_remove_index(service->relays, index);
+            g_array_remove_index(service->indirect_probes, index);
     }
     g_mutex_unlock(&service->lock);
     return matches;
 }
 
 static void handle_ack(hs_membership_service *service, const Hs__ProbeAck *ack) {
-    relay found;
-    if (take_relay(service, ack->sequence, &found)) {
+    indirect_probe found;
+    if (remove_indirect_probe(service, ack->sequence, &found)) {
         ack_receiver origin = {
             .id = "", .address = found.origin_address, .port = found.origin_port};
         send_ack(service, &origin, found.origin_sequence, found.subject_id);
@@ -309,18 +308,18 @@
     g_mutex_unlock(&service->lock);
 }
 
-/** Answer a probe that asked for the accounts its sender lacks. */
+/** Sends the records that the sender of the probe lacks. */
 static void send_missing(hs_membership_service *service, const ack_receiver *receiver,
                          const Hs__Probe *probe) {
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     g_autoptr(GPtrArray) records = g_ptr_array_new_with_free_func(hs_member_record_free);
     g_mutex_lock(&service->lock);
-    hs_membership_missing(service->membership, probe->known, probe->n_known, members);
+    hs_membership_list_missing(service->membership, probe->known, probe->n_known, members);
     for (guint index = 0; index < members->len; index++)
         g_ptr_array_add(records, hs_member_record_new(members->pdata[index]));
     g_mutex_unlock(&service->lock);
-    send_accounts(service, receiver->address, receiver->port, (Hs__MemberRecord **)records->pdata,
-                  records->len, true);
+    send_records(service, receiver->address, receiver->port, (Hs__MemberRecord **)records->pdata,
+                 records->len, true);
 }
 
 bool hs_membership_service_handle(hs_membership_service *service, const Hs__PeerMessage *message,
@@ -330,9 +329,9 @@
         ack_receiver sender = {.id = message->sender_id,
                                .address = ntohl(from->sin_addr.s_addr),
                                .port = ntohs(from->sin_port)};
-        learn_all(service, probe->gossip, probe->n_gossip, HS_ACCOUNT_NEWS);
+        apply_member_records(service, probe->gossip, probe->n_gossip, HS_ACCOUNT_NEWS);
         if (*probe->target_id != '\0')
-            relay_probe(service, probe, from);
+            send_indirect_probe(service, probe, from);
         else
             send_ack(service, &sender, probe->sequence, service->self_id);
         if (probe->want_all)
@@ -341,29 +340,30 @@
     }
     if (message->kind_case == HS__PEER_MESSAGE__KIND_MEMBER_LIST) {
         const Hs__MemberList *list = message->member_list;
-        learn_all(service, list->records, list->n_records,
-                  list->is_answer ? HS_ACCOUNT_ANSWER : HS_ACCOUNT_NEWS);
+        apply_member_records(service, list->records, list->n_records,
+                             list->is_answer ? HS_RECORD_FROM_COMPARISON : HS_ACCOUNT_NEWS);
         return true;
     }
     if (message->kind_case == HS__PEER_MESSAGE__KIND_PROBE_ACK) {
-        learn_all(service, message->probe_ack->gossip, message->probe_ack->n_gossip,
-                  HS_ACCOUNT_NEWS);
+        apply_member_records(service, message->probe_ack->gossip, message->probe_ack->n_gossip,
+                             HS_ACCOUNT_NEWS);
         handle_ack(service, message->probe_ack);
         return true;
     }
     return false;
 }
 
-/** Whether this round's probe asks for all accounts. The caller holds the lock. */
-static bool must_compare(hs_membership_service *service, uint64_t now_ms) {
+/** Returns whether this round's probe requests missing records. The caller holds the lock. */
+static bool is_comparison_due(hs_membership_service *service, uint64_t now_ms) {
     if (service->started_ms == 0)
         service->started_ms = now_ms;
     if (now_ms < service->started_ms + JOINING_MS)
         return true;
     if (now_ms < service->next_compare_ms)
         return false;
-    bool settles = now_ms < service->started_ms + SETTLING_MS;
-    service->next_compare_ms = now_ms + (settles ? SETTLING_EVERY_MS : COMPARE_EVERY_MS);
+    bool is_settling = now_ms < service->started_ms + SETTLING_MS;
+    service->next_compare_ms =
+        now_ms + (is_settling ? SETTLING_COMPARE_INTERVAL_MS : COMPARE_INTERVAL_MS);
     return true;
 }
 
@@ -375,7 +375,7 @@
     if (now_ms >= service->next_probe_ms) {
         service->next_probe_ms = now_ms + service->settings.probe_interval_ms;
         hs_membership_probe_next(service->membership, now_ms, orders);
-        want_all = must_compare(service, now_ms);
+        want_all = is_comparison_due(service, now_ms);
         service->rounds++;
     }
     g_mutex_unlock(&service->lock);
@@ -409,7 +409,7 @@
     g_mutex_lock(&service->lock);
     hs_membership_leave(service->membership);
     hs_membership_list(service->membership, members);
-    for (guint index = 0; index < members->len && orders->len < LEAVE_MESSAGES; index++) {
+    for (guint index = 0; index < members->len && orders->len < MAX_LEAVE_MESSAGES; index++) {
         const hs_member *member = members->pdata[index];
         if (member == hs_membership_self(service->membership) || !hs_member_is_live(member))
             continue;
--- a/src/membership/membership_service.h
+++ b/src/membership/membership_service.h
@@ -1,6 +1,7 @@
 /**
  * @file membership_service.h
- * Runs the membership state machine: a ticker thread that probes, and the handling of probes.
+ * Runs the membership state machine: a thread that sends probes, and the handling of peer messages.
+ * Thread-safe; one mutex protects the state.
  */
 #ifndef HS_MEMBERSHIP_MEMBERSHIP_SERVICE_H
 #define HS_MEMBERSHIP_MEMBERSHIP_SERVICE_H
@@ -15,56 +16,64 @@
     hs_membership_settings membership;
 } hs_membership_service_settings;
 
-/** @p socket is borrowed. */
+/** @p self is copied; @p socket must outlive the service. Free with hs_membership_service_free. */
 hs_membership_service *hs_membership_service_new(const hs_member *self,
                                                  const hs_membership_service_settings *settings,
                                                  hs_peer_socket *socket);
+
+/** Starts the thread that calls hs_membership_service_tick. */
 void hs_membership_service_start(hs_membership_service *service);
+
+/** Stops the thread and waits for its end. */
 void hs_membership_service_stop(hs_membership_service *service);
+
+/** Frees a service whose thread was stopped or never started. */
 void hs_membership_service_free(hs_membership_service *service);
 
-/** One round of the ticker, for drivers that bring their own thread (directory/daemon_directory.c).
+/**
+ * Sends the probes that are due; for callers that use a thread of their own instead of
+ * hs_membership_service_start.
  */
 void hs_membership_service_tick(hs_membership_service *service, uint64_t now_ms);
 
-/** True when the message was a probe or an answer to one, and was handled. */
+/** Handles a probe, an acknowledgement or a member list; returns false for other messages. */
 bool hs_membership_service_handle(hs_membership_service *service, const Hs__PeerMessage *message,
                                   const struct sockaddr_in *from);
 
-/** Lock and borrow the state; unlock when done. */
+/** Locks and returns the state, valid until hs_membership_service_unlock. */
 hs_membership *hs_membership_service_lock(hs_membership_service *service);
 void hs_membership_service_unlock(hs_membership_service *service);
 
-/** Tell everyone that we leave, a few times over, since datagrams may be lost. */
+/** Marks this daemon as leaving and notifies some live members; others are notified by gossip. */
 void hs_membership_service_leave(hs_membership_service *service);
 
-/** Our incarnation now. */
+/** Returns this daemon's current incarnation. */
 uint64_t hs_membership_service_incarnation(hs_membership_service *service);
 
-/** Fill sender id and incarnation. The id is borrowed from the service. */
+/** Sets the message's sender id and incarnation. The id is owned by the service. */
 void hs_membership_service_sign(hs_membership_service *service, Hs__PeerMessage *message);
 
-/** Sign @p message and send it to the peer port @p port of @p address; port 0: nowhere. */
+/** Sets the sender of @p message and sends it; drops it if @p port is 0. */
 void hs_membership_service_send(hs_membership_service *service, uint32_t address, uint16_t port,
                                 Hs__PeerMessage *message);
 
-/** Sign @p message and send it to where another one came from. */
+/** Sets the sender of @p message and sends it to @p to, the source of another message. */
 void hs_membership_service_reply(hs_membership_service *service, const struct sockaddr_in *to,
                                  Hs__PeerMessage *message);
 
-/** Sign @p message and send it to the partition's owner; dropped when no owner is known. */
+/** Sets the sender of @p message and sends it to the partition's owner, if one is known. */
 void hs_membership_service_send_to_owner(hs_membership_service *service, uint32_t partition,
                                          Hs__PeerMessage *message);
 
-/** Sign @p message and send it to the live member that comes first for @p key by rendezvous. */
+/** Sets the sender of @p message and sends it to the highest-ranked live member for @p key. */
 void hs_membership_service_send_to_first(hs_membership_service *service, const char *key,
                                          Hs__PeerMessage *message);
 
-/** Address of a member by id; false when unknown. */
+/** Gets the address of a member; returns false if the member is unknown. */
 bool hs_membership_service_address(hs_membership_service *service, const char *id,
                                    uint32_t *address, uint16_t *peer_port);
 
-/** True once some probe round was run with every known member asked. */
+/** Returns whether at least two probe intervals have begun. */
 bool hs_membership_service_has_probed(hs_membership_service *service);
 
 #endif
--- a/src/membership/membership_state.h
+++ b/src/membership/membership_state.h
@@ -1,28 +1,28 @@
-/** @file membership_state.h  The state machine's own state; included by its files alone. */
+/** @file membership_state.h  Private state of the membership state machine. */
 #ifndef HS_MEMBERSHIP_MEMBERSHIP_STATE_H
 #define HS_MEMBERSHIP_MEMBERSHIP_STATE_H
 
 #include "membership/membership.h"
 
-/** A probe that has not been answered yet. */
+/** A probe without acknowledgement so far. */
 typedef struct {
     uint32_t sequence;
     char *member_id;
     uint64_t sent_ms;
-    bool asked_others;
+    bool sent_indirect; /**< Indirect probes were requested. */
 } open_probe;
 
 struct hs_membership {
     hs_membership_settings settings;
     hs_member *self;
-    GHashTable *members; /**< id -> hs_member, self included */
-    GPtrArray *round;    /**< ids still to be probed in this round */
-    GArray *open_probes;
+    GHashTable *members; /**< id -> hs_member; includes self. */
+    GPtrArray *round;    /**< Of char*: ids of members left to probe in this round. */
+    GArray *open_probes; /**< Of open_probe. */
     GRand *random;
     uint32_t next_sequence;
     uint32_t rejoin_count;
     uint64_t live_version;
-    bool has_news; /**< An account may still have to be passed on. */
+    bool has_pending_gossip; /**< Some record may not have been sent often enough yet. */
 };
 
 #endif
--- a/src/placement/controller.c
+++ b/src/placement/controller.c
@@ -19,17 +19,17 @@
 
 struct hs_placement_controller {
     hs_placement_context context;
-    hs_demand *demand;       /**< Of the whole fleet, for groups we control. */
-    uint64_t loads_after_ms; /**< The weight store's rate is used up until then. */
+    hs_demand *demand;       /**< Reported by all daemons, for groups controlled by this one. */
+    uint64_t loads_after_ms; /**< The weight store refuses further loads until this time. */
     gint stopping;
     GThread *thread;
 };
 
-/** A group's engines as they are now. */
+/** Engines of a group and the models that they hold. */
 typedef struct {
-    GArray *infos;   /**< of hs_engine_info: of the whole table */
-    GArray *engines; /**< of hs_placement_engine */
-    GPtrArray *urls; /**< of char*, borrowed from infos, by engine */
+    GArray *infos;   /**< Of hs_engine_info: all engines of the table. */
+    GArray *engines; /**< Of hs_placement_engine. */
+    GPtrArray *urls; /**< Of char*, owned by infos; same order as engines. */
 } group_engines;
 
 static uint32_t group_partition(const hs_placement_controller *controller, const char *group) {
@@ -39,7 +39,7 @@
 
 /* ---- Demand ------------------------------------------------------------------------------- */
 
-/** Hand a count on to the group's controller. */
+/** Reports a count to the group's controller. */
 static void send_demand(const char *group, const char *model, double count, void *user_data) {
     hs_placement_controller *controller = user_data;
     Hs__DemandReport report = HS__DEMAND_REPORT__INIT;
@@ -90,7 +90,7 @@
         GPtrArray *models = read_models(info->url);
         hs_placement_engine engine = {.id = info->id,
                                       .models = models != NULL ? models : g_ptr_array_new(),
-                                      .avoided = info->leaving || info->ejected || models == NULL};
+                                      .excluded = info->leaving || info->ejected || models == NULL};
         g_array_append_val(read.engines, engine);
         g_ptr_array_add(read.urls, info->url);
     }
@@ -120,16 +120,16 @@
     return group->models_per_engine > 0 ? group->models_per_engine : DEFAULT_MODELS_PER_ENGINE;
 }
 
-/** The group's models with the copies wanted: as configured, else by demand. */
-static GArray *wanted_models(hs_placement_controller *controller, const hs_config_view *view,
-                             const hs_engine_group *group, uint32_t engine_count) {
+/** Returns the group's models with their number of copies: as configured, else by demand. */
+static GArray *list_wanted_models(hs_placement_controller *controller, const hs_config_view *view,
+                                  const hs_engine_group *group, uint32_t engine_count) {
     uint32_t count = group->models->len;
     g_autofree double *demand = g_new0(double, count + 1);
     g_autofree uint32_t *wanted = g_new0(uint32_t, count + 1);
     for (uint32_t index = 0; index < count; index++)
         demand[index] = 1.0 + hs_demand_read(controller->demand, group->name,
                                              group->models->pdata[index], hs_clock_monotonic_ms());
-    hs_placement_share(engine_count, models_per_engine(group), demand, count, wanted);
+    hs_placement_allocate_copies(engine_count, models_per_engine(group), demand, count, wanted);
     GArray *models = g_array_new(FALSE, FALSE, sizeof(hs_placement_model));
     for (uint32_t index = 0; index < count; index++) {
         hs_placement_model model = {
@@ -143,8 +143,8 @@
 
 /* ---- Orders ------------------------------------------------------------------------------- */
 
-/** Whether the weight store lets us load now. */
-static bool may_load(hs_placement_controller *controller, const char *model) {
+/** Acquires permission from the weight store to load @p model; returns whether it is granted. */
+static bool acquire_load(hs_placement_controller *controller, const char *model) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     if (now_ms < controller->loads_after_ms)
         return false;
@@ -158,11 +158,14 @@
     return false;
 }
 
-/** Give one order. False when the round must end: fenced, or no more loads now. */
-static bool give_order(hs_placement_controller *controller, const char *group, uint32_t epoch,
+/**
+ * Sends one order to an engine. Returns false if the round must end, as the weight store refuses
+ * the load or the engine rejects the epoch as outdated.
+ */
+static bool send_order(hs_placement_controller *controller, const char *group, uint32_t epoch,
                        const char *url, const hs_placement_order *order) {
     bool load = order->action == HS_PLACEMENT_LOAD;
-    if (load && !may_load(controller, order->model))
+    if (load && !acquire_load(controller, order->model))
         return false;
     hs_engine_order wire = {
         .scope = group, .epoch = epoch, .action = load ? "load" : "unload", .model = order->model};
@@ -175,18 +178,18 @@
 static void control_group(hs_placement_controller *controller, const hs_config_view *view,
                           const hs_engine_group *group, uint32_t epoch) {
     group_engines read = read_engines(controller, group);
-    GArray *models = wanted_models(controller, view, group, read.engines->len);
+    GArray *models = list_wanted_models(controller, view, group, read.engines->len);
     GArray *orders = g_array_new(FALSE, FALSE, sizeof(hs_placement_order));
     hs_placement_settings settings = {.models_per_engine = models_per_engine(group),
                                       .max_orders = MAX_ORDERS};
     hs_placement_plan(&settings, (hs_placement_engine *)(void *)read.engines->data,
                       read.engines->len, (hs_placement_model *)(void *)models->data, models->len,
                       orders);
-    bool going_on = true;
-    for (guint index = 0; index < orders->len && going_on; index++) {
+    bool may_continue = true;
+    for (guint index = 0; index < orders->len && may_continue; index++) {
         const hs_placement_order *order = &g_array_index(orders, hs_placement_order, index);
-        going_on =
-            give_order(controller, group->name, epoch, read.urls->pdata[order->engine], order);
+        may_continue =
+            send_order(controller, group->name, epoch, read.urls->pdata[order->engine], order);
     }
     g_array_free(orders, TRUE);
     g_array_free(models, TRUE);
--- a/src/placement/controller.h
+++ b/src/placement/controller.h
@@ -1,7 +1,8 @@
 /**
  * @file controller.h
- * One controller an engine group: the owner of the group's partition. Its epoch fences its orders,
- * so that one that was overtaken cannot undo what its successor ordered.
+ * Controls which models the engines of a group hold. Each engine group has one controller: the
+ * daemon that owns the group's partition. Orders carry the partition's epoch, so engines reject
+ * orders of a former controller.
  */
 #ifndef HS_PLACEMENT_CONTROLLER_H
 #define HS_PLACEMENT_CONTROLLER_H
@@ -13,20 +14,23 @@
 
 typedef struct hs_placement_controller hs_placement_controller;
 
-/** What the controller works with; all borrowed. */
+/** Dependencies of the controller; all must outlive it. */
 typedef struct {
     const hs_settings *settings;
     hs_config_store *config;
     hs_engine_table *engines;
     hs_membership_service *membership;
     hs_coordinator *coordinator;
-    hs_demand *counted; /**< Requests that came in here. */
+    hs_demand *counted; /**< Requests received by this daemon. */
 } hs_placement_context;
 
+/** Starts the controller's thread. Stop with hs_placement_controller_stop. */
 hs_placement_controller *hs_placement_controller_start(const hs_placement_context *context);
+
+/** Stops the thread and waits for its end; does not free the controller. */
 void hs_placement_controller_stop(hs_placement_controller *controller);
 
-/** True when the message was a report of demand and was taken. Any thread. */
+/** Handles the message if it is a demand report; returns whether it is. Thread-safe. */
 bool hs_placement_controller_handle(hs_placement_controller *controller,
                                     const Hs__PeerMessage *message);
 
--- a/src/placement/demand.c
+++ b/src/placement/demand.c
@@ -10,7 +10,7 @@
     char *group;
     char *model;
     double count;
-    uint64_t decayed_ms; /**< When the count was last decayed; 0: never. */
+    uint64_t decayed_ms; /**< Time of the last decay; 0: none yet. */
 } demand_entry;
 
 struct hs_demand {
--- a/src/placement/demand.h
+++ b/src/placement/demand.h
@@ -1,7 +1,7 @@
 /**
  * @file demand.h
- * Requests by engine group and model: counted on each edge, summed with decay by the group's
- * controller.
+ * Request counts by engine group and model, with exponential decay. Each daemon counts the requests
+ * that it receives; the group's controller sums the reported counts. Thread-safe.
  */
 #ifndef HS_PLACEMENT_DEMAND_H
 #define HS_PLACEMENT_DEMAND_H
@@ -11,16 +11,20 @@
 
 typedef struct hs_demand hs_demand;
 
+/** Free with hs_demand_free. */
 hs_demand *hs_demand_new(void);
 void hs_demand_free(hs_demand *demand);
 
-/** Add @p count requests for the model of the group. Any thread. */
+/** Adds @p count requests for the model of the group. */
 void hs_demand_add(hs_demand *demand, const char *group, const char *model, double count);
 
-/** The sum now, after decay. */
+/** Returns the decayed count at @p now_ms (monotonic); 0 if nothing was counted. */
 double hs_demand_read(hs_demand *demand, const char *group, const char *model, uint64_t now_ms);
 
-/** Run @p visit for each count and set it to 0: an edge hands on what it counted. */
+/**
+ * Calls @p visit for each count greater than 0 and resets all counts. The lock is held meanwhile:
+ * @p visit must not use @p demand.
+ */
 void hs_demand_drain(hs_demand *demand,
                      void (*visit)(const char *group, const char *model, double count,
                                    void *user_data),
--- a/src/placement/plan.c
+++ b/src/placement/plan.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-/** A plan in the making: the engines' models as they will be once the orders are obeyed. */
+/** State of one planning call. */
 typedef struct {
     const hs_placement_settings *settings;
     const hs_placement_engine *engines;
@@ -11,8 +11,8 @@
     const hs_placement_model *models;
     uint32_t model_count;
     GArray *orders;
-    bool *unloading; /**< By engine: room is being made; it is loaded in a later round. */
-} planning;
+    bool *unloading; /**< By engine: has an unload order; it gets loads in a later plan only. */
+} plan_state;
 
 static bool holds(const hs_placement_engine *engine, const char *model) {
     for (guint index = 0; index < engine->models->len; index++)
@@ -21,8 +21,8 @@
     return false;
 }
 
-/** Whether an order of this plan concerns the engine and model. */
-static bool is_ordered(const planning *plan, uint32_t engine, const char *model) {
+/** Returns whether this plan has an order for the engine and model. */
+static bool is_ordered(const plan_state *plan, uint32_t engine, const char *model) {
     for (guint index = 0; index < plan->orders->len; index++) {
         const hs_placement_order *order = &g_array_index(plan->orders, hs_placement_order, index);
         if (order->engine == engine && strcmp(order->model, model) == 0)
@@ -31,8 +31,8 @@
     return false;
 }
 
-/** Models on the engine with the loads of this plan. */
-static uint32_t model_load(const planning *plan, uint32_t engine) {
+/** Returns the number of models on the engine, including the loads of this plan. */
+static uint32_t count_models(const plan_state *plan, uint32_t engine) {
     uint32_t count = plan->engines[engine].models->len;
     for (guint index = 0; index < plan->orders->len; index++) {
         const hs_placement_order *order = &g_array_index(plan->orders, hs_placement_order, index);
@@ -41,11 +41,11 @@
     return count;
 }
 
-/** Copies that serve, with the loads and without the unloads of this plan. */
-static uint32_t copies_of(const planning *plan, const char *model) {
+/** Returns the number of copies on usable engines after the orders of this plan. */
+static uint32_t count_copies(const plan_state *plan, const char *model) {
     uint32_t copies = 0;
     for (uint32_t engine = 0; engine < plan->engine_count; engine++)
-        copies += !plan->engines[engine].avoided && holds(&plan->engines[engine], model);
+        copies += !plan->engines[engine].excluded && holds(&plan->engines[engine], model);
     for (guint index = 0; index < plan->orders->len; index++) {
         const hs_placement_order *order = &g_array_index(plan->orders, hs_placement_order, index);
         if (strcmp(order->model, model) == 0)
@@ -54,39 +54,39 @@
     return copies;
 }
 
-static const hs_placement_model *find_model(const planning *plan, const char *name) {
+static const hs_placement_model *find_model(const plan_state *plan, const char *name) {
     for (uint32_t index = 0; index < plan->model_count; index++)
         if (strcmp(plan->models[index].name, name) == 0)
             return &plan->models[index];
     return NULL;
 }
 
-static void add_order(planning *plan, hs_placement_action action, uint32_t engine,
+static void add_order(plan_state *plan, hs_placement_action action, uint32_t engine,
                       const char *model) {
     hs_placement_order order = {.action = action, .engine = engine};
     g_strlcpy(order.model, model, sizeof order.model);
     g_array_append_val(plan->orders, order);
 }
 
-/** The engine with the fewest models that can take one more; -1: none. */
-static int engine_with_room(const planning *plan, const char *model) {
+/** Returns the engine with the fewest models that can load @p model, or -1. */
+static int find_engine_with_capacity(const plan_state *plan, const char *model) {
     int best = -1;
     for (uint32_t engine = 0; engine < plan->engine_count; engine++) {
         const hs_placement_engine *candidate = &plan->engines[engine];
-        if (candidate->avoided || plan->unloading[engine] || holds(candidate, model) ||
+        if (candidate->excluded || plan->unloading[engine] || holds(candidate, model) ||
             is_ordered(plan, engine, model) ||
-            model_load(plan, engine) >= plan->settings->models_per_engine)
+            count_models(plan, engine) >= plan->settings->models_per_engine)
             continue;
-        if (best < 0 || model_load(plan, engine) < model_load(plan, (uint32_t)best))
+        if (best < 0 || count_models(plan, engine) < count_models(plan, (uint32_t)best))
             best = (int)engine;
     }
     return best;
 }
 
-/** Whether the group can do without this copy. Loads under way do not count as copies yet. */
-static bool is_spare(const planning *plan, const char *model) {
+/** Returns whether a copy of @p model may be unloaded. */
+static bool is_spare(const plan_state *plan, const char *model) {
     const hs_placement_model *listed = find_model(plan, model);
-    uint32_t copies = copies_of(plan, model);
+    uint32_t copies = count_copies(plan, model);
     if (listed == NULL)
         return true;
     if (listed->routed && copies <= 1)
@@ -94,11 +94,11 @@
     return copies > listed->wanted;
 }
 
-/** Unload one spare model from an engine that lacks @p model. False when there is none. */
-static bool make_room(planning *plan, const char *model) {
+/** Orders the unloading of one spare model from an engine without @p model; false if none. */
+static bool order_unload(plan_state *plan, const char *model) {
     for (uint32_t engine = 0; engine < plan->engine_count; engine++) {
         const hs_placement_engine *candidate = &plan->engines[engine];
-        if (candidate->avoided || plan->unloading[engine] || holds(candidate, model))
+        if (candidate->excluded || plan->unloading[engine] || holds(candidate, model))
             continue;
         for (guint index = 0; index < candidate->models->len; index++) {
             const char *held = candidate->models->pdata[index];
@@ -112,12 +112,12 @@
     return false;
 }
 
-static void place_model(planning *plan, const hs_placement_model *model) {
-    while (copies_of(plan, model->name) < model->wanted &&
+static void place_model(plan_state *plan, const hs_placement_model *model) {
+    while (count_copies(plan, model->name) < model->wanted &&
            plan->orders->len < plan->settings->max_orders) {
-        int engine = engine_with_room(plan, model->name);
+        int engine = find_engine_with_capacity(plan, model->name);
         if (engine < 0) {
-            make_room(plan, model->name);
+            order_unload(plan, model->name);
             return;
         }
         add_order(plan, HS_PLACEMENT_LOAD, (uint32_t)engine, model->name);
@@ -128,29 +128,29 @@
                        uint32_t engine_count, const hs_placement_model *models,
                        uint32_t model_count, GArray *orders) {
     g_autofree bool *unloading = g_new0(bool, engine_count + 1);
-    planning plan = {.settings = settings,
-                     .engines = engines,
-                     .engine_count = engine_count,
-                     .models = models,
-                     .model_count = model_count,
-                     .orders = orders,
-                     .unloading = unloading};
-    /* Models without any copy first: a caller of theirs is refused until there is one. */
+    plan_state plan = {.settings = settings,
+                       .engines = engines,
+                       .engine_count = engine_count,
+                       .models = models,
+                       .model_count = model_count,
+                       .orders = orders,
+                       .unloading = unloading};
+    /* Models without a copy come first, as their requests are refused until one is loaded. */
     for (uint32_t index = 0; index < model_count; index++)
-        if (copies_of(&plan, models[index].name) == 0)
+        if (count_copies(&plan, models[index].name) == 0)
             place_model(&plan, &models[index]);
     for (uint32_t index = 0; index < model_count; index++)
         place_model(&plan, &models[index]);
 }
 
-void hs_placement_share(uint32_t engine_count, uint32_t models_per_engine, const double *demand,
-                        uint32_t model_count, uint32_t *wanted) {
+void hs_placement_allocate_copies(uint32_t engine_count, uint32_t models_per_engine,
+                                  const double *demand, uint32_t model_count, uint32_t *wanted) {
     uint32_t slots = engine_count * models_per_engine;
     for (uint32_t index = 0; index < model_count; index++)
         wanted[index] = engine_count > 0 ? 1 : 0;
     uint32_t used = engine_count > 0 ? model_count : 0;
     while (used < slots) {
-        /* The next copy goes where a copy carries the most demand. */
+        /* The next copy goes to the model with the highest demand per copy. */
         int best = -1;
         for (uint32_t index = 0; index < model_count; index++) {
             if (wanted[index] >= engine_count)
--- a/tests/unit/test_membership.c
+++ b/tests/unit/test_membership.c
@@ -1,4 +1,4 @@
-/** @file test_membership.c  The membership state machine, driven without a network. */
+/** @file test_membership.c  Tests of the membership state machine, and of gossip sent over UDP. */
 #include "membership/membership_service.h"
 #include "tests/unit/unit_tests.h"
 
@@ -33,7 +33,7 @@
     return hs_membership_find(membership, id)->state;
 }
 
-static void list_only_proposes(void) {
+static void platform_list_only_proposes_members(void) {
     hs_membership *membership = new_membership();
     hs_membership_propose(membership, "b", 1, 1, 0);
     CU_ASSERT_EQUAL(hs_membership_live_count(membership), 1);
@@ -55,7 +55,7 @@
     hs_membership_free(membership);
 }
 
-static void members_own_word_overtakes_suspicion(void) {
+static void newer_own_record_supersedes_suspicion(void) {
     hs_membership *membership = new_membership();
     learn(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_ALIVE, 1);
     learn(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_SUSPECT, 2);
@@ -67,7 +67,7 @@
     hs_membership_free(membership);
 }
 
-static void silent_member_is_suspected_then_dead(void) {
+static void unresponsive_member_is_suspected_then_dead(void) {
     hs_membership *membership = new_membership();
     g_autoptr(GArray) orders = g_array_new(FALSE, FALSE, sizeof(hs_probe_order));
     learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
@@ -78,17 +78,17 @@
     CU_ASSERT_EQUAL(orders->len, 2);
     CU_ASSERT_STRING_NOT_EQUAL(g_array_index(orders, hs_probe_order, 1).target_id, "");
     const char *target = g_array_index(orders, hs_probe_order, 1).target_id;
-    g_autofree char *silent = g_strdup(target);
+    g_autofree char *suspect_id = g_strdup(target);
     hs_membership_check_probes(membership, 21, orders);
-    CU_ASSERT_EQUAL(state_of(membership, silent), HS_MEMBER_SUSPECT);
+    CU_ASSERT_EQUAL(state_of(membership, suspect_id), HS_MEMBER_SUSPECT);
     CU_ASSERT_EQUAL(hs_membership_live_count(membership), 3);
     hs_membership_probe_next(membership, 122, orders);
-    CU_ASSERT_EQUAL(state_of(membership, silent), HS_MEMBER_DEAD);
+    CU_ASSERT_EQUAL(state_of(membership, suspect_id), HS_MEMBER_DEAD);
     CU_ASSERT_EQUAL(hs_membership_live_count(membership), 2);
     hs_membership_free(membership);
 }
 
-static void answered_probe_raises_no_suspicion(void) {
+static void acknowledged_probe_causes_no_suspicion(void) {
     hs_membership *membership = new_membership();
     g_autoptr(GArray) orders = g_array_new(FALSE, FALSE, sizeof(hs_probe_order));
     learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
@@ -111,29 +111,29 @@
     hs_membership_free(membership);
 }
 
-/** Whether the accounts for @p receiver_id name @p id. */
-static bool gossip_names(hs_membership *membership, const char *receiver_id, const char *id) {
+/** Returns whether gossip to @p receiver_id includes the record of @p id. */
+static bool gossip_includes(hs_membership *membership, const char *receiver_id, const char *id) {
     g_autoptr(GPtrArray) records = g_ptr_array_new();
-    hs_membership_gossip(membership, receiver_id, 12, records);
+    hs_membership_collect_gossip(membership, receiver_id, 12, records);
     for (guint index = 0; index < records->len; index++)
         if (strcmp(((hs_member *)records->pdata[index])->id, id) == 0)
             return true;
     return false;
 }
 
-static void member_held_for_dead_is_always_told(void) {
+static void dead_member_always_receives_its_record(void) {
     hs_membership *membership = new_membership();
     learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 0);
     learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
     learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 0);
     for (int message = 0; message < 100; message++)
-        gossip_names(membership, "c", "b");
-    CU_ASSERT_FALSE(gossip_names(membership, "c", "b"));
-    CU_ASSERT_TRUE(gossip_names(membership, "b", "b"));
+        gossip_includes(membership, "c", "b");
+    CU_ASSERT_FALSE(gossip_includes(membership, "c", "b"));
+    CU_ASSERT_TRUE(gossip_includes(membership, "b", "b"));
     hs_membership_free(membership);
 }
 
-static void new_offset_alone_is_not_relayed(void) {
+static void configuration_offset_alone_is_not_relayed(void) {
     hs_membership *membership = new_membership();
     Hs__MemberRecord record = HS__MEMBER_RECORD__INIT;
     record.id = (char *)"b";
@@ -142,20 +142,20 @@
     record.zone = (char *)"z";
     hs_membership_learn(membership, &record, HS_ACCOUNT_NEWS, 0);
     for (int message = 0; message < 100; message++)
-        gossip_names(membership, "c", "b");
+        gossip_includes(membership, "c", "b");
     record.version = 2;
     record.config_offset = 7;
     hs_membership_learn(membership, &record, HS_ACCOUNT_NEWS, 1);
     CU_ASSERT_EQUAL(hs_membership_find(membership, "b")->config_offset, 7);
-    CU_ASSERT_FALSE(gossip_names(membership, "c", "b"));
+    CU_ASSERT_FALSE(gossip_includes(membership, "c", "b"));
     record.version = 3;
     record.state = HS__MEMBER_STATE__MEMBER_LEAVING;
     hs_membership_learn(membership, &record, HS_ACCOUNT_NEWS, 2);
-    CU_ASSERT_TRUE(gossip_names(membership, "c", "b"));
+    CU_ASSERT_TRUE(gossip_includes(membership, "c", "b"));
     hs_membership_free(membership);
 }
 
-static void rank_prefers_the_zone_and_skips_the_dead(void) {
+static void rank_prefers_the_zone_and_skips_dead_members(void) {
     hs_membership *membership = new_membership();
     Hs__MemberRecord record = HS__MEMBER_RECORD__INIT;
     record.id = (char *)"far";
@@ -170,7 +170,7 @@
     hs_membership_free(membership);
 }
 
-static void owner_is_the_claimer_of_the_highest_epoch(void) {
+static void owner_is_the_claimant_with_the_highest_epoch(void) {
     hs_membership *membership = new_membership();
     uint32_t epoch = 0;
     CU_ASSERT_PTR_NULL(hs_membership_owner(membership, 3, &epoch));
@@ -193,7 +193,7 @@
     hs_membership_free(membership);
 }
 
-/** A UDP socket on loopback at a port of the system's choosing, whose reads end after a moment. */
+/** Opens a UDP socket on a free loopback port with a receive timeout. */
 static int open_receiver(struct sockaddr_in *address) {
     int descriptor = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     struct timeval wait = {.tv_usec = 200 * 1000};
@@ -206,8 +206,8 @@
     return descriptor;
 }
 
-/** Accounts of dead members in all datagrams that come. */
-static size_t count_dead(int descriptor) {
+/** Counts the records of dead members in all datagrams received until the timeout. */
+static size_t count_dead_records(int descriptor) {
     uint8_t buffer[4096];
     ssize_t length = 0;
     size_t dead = 0;
@@ -227,8 +227,11 @@
     return dead;
 }
 
-/** Many that die together are told at once, not a dozen a probe; at rest a probe tells nothing. */
-static void many_deaths_go_with_one_probe(void) {
+/**
+ * Guards against delayed announcement of many concurrent failures, and against records that are
+ * sent without end.
+ */
+static void many_dead_members_are_announced_with_one_probe(void) {
     struct sockaddr_in address;
     int descriptor = open_receiver(&address);
     hs_peer_socket *socket = hs_peer_socket_new("127.0.0.1", 0, NULL);
@@ -245,27 +248,28 @@
     hs_membership_propose(membership, "b", INADDR_LOOPBACK, ntohs(address.sin_port), 1);
     hs_membership_service_unlock(service);
     hs_membership_service_tick(service, 1000);
-    CU_ASSERT_EQUAL(count_dead(descriptor), 50);
+    CU_ASSERT_EQUAL(count_dead_records(descriptor), 50);
     for (uint64_t round = 1; round < 60; round++)
         hs_membership_service_tick(service, 1000 + round * 15);
-    count_dead(descriptor);
+    count_dead_records(descriptor);
     hs_membership_service_tick(service, 2000);
-    CU_ASSERT_EQUAL(count_dead(descriptor), 0);
+    CU_ASSERT_EQUAL(count_dead_records(descriptor), 0);
     hs_membership_service_free(service);
     hs_peer_socket_free(socket);
     close(descriptor);
 }
 
 const test_case membership_tests[] = {
-    {"many_deaths_go_with_one_probe", many_deaths_go_with_one_probe},
-    {"list_only_proposes", list_only_proposes},
+    {"many_dead_members_are_announced_with_one_probe",
+     many_dead_members_are_announced_with_one_probe},
+    {"platform_list_only_proposes_members", platform_list_only_proposes_members},
     {"leaving_is_final_within_an_incarnation", leaving_is_final_within_an_incarnation},
-    {"members_own_word_overtakes_suspicion", members_own_word_overtakes_suspicion},
-    {"silent_member_is_suspected_then_dead", silent_member_is_suspected_then_dead},
-    {"answered_probe_raises_no_suspicion", answered_probe_raises_no_suspicion},
+    {"newer_own_record_supersedes_suspicion", newer_own_record_supersedes_suspicion},
+    {"unresponsive_member_is_suspected_then_dead", unresponsive_member_is_suspected_then_dead},
+    {"acknowledged_probe_causes_no_suspicion", acknowledged_probe_causes_no_suspicion},
     {"refutes_suspicion_and_rejoins_after_death", refutes_suspicion_and_rejoins_after_death},
-    {"member_held_for_dead_is_always_told", member_held_for_dead_is_always_told},
-    {"new_offset_alone_is_not_relayed", new_offset_alone_is_not_relayed},
-    {"rank_prefers_the_zone_and_skips_the_dead", rank_prefers_the_zone_and_skips_the_dead},
-    {"owner_is_the_claimer_of_the_highest_epoch", owner_is_the_claimer_of_the_highest_epoch},
+    {"dead_member_always_receives_its_record", dead_member_always_receives_its_record},
+    {"configuration_offset_alone_is_not_relayed", configuration_offset_alone_is_not_relayed},
+    {"rank_prefers_the_zone_and_skips_dead_members", rank_prefers_the_zone_and_skips_dead_members},
+    {"owner_is_the_claimant_with_the_highest_epoch", owner_is_the_claimant_with_the_highest_epoch},
     {NULL, NULL}};
--- a/tests/unit/test_placement.c
+++ b/tests/unit/test_placement.c
@@ -1,4 +1,4 @@
-/** @file test_placement.c  The placement plan and the shares of demand. */
+/** @file test_placement.c  Tests of the placement plan, copy allocation and demand decay. */
 #include "placement/demand.h"
 #include "placement/plan.h"
 #include "tests/unit/unit_tests.h"
@@ -9,7 +9,7 @@
 
 static const hs_placement_settings settings = {.models_per_engine = 2, .max_orders = 4};
 
-/** Engines whose models are given as comma-separated names. */
+/** Initializes the engines. @p held: comma-separated model names by engine. */
 static void fill_engines(hs_placement_engine *engines, const char *const *held) {
     static const char *const ids[] = {"e0", "e1", "e2", "e3"};
     for (int index = 0; index < ENGINES; index++) {
@@ -33,9 +33,9 @@
     return count;
 }
 
-/** Plan and obey the orders at once. @return orders given. */
-static uint32_t obey(hs_placement_engine *engines, const hs_placement_model *models,
-                     uint32_t model_count) {
+/** Plans and executes the orders at once. Returns the number of orders. */
+static uint32_t execute_plan(hs_placement_engine *engines, const hs_placement_model *models,
+                             uint32_t model_count) {
     g_autoptr(GArray) orders = g_array_new(FALSE, FALSE, sizeof(hs_placement_order));
     hs_placement_plan(&settings, engines, ENGINES, models, model_count, orders);
     for (guint index = 0; index < orders->len; index++) {
@@ -51,30 +51,30 @@
     return orders->len;
 }
 
-static void loads_what_is_wanted_and_then_rests(void) {
+static void loads_wanted_copies_and_then_orders_nothing(void) {
     hs_placement_engine engines[ENGINES];
     fill_engines(engines, (const char *const[]){"a", "a", "", ""});
     const hs_placement_model models[] = {{"a", 2, true}, {"b", 3, true}};
-    while (obey(engines, models, 2) > 0)
+    while (execute_plan(engines, models, 2) > 0)
         continue;
     CU_ASSERT_EQUAL(copies(engines, "a"), 2);
     CU_ASSERT_EQUAL(copies(engines, "b"), 3);
     free_engines(engines);
 }
 
-static void roll_out_never_drops_the_last_serving_copy(void) {
+static void rollout_never_unloads_the_last_copy(void) {
     hs_placement_engine engines[ENGINES];
     fill_engines(engines, (const char *const[]){"v1,x", "v1,x", "v1,x", "v1,x"});
     const hs_placement_model both[] = {{"v1", 1, true}, {"v2", 4, true}, {"x", 4, true}};
     for (int round = 0; round < 30; round++) {
-        obey(engines, both, 3);
+        execute_plan(engines, both, 3);
         CU_ASSERT(copies(engines, "v1") >= 1);
         CU_ASSERT(copies(engines, "x") >= 1);
     }
     CU_ASSERT(copies(engines, "v2") >= 1);
     const hs_placement_model after[] = {{"v2", 4, true}, {"x", 4, true}};
     for (int round = 0; round < 30; round++) {
-        obey(engines, after, 2);
+        execute_plan(engines, after, 2);
         CU_ASSERT(copies(engines, "v2") >= 1);
         CU_ASSERT(copies(engines, "x") >= 1);
     }
@@ -83,12 +83,12 @@
     free_engines(engines);
 }
 
-static void avoided_engine_gets_no_orders_and_counts_for_nothing(void) {
+static void excluded_engine_gets_no_orders_and_its_copies_do_not_count(void) {
     hs_placement_engine engines[ENGINES];
     fill_engines(engines, (const char *const[]){"a", "", "", ""});
-    engines[0].avoided = true;
+    engines[0].excluded = true;
     const hs_placement_model models[] = {{"a", 1, true}};
-    obey(engines, models, 1);
+    execute_plan(engines, models, 1);
     CU_ASSERT_EQUAL(copies(engines, "a"), 2);
     CU_ASSERT_EQUAL(engines[0].models->len, 1);
     free_engines(engines);
@@ -97,14 +97,14 @@
 static void copies_follow_demand(void) {
     const double demand[] = {100, 10, 1};
     uint32_t wanted[3];
-    hs_placement_share(6, 2, demand, 3, wanted);
+    hs_placement_allocate_copies(6, 2, demand, 3, wanted);
     CU_ASSERT_EQUAL(wanted[0], 6);
     CU_ASSERT(wanted[1] > wanted[2] || wanted[1] == 5);
     CU_ASSERT(wanted[2] >= 1);
     CU_ASSERT_EQUAL(wanted[0] + wanted[1] + wanted[2], 12);
-    hs_placement_share(0, 2, demand, 3, wanted);
+    hs_placement_allocate_copies(0, 2, demand, 3, wanted);
     CU_ASSERT_EQUAL(wanted[0], 0);
-    hs_placement_share(2, 2, demand, 1, wanted);
+    hs_placement_allocate_copies(2, 2, demand, 1, wanted);
     CU_ASSERT_EQUAL(wanted[0], 2);
 }
 
@@ -118,10 +118,10 @@
 }
 
 const test_case placement_tests[] = {
-    {"loads_what_is_wanted_and_then_rests", loads_what_is_wanted_and_then_rests},
-    {"roll_out_never_drops_the_last_serving_copy", roll_out_never_drops_the_last_serving_copy},
-    {"avoided_engine_gets_no_orders_and_counts_for_nothing",
-     avoided_engine_gets_no_orders_and_counts_for_nothing},
+    {"loads_wanted_copies_and_then_orders_nothing", loads_wanted_copies_and_then_orders_nothing},
+    {"rollout_never_unloads_the_last_copy", rollout_never_unloads_the_last_copy},
+    {"excluded_engine_gets_no_orders_and_its_copies_do_not_count",
+     excluded_engine_gets_no_orders_and_its_copies_do_not_count},
     {"copies_follow_demand", copies_follow_demand},
     {"demand_decays", demand_decays},
     {NULL, NULL}};
