--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -94,8 +94,8 @@
 }
 
 /** What the machine bears by the settings, where they tell it. */
-static hs_member_size size_of(const hs_settings *settings) {
-    return (hs_member_size){
+static hs_machine_size size_of(const hs_settings *settings) {
+    return (hs_machine_size){
         .cores_permille =
             (uint32_t)lround(settings->fleet_cores * settings->fleet_cpu_share * PERMILLE),
         .memory_mb = (uint32_t)settings->fleet_memory_mb,
--- a/src/directory/caller_choice.c
+++ b/src/directory/caller_choice.c
@@ -30,7 +30,7 @@
     return fmin(one, other);
 }
 
-double hs_caller_capacity(const hs_member_size *size) {
+double hs_caller_capacity(const hs_machine_size *size) {
     double capacity = size->cores_permille / REQUEST_CORE_MS;
     double open = size->descriptors / REQUEST_DESCRIPTORS;
     if (size->memory_mb > 0)
--- a/src/directory/caller_choice.h
+++ b/src/directory/caller_choice.h
@@ -27,7 +27,7 @@
  * resource; 0: unknown. A part of the capacity remains at any utilisation, as a machine that gets
  * no callers could not show that it has recovered.
  */
-double hs_caller_capacity(const hs_member_size *size);
+double hs_caller_capacity(const hs_machine_size *size);
 
 /** Reports whether all candidates have the same capacity, or none is known. */
 bool hs_caller_choice_is_uniform(const hs_caller_candidate *candidates, size_t count);
--- a/src/directory/daemon_directory.c
+++ b/src/directory/daemon_directory.c
@@ -325,7 +325,7 @@
     body.crash_digest = hs_crash_watch_digest(directory->settings.crash_watch);
     body.batch_work_ms = hs_fleet_engines_batch_work(directory->settings.engines);
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
-    hs_membership_service_sign(directory->membership, &message);
+    hs_membership_service_set_sender(directory->membership, &message);
     message.kind_case = HS__PEER_MESSAGE__KIND_ENGINE_SHARES;
     message.engine_shares = &body;
     hs_fleet_engines_set_peers(directory->settings.engines, peers->len, count_owners(peers));
@@ -352,7 +352,7 @@
                 directory->load.memory_percent);
     g_atomic_int_set(&directory->taken_percent, (gint)utilisation);
     hs_membership *membership = hs_membership_service_lock(directory->membership);
-    hs_membership_tell_taken(membership, utilisation);
+    hs_membership_set_taken_percent(membership, utilisation);
     hs_membership_service_unlock(directory->membership);
 }
 
@@ -455,7 +455,7 @@
                                     hs_daemon_address *owner) {
     uint32_t epoch = 0;
     const hs_membership *membership = hs_membership_service_lock(directory->membership);
-    const hs_member *member = hs_membership_owner(membership, partition, &epoch);
+    const hs_member *member = hs_membership_find_owner(membership, partition, &epoch);
     bool is_other = member != NULL && member != hs_membership_self(membership) &&
                     member->state == HS_MEMBER_ALIVE;
     if (is_other)
@@ -470,7 +470,7 @@
     const hs_membership *membership = hs_membership_service_lock(directory->membership);
     for (uint32_t partition = 0; partition < partition_count; partition++) {
         uint32_t epoch = 0;
-        const hs_member *member = hs_membership_owner(membership, partition, &epoch);
+        const hs_member *member = hs_membership_find_owner(membership, partition, &epoch);
         counts.own += member != NULL && member == hs_membership_self(membership);
         counts.located += member != NULL && member->state == HS_MEMBER_ALIVE;
     }
--- a/src/directory/daemon_directory.h
+++ b/src/directory/daemon_directory.h
@@ -32,7 +32,7 @@
     hs_wake_watch *wakes;              /**< Updated at each round of the ticker. */
     hs_crash_watch *crash_watch;       /**< Receives the crash evidence of other daemons. */
     double limit_tolerance;            /**< See hs_tenant_limiter_new. */
-    hs_member_size size;               /**< Of this daemon's machine. */
+    hs_machine_size size;              /**< Of this daemon's machine. */
     bool (*may_join)(void *user_data); /**< Reports whether this daemon is ready to join. */
     void *user_data;
 } hs_daemon_directory_settings;
--- a/src/directory/slot_arbiter.c
+++ b/src/directory/slot_arbiter.c
@@ -65,8 +65,8 @@
                      engine_hash, request->daemon, request->count);
         peer to = {0};
         g_strlcpy(to.id, request->daemon, sizeof to.id);
-        if (!hs_membership_service_address(arbiter->membership, request->daemon, &to.address,
-                                           &to.port))
+        if (!hs_membership_service_find_address(arbiter->membership, request->daemon, &to.address,
+                                                &to.port))
             continue;
         Hs__StepAside body = HS__STEP_ASIDE__INIT;
         body.engine_hash = engine_hash;
--- a/tests/unit/test_callers.c
+++ b/tests/unit/test_callers.c
@@ -16,14 +16,14 @@
 #define MAX_DAEMONS_PER_CALLER 64
 #define ZONE "zone-a"
 
-static const hs_member_size sizes[] = {
+static const hs_machine_size sizes[] = {
     {.cores_permille = 500, .memory_mb = 512, .descriptors = 8200, .link_kbps = 600000},
     {.cores_permille = 300, .memory_mb = 400, .descriptors = 10250, .link_kbps = 75000},
     {.cores_permille = 90, .memory_mb = 120, .descriptors = 3075, .link_kbps = 22000},
 };
 
 typedef struct {
-    hs_member_size size;
+    hs_machine_size size;
     bool is_lost;
     double callers; /**< Share of all callers' requests, one per caller. */
 } machine;
@@ -138,10 +138,10 @@
     hs_caller_choice_select(candidates, 3, 3, MAX_DAEMONS_PER_CALLER);
     for (int index = 0; index < 3; index++)
         CU_ASSERT_TRUE(candidates[index].is_chosen);
-    CU_ASSERT_EQUAL(hs_caller_capacity(&(hs_member_size){0}), 0);
+    CU_ASSERT_EQUAL(hs_caller_capacity(&(hs_machine_size){0}), 0);
 }
 
-static Hs__MemberRecord make_record(const char *id, uint32_t version, const hs_member_size *size) {
+static Hs__MemberRecord make_record(const char *id, uint32_t version, const hs_machine_size *size) {
     Hs__MemberRecord record = HS__MEMBER_RECORD__INIT;
     record.id = (char *)id;
     record.zone = (char *)ZONE;
@@ -165,17 +165,17 @@
     hs_membership *membership = hs_membership_new(&self, &settings, 1);
     Hs__MemberRecord without = make_record("b", 3, NULL);
     Hs__MemberRecord with = make_record("b", 3, &sizes[2]);
-    hs_membership_learn(membership, &without, HS_ACCOUNT_NEWS, 1);
+    hs_membership_apply_record(membership, &without, HS_RECORD_FROM_GOSSIP, 1);
     CU_ASSERT_EQUAL(hs_membership_find(membership, "b")->size.cores_permille, 0);
-    hs_membership_learn(membership, &with, HS_ACCOUNT_NEWS, 2);
+    hs_membership_apply_record(membership, &with, HS_RECORD_FROM_GOSSIP, 2);
     CU_ASSERT_EQUAL(hs_membership_find(membership, "b")->size.cores_permille, 90);
     without.version = 4;
-    hs_membership_learn(membership, &without, HS_ACCOUNT_NEWS, 3);
+    hs_membership_apply_record(membership, &without, HS_RECORD_FROM_GOSSIP, 3);
     CU_ASSERT_EQUAL(hs_membership_find(membership, "b")->size.cores_permille, 90);
     CU_ASSERT_EQUAL(hs_membership_self(membership)->size.cores_permille, 500);
     with.version = 4; /* The same version, now with the utilisation. */
     with.taken_percent = 75;
-    hs_membership_learn(membership, &with, HS_ACCOUNT_NEWS, 4);
+    hs_membership_apply_record(membership, &with, HS_RECORD_FROM_GOSSIP, 4);
     CU_ASSERT_EQUAL(hs_membership_find(membership, "b")->size.taken_percent, 75);
     hs_membership_free(membership);
 }
@@ -188,7 +188,7 @@
     for (uint32_t index = 0; index < 90; index++) {
         g_autofree char *id = g_strdup_printf("daemon-%u", index);
         Hs__MemberRecord record = make_record(id, index + 1, &sizes[index % 3]);
-        hs_membership_learn(membership, &record, HS_ACCOUNT_NEWS, 1);
+        hs_membership_apply_record(membership, &record, HS_RECORD_FROM_GOSSIP, 1);
     }
     hs_resolve_query query = {.zone = ZONE, .without_self = true};
     g_auto(GStrv) one = hs_resolve_addresses(membership, &query);
@@ -210,7 +210,7 @@
     for (uint32_t index = 0; index < 90; index++) {
         g_autofree char *id = g_strdup_printf("daemon-%u", index);
         Hs__MemberRecord record = make_record(id, index + 1, &sizes[0]);
-        hs_membership_learn(membership, &record, HS_ACCOUNT_NEWS, 1);
+        hs_membership_apply_record(membership, &record, HS_RECORD_FROM_GOSSIP, 1);
     }
     hs_resolve_query query = {.zone = ZONE, .caller = 1, .without_self = true};
     g_auto(GStrv) one = hs_resolve_addresses(membership, &query);
@@ -260,7 +260,7 @@
 #define LOOP_UTILISATION 0.4
 
 typedef struct {
-    hs_member_size size;
+    hs_machine_size size;
     hs_machine_load load;
     double capacity;
     double callers;
