--- a/src/jobs/job_quota.c
+++ b/src/jobs/job_quota.c
@@ -112,7 +112,8 @@
         /* Another thread may have read the same records. */
         if (offset == hs_quota_fold_next(quota->fold) &&
             !hs_quota_fold_apply(quota->fold, offset, record.value, record.value_length, now_ms))
-            hs_log_warning("quota_record_unreadable", "offset=%" G_GUINT64_FORMAT, (guint64)offset);
+            hs_log_warning("reservation_record_unreadable", "offset=%" G_GUINT64_FORMAT,
+                           (guint64)offset);
         offset++;
     }
 }
