--- a/src/routing/engine_table.c
+++ b/src/routing/engine_table.c
@@ -1,4 +1,4 @@
-/** @file engine_table.c  Known engines and the candidates of a choice; see engine_table.h. */
+/** @file engine_table.c  See engine_table.h. */
 #include "routing/engine_table.h"
 
 #include "base/hash.h"
@@ -7,13 +7,13 @@
 
 #include <string.h>
 
-#define LOAD_FRESH_MS 500
-#define LEAVING_RECHECK_MS 30000
-#define REPORT_LAG_MS 3000
-#define NO_MODEL_MS 10000
-#define REFUSED_MS 50
+#define LOAD_REPORT_VALID_MS 500
+#define LEAVING_VALID_MS 30000
+#define MAX_REPORT_LAG_MS 3000
+#define MISSING_MODEL_VALID_MS 10000
+#define REFUSAL_BACKOFF_MS 50
 #define MAX_EJECTION_DOUBLINGS 6
-#define AFFINE_EXTRA 2
+#define EXTRA_AFFINE_COUNT 2
 
 typedef struct {
     char *id;
@@ -22,18 +22,18 @@
     json_t *labels;
     bool listed;
     bool listed_leaving;
-    uint64_t said_leaving_until_ms; /**< Its own word, or a peer's. */
-    uint64_t first_hand_until_ms;   /**< Its own word, heard here. */
-    uint64_t refused_until_ms;
-    uint64_t no_model_until_ms;
+    uint64_t reported_leaving_until_ms;      /**< Reported by the engine or a peer. */
+    uint64_t self_reported_leaving_until_ms; /**< Reported by the engine to this daemon. */
+    uint64_t refusal_backoff_until_ms;
+    uint64_t missing_model_until_ms;
     char *missing_model;
     uint32_t in_flight;
-    uint32_t known_online;
-    uint64_t known_at_ms;
-    uint32_t failures_in_row;
-    uint32_t ejections_in_row;
+    uint32_t reported_online;
+    uint64_t reported_at_ms;
+    uint32_t consecutive_failures;
+    uint32_t consecutive_ejections;
     uint64_t ejected_until_ms;
-    uint64_t subset_weight; /**< Rank of the engine for this daemon. */
+    uint64_t subset_weight; /**< Engines with the highest weights form this daemon's subset. */
 } engine_entry;
 
 struct hs_engine_table {
@@ -112,7 +112,7 @@
     g_mutex_unlock(&table->lock);
 }
 
-static gboolean entry_is_gone(gpointer key, gpointer value, gpointer user_data) {
+static gboolean is_entry_removable(gpointer key, gpointer value, gpointer user_data) {
     (void)key;
     (void)user_data;
     const engine_entry *entry = value;
@@ -121,20 +121,20 @@
 
 void hs_engine_table_listing_end(hs_engine_table *table) {
     g_mutex_lock(&table->lock);
-    table->version += g_hash_table_foreach_remove(table->entries, entry_is_gone, NULL) > 0;
+    table->version += g_hash_table_foreach_remove(table->entries, is_entry_removable, NULL) > 0;
     g_mutex_unlock(&table->lock);
 }
 
 static bool is_leaving(const engine_entry *entry, uint64_t now_ms) {
-    return entry->listed_leaving || !entry->listed || now_ms < entry->said_leaving_until_ms;
+    return entry->listed_leaving || !entry->listed || now_ms < entry->reported_leaving_until_ms;
 }
 
-static uint32_t online_load(const engine_entry *entry, uint64_t now_ms) {
-    bool fresh = entry->known_at_ms + LOAD_FRESH_MS > now_ms;
-    return fresh ? MAX(entry->known_online, entry->in_flight) : entry->in_flight;
+static uint32_t estimate_online_load(const engine_entry *entry, uint64_t now_ms) {
+    bool is_recent = entry->reported_at_ms + LOAD_REPORT_VALID_MS > now_ms;
+    return is_recent ? MAX(entry->reported_online, entry->in_flight) : entry->in_flight;
 }
 
-static bool was_tried(const hs_engine_query *query, const char *id) {
+static bool is_excluded(const hs_engine_query *query, const char *id) {
     for (uint32_t index = 0; index < query->tried_count; index++)
         if (strcmp(query->tried_ids[index], id) == 0)
             return true;
@@ -142,7 +142,7 @@
 }
 
 static bool lacks_model(const engine_entry *entry, const char *model, uint64_t now_ms) {
-    return now_ms < entry->no_model_until_ms && g_strcmp0(entry->missing_model, model) == 0;
+    return now_ms < entry->missing_model_until_ms && g_strcmp0(entry->missing_model, model) == 0;
 }
 
 static gint compare_subset_weight(gconstpointer left, gconstpointer right) {
@@ -152,8 +152,8 @@
            (first->subset_weight > second->subset_weight);
 }
 
-/** Move the engine with the highest prefix weight of [from, len) to position from. */
-static void raise_affine(GPtrArray *entries, guint from, uint64_t prefix_hash) {
+/** Swaps the engine with the highest prefix weight of [from, len) to position @p from. */
+static void move_most_affine_to(GPtrArray *entries, guint from, uint64_t prefix_hash) {
     guint best = from;
     uint64_t best_weight = 0;
     char prefix[24];
@@ -165,13 +165,16 @@
         best = index;
         best_weight = weight;
     }
-    gpointer kept = entries->pdata[from];
+    gpointer replaced = entries->pdata[from];
     entries->pdata[from] = entries->pdata[best];
-    entries->pdata[best] = kept;
+    entries->pdata[best] = replaced;
 }
 
-/** Engines of the group: this daemon's subset first, then those affine to the prefix. Borrowed. */
-static GPtrArray *candidates_of(hs_engine_table *table, const hs_engine_query *query) {
+/**
+ * Returns the candidates of the query's group: this daemon's subset, then the remaining engines
+ * with the highest affinity to the prefix. The entries are borrowed.
+ */
+static GPtrArray *collect_candidates(hs_engine_table *table, const hs_engine_query *query) {
     GPtrArray *entries = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer data;
@@ -182,10 +185,10 @@
             g_ptr_array_add(entries, data);
     }
     g_ptr_array_sort(entries, compare_subset_weight);
-    guint kept = MIN(entries->len, table->settings.subset_size);
-    for (int extra = 0; extra < AFFINE_EXTRA && kept < entries->len; extra++)
-        raise_affine(entries, kept++, query->prefix_hash);
-    g_ptr_array_set_size(entries, (gint)kept);
+    guint count = MIN(entries->len, table->settings.subset_size);
+    for (int extra = 0; extra < EXTRA_AFFINE_COUNT && count < entries->len; extra++)
+        move_most_affine_to(entries, count++, query->prefix_hash);
+    g_ptr_array_set_size(entries, (gint)count);
     return entries;
 }
 
@@ -195,12 +198,13 @@
     char prefix[24];
     g_snprintf(prefix, sizeof prefix, "%" G_GUINT64_FORMAT, query->prefix_hash);
     hs_route_candidate candidate = {.engine_id = entry->id,
-                                    .online_in_flight = online_load(entry, now_ms),
+                                    .online_in_flight = estimate_online_load(entry, now_ms),
                                     .same_zone = strcmp(entry->zone, table->zone) == 0,
                                     .holds_model = !lacks_model(entry, query->model, now_ms),
                                     .prefix_weight = hs_hash_pair(prefix, entry->id)};
     candidate.available = !is_leaving(entry, now_ms) && now_ms >= entry->ejected_until_ms &&
-                          now_ms >= entry->refused_until_ms && !was_tried(query, entry->id) &&
+                          now_ms >= entry->refusal_backoff_until_ms &&
+                          !is_excluded(query, entry->id) &&
                           candidate.online_in_flight < table->settings.max_in_flight;
     return candidate;
 }
@@ -208,7 +212,7 @@
 bool hs_engine_table_take(hs_engine_table *table, const hs_engine_query *query, uint64_t now_ms,
                           hs_engine_choice *choice) {
     g_mutex_lock(&table->lock);
-    g_autoptr(GPtrArray) entries = candidates_of(table, query);
+    g_autoptr(GPtrArray) entries = collect_candidates(table, query);
     g_autofree hs_route_candidate *candidates = g_new0(hs_route_candidate, entries->len + 1);
     for (guint index = 0; index < entries->len; index++)
         candidates[index] = describe_candidate(table, entries->pdata[index], query, now_ms);
@@ -229,37 +233,38 @@
 }
 
 static void note_failure(const hs_engine_table *table, engine_entry *entry, uint64_t now_ms) {
-    entry->failures_in_row++;
-    if (entry->failures_in_row < table->settings.ejection_failures)
+    entry->consecutive_failures++;
+    if (entry->consecutive_failures < table->settings.ejection_failures)
         return;
-    uint32_t doublings = MIN(entry->ejections_in_row, MAX_EJECTION_DOUBLINGS);
+    uint32_t doublings = MIN(entry->consecutive_ejections, MAX_EJECTION_DOUBLINGS);
     entry->ejected_until_ms = now_ms + ((uint64_t)table->settings.ejection_ms << doublings);
-    entry->ejections_in_row++;
-    /* After its time the engine is on probation: a single failure ejects it again. */
-    entry->failures_in_row = table->settings.ejection_failures - 1;
-    hs_log_warning("engine_ejected", "engine=%s ejections=%u", entry->id, entry->ejections_in_row);
+    entry->consecutive_ejections++;
+    /* The first failure after the ejection ejects the engine again. */
+    entry->consecutive_failures = table->settings.ejection_failures - 1;
+    hs_log_warning("engine_ejected", "engine=%s ejections=%u", entry->id,
+                   entry->consecutive_ejections);
 }
 
 static void note_verdict(const hs_engine_table *table, engine_entry *entry, const char *model,
                          hs_attempt_verdict verdict, uint64_t now_ms) {
     switch (verdict) {
     case HS_ATTEMPT_GOOD:
-        entry->failures_in_row = 0;
-        entry->ejections_in_row = 0;
+        entry->consecutive_failures = 0;
+        entry->consecutive_ejections = 0;
         return;
     case HS_ATTEMPT_FAILED:
         note_failure(table, entry, now_ms);
         return;
     case HS_ATTEMPT_REFUSED:
-        entry->refused_until_ms = now_ms + REFUSED_MS;
+        entry->refusal_backoff_until_ms = now_ms + REFUSAL_BACKOFF_MS;
         return;
     case HS_ATTEMPT_LEAVING:
-        entry->said_leaving_until_ms = now_ms + LEAVING_RECHECK_MS;
-        entry->first_hand_until_ms = entry->said_leaving_until_ms;
+        entry->reported_leaving_until_ms = now_ms + LEAVING_VALID_MS;
+        entry->self_reported_leaving_until_ms = entry->reported_leaving_until_ms;
         hs_log_info("engine_leaving", "engine=%s source=refusal", entry->id);
         return;
     case HS_ATTEMPT_NO_MODEL:
-        entry->no_model_until_ms = now_ms + NO_MODEL_MS;
+        entry->missing_model_until_ms = now_ms + MISSING_MODEL_VALID_MS;
         g_free(entry->missing_model);
         entry->missing_model = g_strdup(model);
         return;
@@ -268,16 +273,16 @@
 
 uint32_t hs_engine_table_finish(hs_engine_table *table, const char *id, const char *model,
                                 hs_attempt_verdict verdict, uint64_t now_ms) {
-    uint32_t left = 0;
+    uint32_t remaining = 0;
     g_mutex_lock(&table->lock);
     engine_entry *entry = g_hash_table_lookup(table->entries, id);
     if (entry != NULL) {
         entry->in_flight -= entry->in_flight > 0;
-        left = entry->in_flight;
+        remaining = entry->in_flight;
         note_verdict(table, entry, model, verdict, now_ms);
     }
     g_mutex_unlock(&table->lock);
-    return left;
+    return remaining;
 }
 
 bool hs_engine_table_in_flight(hs_engine_table *table, const char *id, uint32_t *in_flight,
@@ -297,25 +302,25 @@
     g_mutex_lock(&table->lock);
     engine_entry *entry = g_hash_table_lookup(table->entries, id);
     if (entry != NULL) {
-        entry->known_online = online;
-        entry->known_at_ms = now_ms;
+        entry->reported_online = online;
+        entry->reported_at_ms = now_ms;
         if (leaving)
-            entry->said_leaving_until_ms = now_ms + LEAVING_RECHECK_MS;
+            entry->reported_leaving_until_ms = now_ms + LEAVING_VALID_MS;
     }
     g_mutex_unlock(&table->lock);
 }
 
-void hs_engine_table_note_leaving(hs_engine_table *table, const char *id, bool first_hand,
+void hs_engine_table_note_leaving(hs_engine_table *table, const char *id, bool is_self_reported,
                                   uint64_t now_ms) {
     g_mutex_lock(&table->lock);
     engine_entry *entry = g_hash_table_lookup(table->entries, id);
     if (entry != NULL) {
-        if (now_ms >= entry->said_leaving_until_ms)
+        if (now_ms >= entry->reported_leaving_until_ms)
             hs_log_info("engine_leaving", "engine=%s source=%s", id,
-                        first_hand ? "report" : "peer");
-        entry->said_leaving_until_ms = now_ms + LEAVING_RECHECK_MS;
-        if (first_hand)
-            entry->first_hand_until_ms = entry->said_leaving_until_ms;
+                        is_self_reported ? "report" : "peer");
+        entry->reported_leaving_until_ms = now_ms + LEAVING_VALID_MS;
+        if (is_self_reported)
+            entry->self_reported_leaving_until_ms = entry->reported_leaving_until_ms;
     }
     g_mutex_unlock(&table->lock);
 }
@@ -323,33 +328,33 @@
 void hs_engine_table_note_serving(hs_engine_table *table, const char *id, uint64_t now_ms) {
     g_mutex_lock(&table->lock);
     engine_entry *entry = g_hash_table_lookup(table->entries, id);
-    bool outlived = entry != NULL &&
-                    now_ms + LEAVING_RECHECK_MS >= entry->said_leaving_until_ms + REPORT_LAG_MS;
-    if (outlived) {
-        entry->said_leaving_until_ms = 0;
-        entry->first_hand_until_ms = 0;
+    bool is_newer = entry != NULL && now_ms + LEAVING_VALID_MS >=
+                                         entry->reported_leaving_until_ms + MAX_REPORT_LAG_MS;
+    if (is_newer) {
+        entry->reported_leaving_until_ms = 0;
+        entry->self_reported_leaving_until_ms = 0;
     }
     g_mutex_unlock(&table->lock);
 }
 
-static gint compare_names(gconstpointer left, gconstpointer right) {
+static gint compare_ids(gconstpointer left, gconstpointer right) {
     return strcmp(*(char *const *)left, *(char *const *)right);
 }
 
 GPtrArray *hs_engine_table_leaving(hs_engine_table *table, uint64_t now_ms) {
-    GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     g_mutex_lock(&table->lock);
     GHashTableIter iterator;
     gpointer data;
     g_hash_table_iter_init(&iterator, table->entries);
     while (g_hash_table_iter_next(&iterator, NULL, &data)) {
         const engine_entry *entry = data;
-        if (now_ms < entry->first_hand_until_ms)
-            g_ptr_array_add(names, g_strdup(entry->id));
+        if (now_ms < entry->self_reported_leaving_until_ms)
+            g_ptr_array_add(ids, g_strdup(entry->id));
     }
     g_mutex_unlock(&table->lock);
-    g_ptr_array_sort(names, compare_names);
-    return names;
+    g_ptr_array_sort(ids, compare_ids);
+    return ids;
 }
 
 uint64_t hs_engine_table_version(hs_engine_table *table) {
@@ -379,7 +384,7 @@
                                .leaving = is_leaving(entry, now_ms),
                                .ejected = now_ms < entry->ejected_until_ms,
                                .in_flight = entry->in_flight,
-                               .known_online = online_load(entry, now_ms)};
+                               .known_online = estimate_online_load(entry, now_ms)};
         g_strlcpy(info.id, entry->id, sizeof info.id);
         g_strlcpy(info.url, entry->url, sizeof info.url);
         g_strlcpy(info.zone, entry->zone, sizeof info.zone);
--- a/src/routing/engine_table.h
+++ b/src/routing/engine_table.h
@@ -1,9 +1,10 @@
 /**
  * @file engine_table.h
- * The engines this daemon knows, with what it knows of their load and health.
+ * The engines of the platform's list, with their load and health as known to this daemon.
  *
- * Engines come from the platform's list. One is avoided from the first word that it leaves (its
- * own refusal, its scheduler's word, the list), and for a growing while after failures in a row.
+ * An engine gets no new requests after the engine, a peer or the list reports that it is leaving,
+ * or while it is ejected; each consecutive ejection lasts twice as long, up to 64 times the first.
+ * All functions are thread-safe.
  */
 #ifndef HS_ROUTING_ENGINE_TABLE_H
 #define HS_ROUTING_ENGINE_TABLE_H
@@ -14,10 +15,10 @@
 #include <jansson.h>
 
 typedef struct {
-    uint32_t subset_size;
-    uint32_t max_in_flight;
-    uint32_t ejection_failures;
-    uint32_t ejection_ms;
+    uint32_t subset_size;       /**< Engines of a group that this daemon uses for any prefix. */
+    uint32_t max_in_flight;     /**< Online requests per engine. */
+    uint32_t ejection_failures; /**< Consecutive failures before an ejection. */
+    uint32_t ejection_ms;       /**< Length of the first ejection. */
 } hs_engine_table_settings;
 
 typedef struct hs_engine_table hs_engine_table;
@@ -27,22 +28,26 @@
                                      const hs_engine_table_settings *settings);
 void hs_engine_table_free(hs_engine_table *table);
 
-/** An engine of the list; @p labels is copied. Call between begin and end of one listing. */
+/** Starts an update of the table from a list of engines. */
 void hs_engine_table_listing_begin(hs_engine_table *table);
+/** Adds or updates an engine of the list; @p labels is copied. */
 void hs_engine_table_list(hs_engine_table *table, const char *id, const char *url, const char *zone,
                           const json_t *labels, bool leaving);
-/** Engines not named since begin are gone. */
+/**
+ * Ends the update. Engines that were not listed get no new requests and are removed once they have
+ * no requests in flight.
+ */
 void hs_engine_table_listing_end(hs_engine_table *table);
 
 typedef struct {
     const hs_engine_group *group;
     const char *model;
     uint64_t prefix_hash;
-    const char *const *tried_ids; /**< Engines not to be chosen again. */
+    const char *const *tried_ids; /**< Engines that must not be chosen; borrowed. */
     uint32_t tried_count;
 } hs_engine_query;
 
-/** An engine chosen, as values. */
+/** A chosen engine and the reason of the choice. */
 typedef struct {
     char id[64];
     char url[64];
@@ -53,63 +58,75 @@
     uint32_t candidate_count;
 } hs_engine_choice;
 
-/** Choose an engine and count a request in flight on it; false when none is available. */
+/**
+ * Chooses an engine and counts a request in flight on the engine. Returns false if no engine is
+ * available.
+ */
 bool hs_engine_table_take(hs_engine_table *table, const hs_engine_query *query, uint64_t now_ms,
                           hs_engine_choice *choice);
 
-/** How an attempt ended, for the engine's health. */
+/** The result of an attempt, as evidence of the engine's health. */
 typedef enum {
-    HS_ATTEMPT_GOOD,
+    HS_ATTEMPT_GOOD, /**< The engine responded; also after a cancel by the caller. */
     HS_ATTEMPT_FAILED,
-    HS_ATTEMPT_REFUSED,  /**< Overloaded: healthy, but not now. */
-    HS_ATTEMPT_LEAVING,  /**< The engine said it leaves. */
-    HS_ATTEMPT_NO_MODEL, /**< The engine does not hold the model. */
+    HS_ATTEMPT_REFUSED,  /**< The engine is healthy but overloaded. */
+    HS_ATTEMPT_LEAVING,  /**< The engine refused since it is leaving. */
+    HS_ATTEMPT_NO_MODEL, /**< The engine has not loaded the model. */
 } hs_attempt_verdict;
 
-/** The request taken on @p id is over. @return requests we still have in flight on it. */
+/**
+ * Ends a request counted by hs_engine_table_take and records the result of its attempt. Returns
+ * this daemon's remaining requests in flight on the engine.
+ */
 uint32_t hs_engine_table_finish(hs_engine_table *table, const char *id, const char *model,
                                 hs_attempt_verdict verdict, uint64_t now_ms);
 
-/** Our requests in flight on the engine, and the engine's zone. False when unknown. */
+/** Reads this daemon's requests in flight on an engine, and its zone. False if unknown. */
 bool hs_engine_table_in_flight(hs_engine_table *table, const char *id, uint32_t *in_flight,
                                char zone[64]);
 
-/** Load as its scheduler counts it. */
+/** Stores an engine load report of the engine's scheduler. */
 void hs_engine_table_learn_load(hs_engine_table *table, const char *id, uint32_t online,
                                 bool leaving, uint64_t now_ms);
 
-/** Mark an engine that a peer, or its own report, says is leaving. */
-void hs_engine_table_note_leaving(hs_engine_table *table, const char *id, bool first_hand,
+/**
+ * Marks an engine as leaving for 30 s. @p is_self_reported: the engine itself reported this, not a
+ * peer.
+ */
+void hs_engine_table_note_leaving(hs_engine_table *table, const char *id, bool is_self_reported,
                                   uint64_t now_ms);
 
 /**
- * The engine's own report says that it serves. Reports lag, so that one does not undo a mark that
- * is younger than a few seconds.
+ * Clears the leaving mark after the engine reported that it serves. Such reports may be old, so a
+ * mark set in the last 3 s stays.
  */
 void hs_engine_table_note_serving(hs_engine_table *table, const char *id, uint64_t now_ms);
 
-/** Engines known at first hand to leave: by their refusal or report. of char*; free the array. */
+/**
+ * Returns the sorted ids, of char*, of the engines that reported to this daemon that they are
+ * leaving, by a refusal or a report. Free with g_ptr_array_unref.
+ */
 GPtrArray *hs_engine_table_leaving(hs_engine_table *table, uint64_t now_ms);
 
-/** Changes whenever the list of engines does, in what schedulers assign by. */
+/** Returns a version that changes with the engines' ids, URLs, zones and labels. */
 uint64_t hs_engine_table_version(hs_engine_table *table);
 
-/** Whether new work must keep off the engine now; true for an unknown one. */
+/** Returns true if an engine is leaving, ejected or unknown. */
 bool hs_engine_table_is_avoided(hs_engine_table *table, const char *id, uint64_t now_ms);
 
-/** One engine as values, for schedulers and queries. */
+/** A copy of an engine's state, for schedulers and queries. */
 typedef struct {
     char id[64];
     char url[64];
     char zone[64];
-    json_t *labels; /**< A reference; decref. */
+    json_t *labels; /**< A reference; released by hs_engine_infos_free. */
     bool leaving;
     bool ejected;
-    uint32_t in_flight;
-    uint32_t known_online;
+    uint32_t in_flight;    /**< Requests of this daemon. */
+    uint32_t known_online; /**< Estimated requests of all daemons. */
 } hs_engine_info;
 
-/** All engines. Free with hs_engine_infos_free. */
+/** Returns all engines, of hs_engine_info. Free with hs_engine_infos_free. */
 GArray *hs_engine_table_infos(hs_engine_table *table, uint64_t now_ms);
 void hs_engine_infos_free(GArray *infos);
 
--- a/src/routing/limit_home.h
+++ b/src/routing/limit_home.h
@@ -1,10 +1,10 @@
 /**
  * @file limit_home.h
- * The home of tenants' limits: one daemon a tenant, by rendezvous hash, that hands out allowances
- * to the edges where the tenant's requests come in. Pure.
+ * The owner of tenants' limits: grants allowances to the edges that receive the tenants' requests.
+ * Each tenant has one owner among the daemons, by rendezvous hash. No I/O, no locks.
  *
- * Soft state: a home that is lost starts anew with a full bucket, so that a tenant may exceed its
- * limit by one burst then. Edges' counts in flight are kept by edge and forgotten when silent.
+ * The state is not stored: a new owner starts with a full token bucket, so a tenant may then exceed
+ * its rate by one burst. The in-flight count of an edge expires without requests from the edge.
  */
 #ifndef HS_ROUTING_LIMIT_HOME_H
 #define HS_ROUTING_LIMIT_HOME_H
@@ -13,20 +13,20 @@
 
 typedef struct hs_limit_home hs_limit_home;
 
-/** What an edge asks. */
+/** An edge's request for an allowance of a tenant. */
 typedef struct {
     const char *edge_id;
     const char *tenant;
-    uint32_t wanted;
-    uint32_t advanced;
-    uint32_t in_flight;
+    uint32_t wanted;    /**< Requests that the edge wants to admit. */
+    uint32_t advanced;  /**< Requests admitted without an allowance; deducted. */
+    uint32_t in_flight; /**< The tenant's requests in flight on the edge. */
 } hs_limit_ask;
 
 hs_limit_home *hs_limit_home_new(void);
-void hs_limit_home_free(hs_limit_home *home);
+void hs_limit_home_free(hs_limit_home *owner);
 
-/** Requests the edge may admit until it asks again. */
-uint32_t hs_limit_home_grant(hs_limit_home *home, const hs_tenant_limit *limit,
-                             const hs_limit_ask *ask, uint64_t now_ms);
+/** Returns the number of requests that the edge may admit until its next request. */
+uint32_t hs_limit_home_grant(hs_limit_home *owner, const hs_tenant_limit *limit,
+                             const hs_limit_ask *request, uint64_t now_ms);
 
 #endif
--- a/src/routing/retry_budget.c
+++ b/src/routing/retry_budget.c
@@ -2,19 +2,19 @@
 #include "routing/retry_budget.h"
 
 #define INITIAL_TOKENS 10.0
-#define MAXIMUM_TOKENS 50.0
+#define MAX_TOKENS 50.0
 #define PERCENT 100.0
 
 void hs_retry_budget_init(hs_retry_budget *budget, double percent) {
     budget->share = percent / PERCENT;
     budget->tokens = percent > 0 ? INITIAL_TOKENS : 0;
-    budget->maximum = MAXIMUM_TOKENS;
+    budget->max_tokens = MAX_TOKENS;
 }
 
 void hs_retry_budget_request(hs_retry_budget *budget) {
     budget->tokens += budget->share;
-    if (budget->tokens > budget->maximum)
-        budget->tokens = budget->maximum;
+    if (budget->tokens > budget->max_tokens)
+        budget->tokens = budget->max_tokens;
 }
 
 bool hs_retry_budget_take(hs_retry_budget *budget) {
--- a/src/routing/route.h
+++ b/src/routing/route.h
@@ -1,9 +1,10 @@
 /**
  * @file route.h
- * The choice of an engine for one request. Pure: this is the line that picks an engine.
+ * Chooses an engine for one request. No state except the caller's random generator.
  *
- * Two engines that should hold the prompt's prefix and two random ones are compared by load;
- * another zone costs and a likely cached prefix saves as much as some requests in flight.
+ * Compares the scores of the two engines that probably have the prompt's prefix cached and of two
+ * random engines. The score is the number of online requests in flight, plus a cost for another
+ * zone and for a missing model, minus a bonus for a cached prefix.
  */
 #ifndef HS_ROUTING_ROUTE_H
 #define HS_ROUTING_ROUTE_H
@@ -14,29 +15,29 @@
 
 typedef struct {
     const char *engine_id;
-    uint32_t online_in_flight; /**< Best knowledge of online requests on the engine. */
+    uint32_t online_in_flight; /**< Estimated online requests of all daemons. */
     bool same_zone;
     bool holds_model;
-    bool available;         /**< Not leaving, not ejected, not tried already, below its limit. */
-    uint64_t prefix_weight; /**< Hash of prefix and engine: the highest two are affine. */
+    bool available;         /**< Not leaving, ejected, excluded or full. */
+    uint64_t prefix_weight; /**< Hash of prefix and engine; the two highest are affine. */
 } hs_route_candidate;
 
-/** Reason code of a choice, for logs and `explain`. */
+/** Reason of a choice, for logs and `explain`. */
 typedef enum {
     HS_ROUTE_NONE,         /**< No candidate is available. */
     HS_ROUTE_ONLY_ONE,     /**< One candidate is available. */
-    HS_ROUTE_PREFIX,       /**< Affine to the prefix and not too loaded. */
-    HS_ROUTE_LEAST_LOADED, /**< Lowest score of those compared. */
+    HS_ROUTE_PREFIX,       /**< Lowest score, by an engine affine to the prefix. */
+    HS_ROUTE_LEAST_LOADED, /**< Lowest score, by a random engine. */
 } hs_route_reason;
 
 typedef struct {
-    int index; /**< Into the candidates; -1 with HS_ROUTE_NONE. */
+    int index; /**< Index of the candidate; -1 with HS_ROUTE_NONE. */
     hs_route_reason reason;
     double score;
     uint32_t available_count;
 } hs_route_choice;
 
-/** Choose one of @p count candidates. */
+/** Chooses one of @p count candidates. */
 hs_route_choice hs_route_pick(const hs_route_candidate *candidates, uint32_t count, GRand *random);
 
 const char *hs_route_reason_name(hs_route_reason reason);
--- a/src/routing/tenant_limits.c
+++ b/src/routing/tenant_limits.c
@@ -3,22 +3,22 @@
 
 #define MS_PER_S 1000.0
 #define BUSY_RETRY_MS 1000U
-#define ACTIVE_MS 1000U /* A tenant whose requests came within such a time is asked for. */
-#define RENEW_MS 1000U  /* Requests in flight are told of again after such a time. */
-#define SILENT_MS 400U  /* A home that answered nothing for such a time is silent. */
-#define ADVANCE_S 0.1   /* What may come in before the first answer, as time at the full rate. */
-#define ADVANCE_PART 8U /* The same, as a part of the requests allowed in flight. */
-#define SPARE 1U        /* Asked for above the last interval's demand. */
+#define ACTIVE_PERIOD_MS 1000U  /* Requests after a longer pause may be admitted in advance. */
+#define RENEW_INTERVAL_MS 1000U /* Requests in flight are reported again. */
+#define OWNER_TIMEOUT_MS 400U   /* Time without a response before equal shares apply. */
+#define ADVANCE_DURATION_S 0.1  /* Requests admitted in advance, as time at the full rate. */
+#define ADVANCE_DIVISOR 8U      /* Part of max_in_flight admitted in advance without a rate. */
+#define SPARE_REQUESTS 1U       /* Requested above the demand of the last interval. */
 
 typedef struct {
     uint32_t in_flight;
-    uint32_t allowance;  /**< Requests the home lets us admit. */
-    uint32_t advanced;   /**< Admitted without one since the last ask. */
-    uint32_t demand;     /**< Requests that came since the last ask. */
-    uint64_t came_ms;    /**< When the last request came. */
-    uint64_t asked_ms;   /**< When the home was last asked; 0: never. */
-    uint64_t waiting_ms; /**< First ask that is not answered yet; 0: none. */
-    double share_tokens; /**< Of our equal share, while the home is silent. */
+    uint32_t allowance;      /**< Requests that may be admitted. */
+    uint32_t advanced;       /**< Admitted in advance since the last allowance request. */
+    uint32_t demand;         /**< Requests received since the last allowance request. */
+    uint64_t last_demand_ms; /**< Time of the tenant's last request. */
+    uint64_t last_sent_ms;   /**< Time of the last allowance request; 0: none, or before a pause. */
+    uint64_t unanswered_since_ms; /**< Time of the first unanswered allowance request; 0: none. */
+    double share_tokens;          /**< Token bucket of the equal share. */
     uint64_t share_refilled_ms;
 } tenant_use;
 
@@ -40,7 +40,7 @@
     g_free(limits);
 }
 
-static tenant_use *use_of(hs_tenant_limits *limits, const char *tenant, uint64_t now_ms) {
+static tenant_use *find_or_add_use(hs_tenant_limits *limits, const char *tenant, uint64_t now_ms) {
     tenant_use *use = g_hash_table_lookup(limits->tenants, tenant);
     if (use != NULL)
         return use;
@@ -51,12 +51,12 @@
     return use;
 }
 
-static bool home_is_silent(const tenant_use *use, uint64_t now_ms) {
-    return use->waiting_ms != 0 && now_ms > use->waiting_ms + SILENT_MS;
+static bool is_owner_silent(const tenant_use *use, uint64_t now_ms) {
+    return use->unanswered_since_ms != 0 && now_ms > use->unanswered_since_ms + OWNER_TIMEOUT_MS;
 }
 
-/** Our equal share of the limit. */
-static bool enter_by_share(tenant_use *use, const hs_tenant_limit *limit, uint32_t daemon_count,
+/** Admits by this daemon's equal share of the limit. */
+static bool admit_by_share(tenant_use *use, const hs_tenant_limit *limit, uint32_t daemon_count,
                            uint64_t now_ms) {
     double share = 1.0 / MAX(daemon_count, 1U);
     double rate = limit->requests_per_second * share;
@@ -74,25 +74,25 @@
     return true;
 }
 
-/** Requests admitted before the home first answers; the home takes them off what it allows. */
-static uint32_t advance_of(const hs_tenant_limit *limit) {
+/** Max. requests admitted in advance; the owner deducts them from later allowances. */
+static uint32_t compute_max_advanced(const hs_tenant_limit *limit) {
     if (limit->requests_per_second > 0)
-        return (uint32_t)(limit->requests_per_second * ADVANCE_S) + 1;
-    return limit->max_in_flight / ADVANCE_PART + 1;
+        return (uint32_t)(limit->requests_per_second * ADVANCE_DURATION_S) + 1;
+    return limit->max_in_flight / ADVANCE_DIVISOR + 1;
 }
 
-/** What the home allowed, or some in advance. */
-static bool enter_by_allowance(tenant_use *use, const hs_tenant_limit *limit) {
+/** Admits by the allowance, or in advance. */
+static bool admit_by_allowance(tenant_use *use, const hs_tenant_limit *limit) {
     if (use->allowance > 0) {
         use->allowance--;
         return true;
     }
-    bool fresh = use->asked_ms == 0 && use->advanced < advance_of(limit);
-    use->advanced += fresh;
-    return fresh;
+    bool is_advance = use->last_sent_ms == 0 && use->advanced < compute_max_advanced(limit);
+    use->advanced += is_advance;
+    return is_advance;
 }
 
-/** Whether the limit, NULL for none, bounds anything. */
+/** Returns true if @p limit, which may be NULL, sets a rate or a concurrency limit. */
 static bool is_limited(const hs_tenant_limit *limit) {
     return limit != NULL && (limit->requests_per_second > 0 || limit->max_in_flight > 0);
 }
@@ -103,15 +103,15 @@
     bool limited = is_limited(limit);
     bool admitted = true;
     g_mutex_lock(&limits->lock);
-    tenant_use *use = use_of(limits, tenant, now_ms);
-    if (now_ms > use->came_ms + ACTIVE_MS)
-        use->asked_ms = 0;
-    use->came_ms = now_ms;
+    tenant_use *use = find_or_add_use(limits, tenant, now_ms);
+    if (now_ms > use->last_demand_ms + ACTIVE_PERIOD_MS)
+        use->last_sent_ms = 0;
+    use->last_demand_ms = now_ms;
     use->demand++;
-    if (limited && home_is_silent(use, now_ms))
-        admitted = enter_by_share(use, limit, daemon_count, now_ms);
+    if (limited && is_owner_silent(use, now_ms))
+        admitted = admit_by_share(use, limit, daemon_count, now_ms);
     else if (limited)
-        admitted = enter_by_allowance(use, limit);
+        admitted = admit_by_allowance(use, limit);
     use->in_flight += admitted;
     g_mutex_unlock(&limits->lock);
     return admitted ? 0 : BUSY_RETRY_MS;
@@ -125,41 +125,42 @@
     g_mutex_unlock(&limits->lock);
 }
 
-/** After demand, soon; else only so often that the home still counts what is in flight here. */
-static bool must_ask(const tenant_use *use, uint64_t now_ms) {
+/** Without demand, requests in flight are reported often enough not to expire at the owner. */
+static bool is_request_due(const tenant_use *use, uint64_t now_ms) {
     if (use->demand > 0)
-        return now_ms >= use->asked_ms + HS_LIMIT_INTERVAL_MS;
-    return use->in_flight > 0 && now_ms >= use->asked_ms + RENEW_MS;
+        return now_ms >= use->last_sent_ms + HS_LIMIT_REQUEST_INTERVAL_MS;
+    return use->in_flight > 0 && now_ms >= use->last_sent_ms + RENEW_INTERVAL_MS;
 }
 
-/** What is left of the last allowance goes back with the ask: it is taken off what is wanted. */
-static hs_limit_ask make_ask(tenant_use *use, const char *tenant, uint64_t now_ms) {
-    uint32_t wanted = use->demand + SPARE;
-    hs_limit_ask ask = {.edge_id = "",
-                        .tenant = tenant,
-                        .wanted = wanted > use->allowance ? wanted - use->allowance : 0,
-                        .advanced = use->advanced,
-                        .in_flight = use->in_flight};
+/** Makes an allowance request for the demand minus the unused allowance; resets the counts. */
+static hs_limit_ask make_request(tenant_use *use, const char *tenant, uint64_t now_ms) {
+    uint32_t wanted = use->demand + SPARE_REQUESTS;
+    hs_limit_ask request = {.edge_id = "",
+                            .tenant = tenant,
+                            .wanted = wanted > use->allowance ? wanted - use->allowance : 0,
+                            .advanced = use->advanced,
+                            .in_flight = use->in_flight};
     use->demand = 0;
     use->advanced = 0;
-    use->asked_ms = now_ms;
-    if (use->waiting_ms == 0)
-        use->waiting_ms = now_ms;
-    return ask;
+    use->last_sent_ms = now_ms;
+    if (use->unanswered_since_ms == 0)
+        use->unanswered_since_ms = now_ms;
+    return request;
 }
 
 void hs_tenant_limits_ask(hs_tenant_limits *limits, const hs_config_view *view, uint64_t now_ms,
-                          void (*send)(const hs_limit_ask *ask, void *user_data), void *user_data) {
+                          void (*send)(const hs_limit_ask *request, void *user_data),
+                          void *user_data) {
     g_mutex_lock(&limits->lock);
     GHashTableIter iterator;
     gpointer tenant;
     gpointer use;
     g_hash_table_iter_init(&iterator, limits->tenants);
     while (g_hash_table_iter_next(&iterator, &tenant, &use)) {
-        if (!is_limited(hs_config_view_limit(view, tenant)) || !must_ask(use, now_ms))
+        if (!is_limited(hs_config_view_limit(view, tenant)) || !is_request_due(use, now_ms))
             continue;
-        hs_limit_ask ask = make_ask(use, tenant, now_ms);
-        send(&ask, user_data);
+        hs_limit_ask request = make_request(use, tenant, now_ms);
+        send(&request, user_data);
     }
     g_mutex_unlock(&limits->lock);
 }
@@ -169,7 +170,7 @@
     tenant_use *use = g_hash_table_lookup(limits->tenants, tenant);
     if (use != NULL) {
         use->allowance += allowance;
-        use->waiting_ms = 0;
+        use->unanswered_since_ms = 0;
     }
     g_mutex_unlock(&limits->lock);
 }
--- a/src/scheduling/batch_item.c
+++ b/src/scheduling/batch_item.c
@@ -49,13 +49,14 @@
     g_free(item);
 }
 
-void hs_batch_item_name_attempt(hs_batch_item *item, const char *daemon_id,
-                                const char *engine_url) {
-    bool goes_on = item->progress.resumable && strcmp(item->progress.engine_url, engine_url) == 0;
-    if (goes_on || (item->grant->run_once && item->tries > 0))
+void hs_batch_item_assign_attempt_id(hs_batch_item *item, const char *daemon_id,
+                                     const char *engine_url) {
+    bool is_resumed =
+        item->progress.resumable && strcmp(item->progress.engine_url, engine_url) == 0;
+    if (is_resumed || (item->grant->run_once && item->attempt_count > 0))
         return;
-    item->tries++;
+    item->attempt_count++;
     g_snprintf(item->attempt_id, sizeof item->attempt_id,
                "%.20s-p%u-e%u-g%" G_GUINT64_FORMAT "-i%u-t%u", daemon_id, item->grant->partition,
-               item->grant->epoch, item->grant->grant_id, item->item, item->tries);
+               item->grant->epoch, item->grant->grant_id, item->item, item->attempt_count);
 }
--- a/src/scheduling/engine_slot.c
+++ b/src/scheduling/engine_slot.c
@@ -3,63 +3,64 @@
 
 #include <string.h>
 
-#define FAILURE_WAIT_MS 250
-#define MAX_DOUBLINGS 5U
+#define FAILURE_BACKOFF_MS 250
+#define MAX_BACKOFF_DOUBLINGS 5U
 
-hs_engine_slot *hs_engine_slot_new(const char *id, const char *url) {
-    hs_engine_slot *slot = g_new0(hs_engine_slot, 1);
-    g_strlcpy(slot->id, id, sizeof slot->id);
-    g_strlcpy(slot->url, url, sizeof slot->url);
-    slot->models = g_ptr_array_new_with_free_func(g_free);
-    slot->running = g_ptr_array_new();
-    hs_online_load_init(&slot->load);
-    return slot;
+hs_batch_engine *hs_batch_engine_new(const char *id, const char *url) {
+    hs_batch_engine *engine = g_new0(hs_batch_engine, 1);
+    g_strlcpy(engine->id, id, sizeof engine->id);
+    g_strlcpy(engine->url, url, sizeof engine->url);
+    engine->models = g_ptr_array_new_with_free_func(g_free);
+    engine->running = g_ptr_array_new();
+    hs_online_load_init(&engine->load);
+    return engine;
 }
 
-void hs_engine_slot_free(hs_engine_slot *slot) {
-    g_ptr_array_free(slot->models, TRUE);
-    g_ptr_array_free(slot->running, TRUE);
-    hs_online_load_clear(&slot->load);
-    g_free(slot);
+void hs_batch_engine_free(hs_batch_engine *engine) {
+    g_ptr_array_free(engine->models, TRUE);
+    g_ptr_array_free(engine->running, TRUE);
+    hs_online_load_clear(&engine->load);
+    g_free(engine);
 }
 
-static hs_pacing_limits limits_of(const hs_engine_slot *slot, const hs_pacing_settings *pacing,
-                                  uint64_t now_ms) {
-    hs_pacing_view view = {.online = slot->load.total, .online_ended_ms = slot->load.ended_ms};
-    return hs_pacing_limits_of(pacing, &view, now_ms);
+static hs_pacing_limits compute_limits(const hs_batch_engine *engine,
+                                       const hs_pacing_settings *pacing, uint64_t now_ms) {
+    hs_pacing_view view = {.online = engine->load.total, .online_ended_ms = engine->load.ended_ms};
+    return hs_pacing_compute_limits(pacing, &view, now_ms);
 }
 
-uint32_t hs_engine_slot_room(const hs_engine_slot *slot, const hs_pacing_settings *pacing,
-                             uint64_t now_ms) {
-    if (!slot->assigned || slot->leaving || now_ms < slot->refused_until_ms)
+uint32_t hs_batch_engine_free_slot_count(const hs_batch_engine *engine,
+                                         const hs_pacing_settings *pacing, uint64_t now_ms) {
+    if (!engine->assigned || engine->leaving || now_ms < engine->backoff_until_ms)
         return 0;
-    uint32_t limit = limits_of(slot, pacing, now_ms).start;
-    uint32_t room = limit > slot->running->len ? limit - slot->running->len : 0;
-    return MIN(room, hs_pacing_starts(pacing, slot->last_start_ms, now_ms));
+    uint32_t limit = compute_limits(engine, pacing, now_ms).start;
+    uint32_t free_slots = limit > engine->running->len ? limit - engine->running->len : 0;
+    return MIN(free_slots, hs_pacing_allowed_start_count(pacing, engine->last_start_ms, now_ms));
 }
 
-uint32_t hs_engine_slot_excess(const hs_engine_slot *slot, const hs_pacing_settings *pacing,
-                               uint64_t now_ms) {
-    uint32_t limit = limits_of(slot, pacing, now_ms).running;
-    return slot->running->len > limit ? slot->running->len - limit : 0;
+uint32_t hs_batch_engine_excess_count(const hs_batch_engine *engine,
+                                      const hs_pacing_settings *pacing, uint64_t now_ms) {
+    uint32_t limit = compute_limits(engine, pacing, now_ms).running;
+    return engine->running->len > limit ? engine->running->len - limit : 0;
 }
 
-void hs_engine_slot_note_failure(hs_engine_slot *slot, uint64_t now_ms) {
-    /* Items that failed together count as one failure: they were all out before the first came. */
-    if (now_ms < slot->refused_until_ms)
+void hs_batch_engine_note_failure(hs_batch_engine *engine, uint64_t now_ms) {
+    /* Items that started before the first failure count together with that failure. */
+    if (now_ms < engine->backoff_until_ms)
         return;
-    uint64_t wait_ms = (uint64_t)FAILURE_WAIT_MS << MIN(slot->failures_in_row, MAX_DOUBLINGS);
-    slot->failures_in_row++;
-    slot->refused_until_ms = now_ms + wait_ms;
+    uint64_t backoff_ms = (uint64_t)FAILURE_BACKOFF_MS
+                          << MIN(engine->consecutive_failures, MAX_BACKOFF_DOUBLINGS);
+    engine->consecutive_failures++;
+    engine->backoff_until_ms = now_ms + backoff_ms;
 }
 
-void hs_engine_slot_note_success(hs_engine_slot *slot) {
-    slot->failures_in_row = 0;
+void hs_batch_engine_note_success(hs_batch_engine *engine) {
+    engine->consecutive_failures = 0;
 }
 
-bool hs_engine_slot_serves(const hs_engine_slot *slot, const char *model) {
-    for (guint index = 0; index < slot->models->len; index++)
-        if (strcmp(slot->models->pdata[index], model) == 0)
+bool hs_batch_engine_has_model(const hs_batch_engine *engine, const char *model) {
+    for (guint index = 0; index < engine->models->len; index++)
+        if (strcmp(engine->models->pdata[index], model) == 0)
             return true;
     return false;
 }
--- a/src/scheduling/engine_slot.h
+++ b/src/scheduling/engine_slot.h
@@ -1,6 +1,7 @@
 /**
  * @file engine_slot.h
- * What the scheduler holds of each engine it schedules: online load and batch items on it. Pure.
+ * The scheduler's record of one engine: its online load and the batch items that run on it. The
+ * functions do no I/O and take no locks; all belong to the scheduler's thread.
  */
 #ifndef HS_SCHEDULING_ENGINE_SLOT_H
 #define HS_SCHEDULING_ENGINE_SLOT_H
@@ -12,34 +13,37 @@
 typedef struct {
     char id[64];
     char url[64];
-    GPtrArray *models; /**< of char*: models of the batch groups the engine belongs to */
+    GPtrArray *models; /**< of char*: models of the engine's batch groups */
     hs_online_load load;
-    GPtrArray *running; /**< of hs_batch_item* on the engine, oldest first; borrowed */
-    bool assigned;      /**< We are its scheduler now. */
-    bool leaving;
-    uint64_t last_start_ms; /**< When the last item started on it; 0: never. */
-    uint32_t
-        failures_in_row; /**< Items that came back without a result, since the last good one. */
-    uint64_t refused_until_ms; /**< It refused batch work; tried again afterwards. */
-} hs_engine_slot;
+    GPtrArray *running;            /**< of hs_batch_item*, oldest first; borrowed */
+    bool assigned;                 /**< This daemon schedules the engine. */
+    bool leaving;                  /**< No new items start: the engine is leaving or ejected. */
+    uint64_t last_start_ms;        /**< Time of the last item start; 0: none. */
+    uint32_t consecutive_failures; /**< Failures since the last success. */
+    uint64_t backoff_until_ms;     /**< No items start before this time. */
+} hs_batch_engine;
 
-hs_engine_slot *hs_engine_slot_new(const char *id, const char *url);
-void hs_engine_slot_free(hs_engine_slot *slot);
+hs_batch_engine *hs_batch_engine_new(const char *id, const char *url);
+void hs_batch_engine_free(hs_batch_engine *engine);
 
-/** Batch items that may be started on the engine now. */
-uint32_t hs_engine_slot_room(const hs_engine_slot *slot, const hs_pacing_settings *pacing,
-                             uint64_t now_ms);
+/** Returns the number of batch items that may start on the engine at @p now_ms. */
+uint32_t hs_batch_engine_free_slot_count(const hs_batch_engine *engine,
+                                         const hs_pacing_settings *pacing, uint64_t now_ms);
 
-/** Batch items above the limit now: those that must step aside. */
-uint32_t hs_engine_slot_excess(const hs_engine_slot *slot, const hs_pacing_settings *pacing,
-                               uint64_t now_ms);
+/** Returns the number of running batch items above the limit: those to preempt. */
+uint32_t hs_batch_engine_excess_count(const hs_batch_engine *engine,
+                                      const hs_pacing_settings *pacing, uint64_t now_ms);
 
-/** An item came back without a result: leave the engine alone for a while that grows. */
-void hs_engine_slot_note_failure(hs_engine_slot *slot, uint64_t now_ms);
+/**
+ * Starts the backoff after a run without a result; each further failure doubles the backoff, up to
+ * 8 s. A failure during the backoff has no effect.
+ */
+void hs_batch_engine_note_failure(hs_batch_engine *engine, uint64_t now_ms);
 
-/** An item's result came from the engine. */
-void hs_engine_slot_note_success(hs_engine_slot *slot);
+/** Ends the series of failures after the engine returned an item's result. */
+void hs_batch_engine_note_success(hs_batch_engine *engine);
 
-bool hs_engine_slot_serves(const hs_engine_slot *slot, const char *model);
+/** Returns true if a batch group of the engine has @p model. */
+bool hs_batch_engine_has_model(const hs_batch_engine *engine, const char *model);
 
 #endif
--- a/src/scheduling/online_load.c
+++ b/src/scheduling/online_load.c
@@ -5,7 +5,7 @@
     uint64_t incarnation;
     uint64_t sequence;
     uint32_t in_flight;
-    uint64_t noticed_ms;
+    uint64_t received_ms;
 } edge_count;
 
 void hs_online_load_init(hs_online_load *load) {
@@ -23,8 +23,8 @@
     load->total = total;
 }
 
-bool hs_online_load_notice(hs_online_load *load, const char *edge_id, uint64_t incarnation,
-                           uint64_t sequence, uint32_t in_flight, uint64_t now_ms) {
+bool hs_online_load_apply_notice(hs_online_load *load, const char *edge_id, uint64_t incarnation,
+                                 uint64_t sequence, uint32_t in_flight, uint64_t now_ms) {
     edge_count *count = g_hash_table_lookup(load->edges, edge_id);
     if (count == NULL) {
         count = g_new0(edge_count, 1);
@@ -38,7 +38,7 @@
     *count = (edge_count){.incarnation = incarnation,
                           .sequence = sequence,
                           .in_flight = in_flight,
-                          .noticed_ms = now_ms};
+                          .received_ms = now_ms};
     set_total(load, total, now_ms);
     return true;
 }
@@ -53,7 +53,7 @@
     g_hash_table_iter_init(&iterator, load->edges);
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         edge_count *count = value;
-        bool stale = count->noticed_ms + stale_ms < now_ms;
+        bool stale = count->received_ms + stale_ms < now_ms;
         if (!stale && is_live(key, user_data))
             continue;
         total -= count->in_flight;
--- a/src/scheduling/pacing.h
+++ b/src/scheduling/pacing.h
@@ -1,11 +1,11 @@
 /**
  * @file pacing.h
- * How many batch items an engine may run, and up to how many it may start, now. Pure.
+ * Limits for the batch items that run and start on one engine. Pure functions.
  *
- * Batch fills an engine that has no online requests. As soon as one is noticed, all but a few
- * items step aside, and no new one starts beside it, since an item's prefill makes a step far
- * longer than its decoding does. Full batch returns once the engine has been free of online
- * requests for a hold time, since counters that paused for a moment tend to come back.
+ * An engine without online requests runs up to max_batch items. Online requests reduce the limit to
+ * max_beside_online, and the limit for starts further, since the prefill of a new item delays a
+ * decoding step more than a running item does. The full limit applies again after the engine had
+ * no online requests for idle_hold_ms, so that short pauses between requests cause no preemptions.
  */
 #ifndef HS_SCHEDULING_PACING_H
 #define HS_SCHEDULING_PACING_H
@@ -13,31 +13,31 @@
 #include <stdint.h>
 
 typedef struct {
-    uint32_t max_batch;     /**< Items on an engine without online requests. */
-    uint32_t beside_online; /**< Items that stay beside online requests: the knob of the desks. */
-    uint32_t start_beside;  /**< Items up to which new ones start beside online requests. */
-    uint32_t idle_hold_ms;
-    uint32_t start_interval_ms; /**< At most one item starts in such a time; 0: no limit. */
+    uint32_t max_batch;               /**< Max. items without online requests. */
+    uint32_t max_beside_online;       /**< Max. running items beside online requests. */
+    uint32_t max_start_beside_online; /**< Running items below which new ones start. */
+    uint32_t idle_hold_ms;            /**< Time without online requests before full batch. */
+    uint32_t start_interval_ms;       /**< Min. time between two starts; 0: none. */
 } hs_pacing_settings;
 
 typedef struct {
-    uint32_t online;          /**< Online requests now on the engine. */
-    uint64_t online_ended_ms; /**< When the last of them ended; 0: never any. */
+    uint32_t online;          /**< Online requests on the engine. */
+    uint64_t online_ended_ms; /**< Time at which the last request ended; 0: never. */
 } hs_pacing_view;
 
 typedef struct {
-    uint32_t running; /**< Items above it must step aside. */
-    uint32_t start;   /**< New items start while fewer than this run. */
+    uint32_t running; /**< Running items above this limit are preempted. */
+    uint32_t start;   /**< New items start while fewer than this number run. */
 } hs_pacing_limits;
 
-hs_pacing_limits hs_pacing_limits_of(const hs_pacing_settings *settings, const hs_pacing_view *view,
-                                     uint64_t now_ms);
+hs_pacing_limits hs_pacing_compute_limits(const hs_pacing_settings *settings,
+                                          const hs_pacing_view *view, uint64_t now_ms);
 
 /**
- * Items that may start now, the last one having started at @p last_start_ms (0: never). Items that
- * return together would prefill together, and an online request that comes then would wait.
+ * Returns the number of items that may start after a start at @p last_start_ms (0: none). The
+ * interval spreads the prefills of items, since simultaneous prefills delay online requests.
  */
-uint32_t hs_pacing_starts(const hs_pacing_settings *settings, uint64_t last_start_ms,
-                          uint64_t now_ms);
+uint32_t hs_pacing_allowed_start_count(const hs_pacing_settings *settings, uint64_t last_start_ms,
+                                       uint64_t now_ms);
 
 #endif
--- a/src/scheduling/report_reader.c
+++ b/src/scheduling/report_reader.c
@@ -4,8 +4,8 @@
 #include "base/clock.h"
 #include "engine/engine_client.h"
 
-#define INTERVAL_MS 1000
-#define TICK_MS 50
+#define READ_INTERVAL_MS 1000
+#define STOP_CHECK_INTERVAL_MS 50
 
 struct hs_report_reader {
     hs_scheduler *scheduler;
@@ -29,10 +29,10 @@
     uint64_t next_ms = 0;
     while (g_atomic_int_get(&reader->stopping) == 0) {
         if (hs_clock_monotonic_ms() < next_ms) {
-            hs_clock_sleep_ms(TICK_MS);
+            hs_clock_sleep_ms(STOP_CHECK_INTERVAL_MS);
             continue;
         }
-        next_ms = hs_clock_monotonic_ms() + INTERVAL_MS;
+        next_ms = hs_clock_monotonic_ms() + READ_INTERVAL_MS;
         g_autoptr(GArray) engines = hs_scheduler_engines(reader->scheduler);
         for (guint index = 0; index < engines->len; index++)
             read_report(reader, &g_array_index(engines, hs_scheduled_engine, index));
--- a/src/scheduling/report_reader.h
+++ b/src/scheduling/report_reader.h
@@ -1,7 +1,7 @@
 /**
  * @file report_reader.h
- * Reads the lagging load reports of the engines scheduled here, about once a second: the slow
- * source that heals what datagrams lost, and the first word of an engine that is leaving.
+ * A thread that reads the load reports of the engines scheduled by this daemon once per second and
+ * marks leaving and serving engines in the engine table.
  */
 #ifndef HS_SCHEDULING_REPORT_READER_H
 #define HS_SCHEDULING_REPORT_READER_H
@@ -11,8 +11,9 @@
 
 typedef struct hs_report_reader hs_report_reader;
 
-/** Both are borrowed. */
+/** Starts the thread. Borrows both arguments until hs_report_reader_stop. */
 hs_report_reader *hs_report_reader_start(hs_scheduler *scheduler, hs_engine_table *engines);
+/** Stops the thread and frees the reader. */
 void hs_report_reader_stop(hs_report_reader *reader);
 
 #endif
--- a/src/scheduling/scheduler.c
+++ b/src/scheduling/scheduler.c
@@ -1,4 +1,4 @@
-/** @file scheduler.c  The scheduler's thread and its events; see scheduler.h. */
+/** @file scheduler.c  The scheduler's thread and the handling of its events. See scheduler.h. */
 #include "scheduling/scheduler.h"
 
 #include "base/clock.h"
@@ -10,22 +10,22 @@
 
 #define EVENT_RING_SIZE 16384
 #define EVENT_WAIT_MS 5
-#define AGAIN_DELAY_MS 200
+#define RETRY_DELAY_MS 200
 #define MAX_ITEM_FAILURES 1
 #define RUNNER_THREADS 512
 
 hs_scheduler *hs_scheduler_new(const hs_scheduler_context *context) {
     hs_scheduler *scheduler = g_new0(hs_scheduler, 1);
     scheduler->context = *context;
-    scheduler->pacing =
-        (hs_pacing_settings){.max_batch = (uint32_t)context->settings->max_batch_per_engine,
-                             .beside_online = (uint32_t)context->settings->batch_beside_online,
-                             .start_beside = (uint32_t)context->settings->batch_start_beside_online,
-                             .idle_hold_ms = (uint32_t)context->settings->idle_hold_ms,
-                             .start_interval_ms = (uint32_t)context->settings->start_interval_ms};
+    scheduler->pacing = (hs_pacing_settings){
+        .max_batch = (uint32_t)context->settings->max_batch_per_engine,
+        .max_beside_online = (uint32_t)context->settings->batch_beside_online,
+        .max_start_beside_online = (uint32_t)context->settings->batch_start_beside_online,
+        .idle_hold_ms = (uint32_t)context->settings->idle_hold_ms,
+        .start_interval_ms = (uint32_t)context->settings->start_interval_ms};
     scheduler->events = hs_ring_new(EVENT_RING_SIZE);
-    scheduler->slots =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, (GDestroyNotify)hs_engine_slot_free);
+    scheduler->engines =
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, (GDestroyNotify)hs_batch_engine_free);
     scheduler->queued = g_ptr_array_new();
     scheduler->items = g_ptr_array_new();
     scheduler->runners =
@@ -37,7 +37,7 @@
 
 void hs_scheduler_free(hs_scheduler *scheduler) {
     hs_ring_free(scheduler->events);
-    g_hash_table_destroy(scheduler->slots);
+    g_hash_table_destroy(scheduler->engines);
     g_ptr_array_free(scheduler->queued, TRUE);
     g_ptr_array_free(scheduler->items, TRUE);
     g_mutex_clear(&scheduler->counter_lock);
@@ -45,33 +45,33 @@
     g_free(scheduler);
 }
 
-static void acknowledge_notice(hs_scheduler *scheduler, const hs_engine_slot *slot,
+static void acknowledge_notice(hs_scheduler *scheduler, const hs_batch_engine *engine,
                                const struct sockaddr_in *to) {
     Hs__EngineLoad load = HS__ENGINE_LOAD__INIT;
-    load.engine_id = (char *)slot->id;
-    load.online_in_flight = slot->load.total;
-    load.batch_in_flight = slot->running->len;
-    load.leaving = slot->leaving;
+    load.engine_id = (char *)engine->id;
+    load.online_in_flight = engine->load.total;
+    load.batch_in_flight = engine->running->len;
+    load.leaving = engine->leaving;
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_ENGINE_LOAD;
     message.engine_load = &load;
     hs_membership_service_reply(scheduler->context.membership, to, &message);
 }
 
-static void take_notice(hs_scheduler *scheduler, const scheduler_event *event, uint64_t now_ms) {
+static void handle_notice(hs_scheduler *scheduler, const scheduler_event *event, uint64_t now_ms) {
     const Hs__OnlineNotice *notice = event->message->online_notice;
-    hs_engine_slot *slot = g_hash_table_lookup(scheduler->slots, notice->engine_id);
-    if (slot == NULL)
+    hs_batch_engine *engine = g_hash_table_lookup(scheduler->engines, notice->engine_id);
+    if (engine == NULL)
         return;
-    hs_online_load_notice(&slot->load, event->message->sender_id,
-                          event->message->sender_incarnation, notice->sequence, notice->in_flight,
-                          now_ms);
-    hs_scheduler_step_aside(scheduler, slot, now_ms);
-    acknowledge_notice(scheduler, slot, &event->from);
+    hs_online_load_apply_notice(&engine->load, event->message->sender_id,
+                                event->message->sender_incarnation, notice->sequence,
+                                notice->in_flight, now_ms);
+    hs_scheduler_preempt_excess(scheduler, engine, now_ms);
+    acknowledge_notice(scheduler, engine, &event->from);
     COUNT(scheduler, notices, 1);
 }
 
-static bool holds_grant(hs_scheduler *scheduler, const Hs__Grant *message) {
+static bool has_grant(hs_scheduler *scheduler, const Hs__Grant *message) {
     for (guint index = 0; index < scheduler->items->len; index++) {
         const hs_held_grant *grant = ((hs_batch_item *)scheduler->items->pdata[index])->grant;
         if (grant->partition == message->partition && grant->epoch == message->epoch &&
@@ -81,14 +81,14 @@
     return false;
 }
 
-static void take_grants(hs_scheduler *scheduler, const scheduler_event *event) {
+static void handle_grants(hs_scheduler *scheduler, const scheduler_event *event) {
     const Hs__GrantReply *reply = event->message->grant_reply;
     uint64_t incarnation = hs_membership_service_incarnation(scheduler->context.membership);
     if (reply->n_grants > 0)
         scheduler->next_pull_ms = 0;
     for (size_t index = 0; index < reply->n_grants; index++) {
         const Hs__Grant *message = reply->grants[index];
-        if (holds_grant(scheduler, message))
+        if (has_grant(scheduler, message))
             continue;
         hs_held_grant *grant = hs_held_grant_new(message, event->message->sender_id, incarnation);
         for (uint32_t offset = 0; offset < message->item_count; offset++) {
@@ -100,8 +100,8 @@
     }
 }
 
-/** Mark revoked grants; ordinary items on engines are cancelled there. */
-static void take_revocation(hs_scheduler *scheduler, const scheduler_event *event) {
+/** Marks grants as revoked and cancels their ordinary items at the engines. */
+static void handle_revocation(hs_scheduler *scheduler, const scheduler_event *event) {
     const Hs__GrantRevoke *revoke = event->message->grant_revoke;
     for (size_t index = 0; index < revoke->n_grants; index++) {
         const Hs__GrantRef *ref = revoke->grants[index];
@@ -111,7 +111,7 @@
             if (grant->partition != ref->partition || grant->epoch != ref->epoch ||
                 grant->grant_id != ref->grant_id)
                 continue;
-            /* A run-once item that may already run goes on: its outcome must be known. */
+            /* A run-once item that may have started continues: its outcome must be recorded. */
             if (grant->run_once && item->state == HS_ITEM_RUNNING)
                 continue;
             g_atomic_int_set(&grant->revoked, 1);
@@ -121,54 +121,54 @@
     }
 }
 
-static void take_engine_free(hs_scheduler *scheduler, hs_batch_item *item) {
-    hs_engine_slot *slot = g_hash_table_lookup(scheduler->slots, item->engine_id);
-    if (slot != NULL)
-        g_ptr_array_remove(slot->running, item);
+static void handle_engine_free(hs_scheduler *scheduler, hs_batch_item *item) {
+    hs_batch_engine *engine = g_hash_table_lookup(scheduler->engines, item->engine_id);
+    if (engine != NULL)
+        g_ptr_array_remove(engine->running, item);
     item->on_engine = false;
 }
 
-static void take_item_end(hs_scheduler *scheduler, hs_batch_item *item, hs_item_end end,
-                          uint64_t now_ms) {
-    hs_engine_slot *slot = g_hash_table_lookup(scheduler->slots, item->engine_id);
+static void handle_item_end(hs_scheduler *scheduler, hs_batch_item *item, hs_item_end end,
+                            uint64_t now_ms) {
+    hs_batch_engine *engine = g_hash_table_lookup(scheduler->engines, item->engine_id);
     if (end == HS_ITEM_RECORDED || end == HS_ITEM_DROPPED) {
-        if (slot != NULL && end == HS_ITEM_RECORDED)
-            hs_engine_slot_note_success(slot);
+        if (engine != NULL && end == HS_ITEM_RECORDED)
+            hs_batch_engine_note_success(engine);
         COUNT(scheduler, items_recorded, end == HS_ITEM_RECORDED);
-        hs_scheduler_forget_item(scheduler, item);
+        hs_scheduler_remove_item(scheduler, item);
         return;
     }
-    bool stepped_aside = item->stepping_aside;
-    item->failures += !stepped_aside;
-    if (slot != NULL && !stepped_aside)
-        hs_engine_slot_note_failure(slot, now_ms);
-    /* Our engines cannot run it: give it back, by no longer renewing its grant. */
+    bool preempted = item->preempted;
+    item->failures += !preempted;
+    if (engine != NULL && !preempted)
+        hs_batch_engine_note_failure(engine, now_ms);
+    /* The grant is no longer renewed, so that the owner grants the item to another scheduler. */
     if (item->failures > MAX_ITEM_FAILURES && !item->grant->run_once) {
-        hs_scheduler_forget_item(scheduler, item);
+        hs_scheduler_remove_item(scheduler, item);
         return;
     }
     item->state = HS_ITEM_QUEUED;
-    item->not_before_ms = stepped_aside ? now_ms : now_ms + AGAIN_DELAY_MS;
+    item->not_before_ms = preempted ? now_ms : now_ms + RETRY_DELAY_MS;
     g_ptr_array_insert(scheduler->queued, 0, item);
     COUNT(scheduler, items_again, 1);
 }
 
-static void take_event(hs_scheduler *scheduler, scheduler_event *event, uint64_t now_ms) {
+static void handle_event(hs_scheduler *scheduler, scheduler_event *event, uint64_t now_ms) {
     switch (event->kind) {
     case EVENT_NOTICE:
-        take_notice(scheduler, event, now_ms);
+        handle_notice(scheduler, event, now_ms);
         break;
     case EVENT_GRANTS:
-        take_grants(scheduler, event);
+        handle_grants(scheduler, event);
         break;
     case EVENT_REVOKE:
-        take_revocation(scheduler, event);
+        handle_revocation(scheduler, event);
         break;
     case EVENT_ENGINE_FREE:
-        take_engine_free(scheduler, event->item);
+        handle_engine_free(scheduler, event->item);
         break;
     case EVENT_ITEM_END:
-        take_item_end(scheduler, event->item, event->end, now_ms);
+        handle_item_end(scheduler, event->item, event->end, now_ms);
         break;
     }
     if (event->message != NULL)
@@ -176,11 +176,11 @@
     g_free(event);
 }
 
-/** A daemon that stops starts nothing more: others get the items once their grants lapse. */
-static void drop_queued(hs_scheduler *scheduler) {
+/** Drops the queued items of a draining daemon; other daemons get them after the lease. */
+static void drop_queued_items(hs_scheduler *scheduler) {
     while (scheduler->queued->len > 0) {
         hs_batch_item *item = g_ptr_array_steal_index(scheduler->queued, 0);
-        hs_scheduler_forget_item(scheduler, item);
+        hs_scheduler_remove_item(scheduler, item);
     }
 }
 
@@ -190,12 +190,12 @@
         scheduler_event *event = hs_ring_take(scheduler->events, EVENT_WAIT_MS);
         uint64_t now_ms = hs_clock_monotonic_ms();
         while (event != NULL) {
-            take_event(scheduler, event, now_ms);
+            handle_event(scheduler, event, now_ms);
             event = hs_ring_take(scheduler->events, 0);
         }
         hs_scheduler_assign_engines(scheduler, now_ms);
         if (g_atomic_int_get(&scheduler->draining) != 0)
-            drop_queued(scheduler);
+            drop_queued_items(scheduler);
         hs_scheduler_start_items(scheduler, now_ms);
         hs_scheduler_pull_items(scheduler, now_ms);
         hs_scheduler_renew_grants(scheduler, now_ms);
@@ -221,7 +221,7 @@
     g_thread_join(scheduler->thread);
 }
 
-static bool kind_of_message(const Hs__PeerMessage *message, event_kind *kind) {
+static bool get_event_kind(const Hs__PeerMessage *message, event_kind *kind) {
     switch (message->kind_case) {
     case HS__PEER_MESSAGE__KIND_ONLINE_NOTICE:
         *kind = EVENT_NOTICE;
@@ -237,7 +237,7 @@
     }
 }
 
-/** A deep copy by way of the wire form. */
+/** Copies a message by serialising it. Free with hs__peer_message__free_unpacked. */
 static Hs__PeerMessage *copy_message(const Hs__PeerMessage *message) {
     size_t length = hs__peer_message__get_packed_size(message);
     g_autofree uint8_t *bytes = g_malloc(length);
@@ -248,7 +248,7 @@
 bool hs_scheduler_handle(hs_scheduler *scheduler, const Hs__PeerMessage *message,
                          const struct sockaddr_in *from) {
     event_kind kind;
-    if (!kind_of_message(message, &kind))
+    if (!get_event_kind(message, &kind))
         return false;
     scheduler_event *event = g_new0(scheduler_event, 1);
     event->kind = kind;
@@ -256,7 +256,7 @@
     event->from = *from;
     if (hs_ring_put(scheduler->events, event))
         return true;
-    /* A full ring drops the datagram, as the network may: the protocol heals a lost one. */
+    /* The protocol tolerates lost datagrams. */
     hs__peer_message__free_unpacked(event->message, NULL);
     g_free(event);
     return true;
--- a/src/scheduling/scheduler_items.c
+++ b/src/scheduling/scheduler_items.c
@@ -1,4 +1,4 @@
-/** @file scheduler_items.c  Running items on engines, starting them and letting them step aside. */
+/** @file scheduler_items.c  Starts, runs and preempts items on engines. */
 #include "base/clock.h"
 #include "engine/cancel_queue.h"
 #include "scheduling/scheduler_state.h"
@@ -7,7 +7,7 @@
 
 #define RING_RETRY_MS 1
 
-/** Hand an item's event to the scheduler; waits while the ring is full. */
+/** Sends an item's event to the scheduler's thread; waits while the ring is full. */
 static void post_item_event(hs_scheduler *scheduler, event_kind kind, hs_batch_item *item,
                             hs_item_end end) {
     scheduler_event *event = g_new0(scheduler_event, 1);
@@ -50,75 +50,75 @@
     post_item_event(scheduler, EVENT_ITEM_END, item, end);
 }
 
-/** Cancel the newest items above the limit; run-once items are never cancelled. */
-void hs_scheduler_step_aside(hs_scheduler *scheduler, hs_engine_slot *slot, uint64_t now_ms) {
-    uint32_t excess = hs_engine_slot_excess(slot, &scheduler->pacing, now_ms);
+void hs_scheduler_preempt_excess(hs_scheduler *scheduler, hs_batch_engine *engine,
+                                 uint64_t now_ms) {
+    uint32_t excess = hs_batch_engine_excess_count(engine, &scheduler->pacing, now_ms);
     GPtrArray *cancelled = g_ptr_array_new_with_free_func(g_free);
-    for (guint index = slot->running->len; index > 0 && excess > 0; index--) {
-        hs_batch_item *item = slot->running->pdata[index - 1];
-        if (!item->stepping_aside && item->grant->run_once)
+    for (guint index = engine->running->len; index > 0 && excess > 0; index--) {
+        hs_batch_item *item = engine->running->pdata[index - 1];
+        if (!item->preempted && item->grant->run_once)
             continue;
         excess--;
-        if (item->stepping_aside)
+        if (item->preempted)
             continue;
-        item->stepping_aside = true;
+        item->preempted = true;
         g_ptr_array_add(cancelled, g_strdup(item->attempt_id));
     }
     COUNT(scheduler, preemptions, cancelled->len);
     if (cancelled->len > 0)
-        hs_engine_cancel_many_soon(slot->url, cancelled);
+        hs_engine_cancel_many_soon(engine->url, cancelled);
     else
         g_ptr_array_free(cancelled, TRUE);
 }
 
 /**
- * The assigned engine with the most room for the item's model, or NULL; the one that has the item's
- * tokens goes first.
+ * Returns the engine with the most free slots for the item's model, or NULL. The engine that holds
+ * the tokens of the item's preempted run is preferred.
  */
-static hs_engine_slot *choose_slot(hs_scheduler *scheduler, const hs_batch_item *item,
-                                   uint64_t now_ms) {
-    hs_engine_slot *best = NULL;
-    uint32_t best_room = 0;
+static hs_batch_engine *choose_engine(hs_scheduler *scheduler, const hs_batch_item *item,
+                                      uint64_t now_ms) {
+    hs_batch_engine *best = NULL;
+    uint32_t max_free_slots = 0;
     GHashTableIter iterator;
     gpointer data;
-    g_hash_table_iter_init(&iterator, scheduler->slots);
+    g_hash_table_iter_init(&iterator, scheduler->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &data)) {
-        hs_engine_slot *slot = data;
-        uint32_t room = hs_engine_slot_room(slot, &scheduler->pacing, now_ms);
-        if (room == 0 || !hs_engine_slot_serves(slot, item->grant->model))
+        hs_batch_engine *engine = data;
+        uint32_t free_slots = hs_batch_engine_free_slot_count(engine, &scheduler->pacing, now_ms);
+        if (free_slots == 0 || !hs_batch_engine_has_model(engine, item->grant->model))
             continue;
-        if (item->progress.resumable && strcmp(slot->url, item->progress.engine_url) == 0)
-            return slot;
-        if (room <= best_room)
+        if (item->progress.resumable && strcmp(engine->url, item->progress.engine_url) == 0)
+            return engine;
+        if (free_slots <= max_free_slots)
             continue;
-        best = slot;
-        best_room = room;
+        best = engine;
+        max_free_slots = free_slots;
     }
     return best;
 }
 
-static void start_item(hs_scheduler *scheduler, hs_batch_item *item, hs_engine_slot *slot,
+static void start_item(hs_scheduler *scheduler, hs_batch_item *item, hs_batch_engine *engine,
                        uint64_t now_ms) {
-    hs_batch_item_name_attempt(item, scheduler->context.settings->daemon_id, slot->url);
-    g_strlcpy(item->engine_id, slot->id, sizeof item->engine_id);
-    g_strlcpy(item->engine_url, slot->url, sizeof item->engine_url);
+    hs_batch_item_assign_attempt_id(item, scheduler->context.settings->daemon_id, engine->url);
+    g_strlcpy(item->engine_id, engine->id, sizeof item->engine_id);
+    g_strlcpy(item->engine_url, engine->url, sizeof item->engine_url);
     item->state = HS_ITEM_RUNNING;
     item->on_engine = true;
-    item->stepping_aside = false;
+    item->preempted = false;
     item->started_ms = now_ms;
-    slot->last_start_ms = now_ms;
-    g_ptr_array_add(slot->running, item);
+    engine->last_start_ms = now_ms;
+    g_ptr_array_add(engine->running, item);
     COUNT(scheduler, items_started, 1);
     g_thread_pool_push(scheduler->runners, item, NULL);
 }
 
-void hs_scheduler_forget_item(hs_scheduler *scheduler, hs_batch_item *item) {
+void hs_scheduler_remove_item(hs_scheduler *scheduler, hs_batch_item *item) {
     g_ptr_array_remove(scheduler->items, item);
     hs_batch_item_free(item);
 }
 
-/** True when the item must not be started: its grant was revoked or is of an ended incarnation. */
-static bool item_is_void(const hs_batch_item *item, uint64_t incarnation) {
+/** Returns true if the item's grant was revoked or belongs to an earlier incarnation. */
+static bool is_item_void(const hs_batch_item *item, uint64_t incarnation) {
     return g_atomic_int_get(&item->grant->revoked) != 0 || item->grant->incarnation != incarnation;
 }
 
@@ -126,18 +126,18 @@
     uint64_t incarnation = hs_membership_service_incarnation(scheduler->context.membership);
     for (guint index = 0; index < scheduler->queued->len;) {
         hs_batch_item *item = scheduler->queued->pdata[index];
-        if (item_is_void(item, incarnation)) {
+        if (is_item_void(item, incarnation)) {
             g_ptr_array_remove_index(scheduler->queued, index);
-            hs_scheduler_forget_item(scheduler, item);
+            hs_scheduler_remove_item(scheduler, item);
             continue;
         }
-        hs_engine_slot *slot =
-            now_ms >= item->not_before_ms ? choose_slot(scheduler, item, now_ms) : NULL;
-        if (slot == NULL) {
+        hs_batch_engine *engine =
+            now_ms >= item->not_before_ms ? choose_engine(scheduler, item, now_ms) : NULL;
+        if (engine == NULL) {
             index++;
             continue;
         }
         g_ptr_array_remove_index(scheduler->queued, index);
-        start_item(scheduler, item, slot, now_ms);
+        start_item(scheduler, item, engine, now_ms);
     }
 }
--- a/src/scheduling/scheduler_pull.c
+++ b/src/scheduling/scheduler_pull.c
@@ -1,28 +1,29 @@
-/** @file scheduler_pull.c  Asking partition owners for items, and keeping their grants alive. */
+/** @file scheduler_pull.c  Requests items from partition owners and renews grants. */
 #include "scheduling/scheduler_state.h"
 
 #define PULL_INTERVAL_MS 20
-#define PULL_MAX_ITEMS 64
+#define MAX_PULL_ITEMS 64
 
-/** Room on our engines, and the models they serve. @p models: borrowed strings, appended. */
-static uint32_t total_room(hs_scheduler *scheduler, uint64_t now_ms, GPtrArray *models) {
-    uint32_t room = 0;
+/** Counts the free slots of all engines; appends those engines' models, borrowed, to @p models. */
+static uint32_t count_free_slots(hs_scheduler *scheduler, uint64_t now_ms, GPtrArray *models) {
+    uint32_t free_slots = 0;
     GHashTableIter iterator;
     gpointer data;
-    g_hash_table_iter_init(&iterator, scheduler->slots);
+    g_hash_table_iter_init(&iterator, scheduler->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &data)) {
-        const hs_engine_slot *slot = data;
-        uint32_t slot_room = hs_engine_slot_room(slot, &scheduler->pacing, now_ms);
-        room += slot_room;
-        for (guint index = 0; slot_room > 0 && index < slot->models->len; index++)
-            if (!g_ptr_array_find_with_equal_func(models, slot->models->pdata[index], g_str_equal,
+        const hs_batch_engine *engine = data;
+        uint32_t engine_free_slots =
+            hs_batch_engine_free_slot_count(engine, &scheduler->pacing, now_ms);
+        free_slots += engine_free_slots;
+        for (guint index = 0; engine_free_slots > 0 && index < engine->models->len; index++)
+            if (!g_ptr_array_find_with_equal_func(models, engine->models->pdata[index], g_str_equal,
                                                   NULL))
-                g_ptr_array_add(models, slot->models->pdata[index]);
+                g_ptr_array_add(models, engine->models->pdata[index]);
     }
-    return room;
+    return free_slots;
 }
 
-/** Partitions whose owners say they have items ready. */
+/** Returns the partitions whose owners report ready items. Free with g_array_unref. */
 static GArray *ready_partitions(hs_scheduler *scheduler) {
     GArray *partitions = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     g_autoptr(GPtrArray) members = g_ptr_array_new();
@@ -48,8 +49,8 @@
         return;
     scheduler->next_pull_ms = now_ms + PULL_INTERVAL_MS;
     g_autoptr(GPtrArray) models = g_ptr_array_new();
-    uint32_t room = total_room(scheduler, now_ms, models);
-    if (room <= scheduler->queued->len)
+    uint32_t free_slots = count_free_slots(scheduler, now_ms, models);
+    if (free_slots <= scheduler->queued->len)
         return;
     g_autoptr(GArray) partitions = ready_partitions(scheduler);
     if (partitions->len == 0)
@@ -58,7 +59,7 @@
         g_array_index(partitions, uint32_t, scheduler->pull_sequence % partitions->len);
     Hs__PullRequest request = HS__PULL_REQUEST__INIT;
     request.partition = partition;
-    request.want = MIN(room - scheduler->queued->len, PULL_MAX_ITEMS);
+    request.want = MIN(free_slots - scheduler->queued->len, MAX_PULL_ITEMS);
     request.sequence = ++scheduler->pull_sequence;
     request.n_models = models->len;
     request.models = (char **)models->pdata;
@@ -84,7 +85,6 @@
     hs_membership_service_send_to_owner(scheduler->context.membership, grant->partition, &message);
 }
 
-/** Keep the grants of all our items alive. */
 void hs_scheduler_renew_grants(hs_scheduler *scheduler, uint64_t now_ms) {
     if (now_ms < scheduler->next_renew_ms)
         return;
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -1,4 +1,4 @@
-/** @file test_grants.c  Handing out items, and claiming partitions. */
+/** @file test_grants.c  Tests of item grants and of partition ownership decisions. */
 #include "batch/grant_table.h"
 #include "batch/ownership.h"
 #include "tests/unit/partition_builder.h"
@@ -22,7 +22,7 @@
     return taken;
 }
 
-static void every_item_is_handed_out_once(void) {
+static void every_item_is_granted_once(void) {
     hs_partition *partition = partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     CU_ASSERT_EQUAL(take(table, partition, &request_a, 3, 0, NULL), 3);
@@ -48,7 +48,7 @@
     hs_partition_free(partition);
 }
 
-static void expired_grant_goes_out_again(void) {
+static void items_of_an_expired_grant_are_granted_again(void) {
     hs_partition *partition = partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     uint64_t grant = 0;
@@ -64,7 +64,7 @@
     hs_partition_free(partition);
 }
 
-static void item_with_an_intent_never_goes_out_again(void) {
+static void item_with_an_intent_is_not_granted_again(void) {
     hs_partition *partition = partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     take(table, partition, &request_a, 8, 0, NULL);
@@ -76,7 +76,7 @@
     hs_partition_free(partition);
 }
 
-static void dead_schedulers_items_go_out_again(void) {
+static void items_of_a_restarted_scheduler_are_granted_again(void) {
     hs_partition *partition = partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     take(table, partition, &request_a, 8, 0, NULL);
@@ -88,7 +88,7 @@
     hs_partition_free(partition);
 }
 
-static void cancelled_jobs_grants_fall(void) {
+static void grants_of_a_cancelled_job_are_removed(void) {
     hs_partition *partition = partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     uint64_t grant = 0;
@@ -101,7 +101,7 @@
     hs_partition_free(partition);
 }
 
-static void scheduler_without_the_model_gets_nothing(void) {
+static void scheduler_without_the_model_gets_no_grant(void) {
     static const char *const others[] = {"other"};
     hs_grant_request request = request_a;
     request.models = others;
@@ -114,7 +114,7 @@
 
 static const hs_ownership_settings settings = {.settle_ms = 10, .handover_ms = 100};
 
-static void claims_only_after_settling_without_owner(void) {
+static void partition_without_owner_is_claimed_after_the_settle_time(void) {
     hs_ownership_history history = {0};
     hs_ownership_view view = {.self_is_first = true};
     CU_ASSERT_EQUAL(hs_ownership_decide(&settings, &view, &history, 5), HS_OWNERSHIP_KEEP);
@@ -126,7 +126,7 @@
     CU_ASSERT_EQUAL(hs_ownership_decide(&settings, &view, &history, 999), HS_OWNERSHIP_KEEP);
 }
 
-static void waits_longer_after_each_loss(void) {
+static void claim_delay_grows_after_each_loss(void) {
     hs_ownership_history history = {0};
     hs_ownership_view view = {.self_is_first = true};
     hs_ownership_note_loss(&history, 1);
@@ -136,7 +136,7 @@
     CU_ASSERT_EQUAL(hs_ownership_decide(&settings, &view, &history, 43), HS_OWNERSHIP_CLAIM);
 }
 
-static void releases_when_leaving_or_misplaced(void) {
+static void partition_is_released_when_leaving_or_not_first(void) {
     hs_ownership_history history = {0};
     hs_ownership_view view = {.self_owns = true, .self_is_first = false};
     CU_ASSERT_EQUAL(hs_ownership_decide(&settings, &view, &history, 1), HS_OWNERSHIP_KEEP);
@@ -146,14 +146,17 @@
 }
 
 const test_case grant_tests[] = {
-    {"every_item_is_handed_out_once", every_item_is_handed_out_once},
+    {"every_item_is_granted_once", every_item_is_granted_once},
     {"run_once_item_is_granted_alone", run_once_item_is_granted_alone},
-    {"expired_grant_goes_out_again", expired_grant_goes_out_again},
-    {"item_with_an_intent_never_goes_out_again", item_with_an_intent_never_goes_out_again},
-    {"dead_schedulers_items_go_out_again", dead_schedulers_items_go_out_again},
-    {"cancelled_jobs_grants_fall", cancelled_jobs_grants_fall},
-    {"scheduler_without_the_model_gets_nothing", scheduler_without_the_model_gets_nothing},
-    {"claims_only_after_settling_without_owner", claims_only_after_settling_without_owner},
-    {"waits_longer_after_each_loss", waits_longer_after_each_loss},
-    {"releases_when_leaving_or_misplaced", releases_when_leaving_or_misplaced},
+    {"items_of_an_expired_grant_are_granted_again", items_of_an_expired_grant_are_granted_again},
+    {"item_with_an_intent_is_not_granted_again", item_with_an_intent_is_not_granted_again},
+    {"items_of_a_restarted_scheduler_are_granted_again",
+     items_of_a_restarted_scheduler_are_granted_again},
+    {"grants_of_a_cancelled_job_are_removed", grants_of_a_cancelled_job_are_removed},
+    {"scheduler_without_the_model_gets_no_grant", scheduler_without_the_model_gets_no_grant},
+    {"partition_without_owner_is_claimed_after_the_settle_time",
+     partition_without_owner_is_claimed_after_the_settle_time},
+    {"claim_delay_grows_after_each_loss", claim_delay_grows_after_each_loss},
+    {"partition_is_released_when_leaving_or_not_first",
+     partition_is_released_when_leaving_or_not_first},
     {NULL, NULL}};
--- a/tests/unit/test_routing.c
+++ b/tests/unit/test_routing.c
@@ -1,4 +1,4 @@
-/** @file test_routing.c  Engine choice, health, retry budget, tenant limits. */
+/** @file test_routing.c  Tests of engine choice, engine health, retry budget and tenant limits. */
 #include "config/config_object.h"
 #include "routing/engine_table.h"
 #include "routing/retry_budget.h"
@@ -99,7 +99,7 @@
     close_table(&fixture);
 }
 
-static void lagging_report_does_not_undo_a_young_mark(void) {
+static void lagging_report_does_not_clear_a_recent_leaving_mark(void) {
     table_fixture fixture;
     open_table(&fixture);
     hs_engine_table_note_leaving(fixture.table, "a", true, 1000);
@@ -130,7 +130,7 @@
     close_table(&fixture);
 }
 
-static void full_engines_refuse(void) {
+static void engines_at_their_limit_are_not_chosen(void) {
     table_fixture fixture;
     open_table(&fixture);
     hs_engine_choice choice;
@@ -140,7 +140,7 @@
     close_table(&fixture);
 }
 
-static void retries_stay_a_share_of_requests(void) {
+static void retries_stay_within_the_budget(void) {
     hs_retry_budget budget;
     hs_retry_budget_init(&budget, 10);
     int retries = 0;
@@ -155,7 +155,7 @@
 #define LIMIT_RATE 100
 #define LIMIT_SECONDS 10
 
-/** A view with one limit. Release with hs_config_view_release. */
+/** Returns a view with one limit. Release with hs_config_view_release. */
 static hs_config_view *view_with_limit(const char *object_json) {
     hs_config_fold *fold = hs_config_fold_new();
     Hs__ConfigChange change = HS__CONFIG_CHANGE__INIT;
@@ -169,65 +169,68 @@
     return view;
 }
 
-/** Edges and the home, joined without a network. */
+/** Edges and a limit owner that exchange messages without a network. */
 typedef struct {
     hs_config_view *view;
-    hs_limit_home *home;
+    hs_limit_home *owner;
     hs_tenant_limits *edges[LIMIT_EDGES];
-    int asking; /**< The edge whose asks are carried now. */
+    int sending_edge; /**< Edge whose request is forwarded; -1 - allowance after the response. */
     uint64_t now_ms;
-} limit_world;
+} limit_fixture;
 
-static void carry_ask(const hs_limit_ask *ask, void *user_data) {
-    limit_world *world = user_data;
-    hs_limit_ask signed_ask = *ask;
+static void forward_request(const hs_limit_ask *request, void *user_data) {
+    limit_fixture *fixture = user_data;
+    hs_limit_ask request_with_edge = *request;
     char edge_id[8];
-    g_snprintf(edge_id, sizeof edge_id, "edge-%d", world->asking);
-    signed_ask.edge_id = edge_id;
-    const hs_tenant_limit *limit = hs_config_view_limit(world->view, ask->tenant);
-    uint32_t allowance = hs_limit_home_grant(world->home, limit, &signed_ask, world->now_ms);
-    /* The answer comes after the edge's lock is free again: taken over by the caller. */
-    world->asking = -1 - (int)allowance;
+    g_snprintf(edge_id, sizeof edge_id, "edge-%d", fixture->sending_edge);
+    request_with_edge.edge_id = edge_id;
+    const hs_tenant_limit *limit = hs_config_view_limit(fixture->view, request->tenant);
+    uint32_t allowance =
+        hs_limit_home_grant(fixture->owner, limit, &request_with_edge, fixture->now_ms);
+    /* The edge's lock is held here, so run_one_ms adds the allowance afterwards. */
+    fixture->sending_edge = -1 - (int)allowance;
 }
 
-/** One millisecond: each edge may ask, then its requests come. @return requests admitted. */
-static int tick(limit_world *world, const int *one_in_ms) {
+/** Runs the allowance requests and requests of all edges for 1 ms. Returns requests admitted. */
+static int run_one_ms(limit_fixture *fixture, const int *interval_ms) {
     int admitted = 0;
-    world->now_ms++;
+    fixture->now_ms++;
     for (int edge = 0; edge < LIMIT_EDGES; edge++) {
-        world->asking = edge;
-        hs_tenant_limits_ask(world->edges[edge], world->view, world->now_ms, carry_ask, world);
-        if (world->asking < 0)
-            hs_tenant_limits_allow(world->edges[edge], "tenant", (uint32_t)(-1 - world->asking));
-        if (one_in_ms[edge] == 0 || world->now_ms % (uint64_t)one_in_ms[edge] != 0)
+        fixture->sending_edge = edge;
+        hs_tenant_limits_ask(fixture->edges[edge], fixture->view, fixture->now_ms, forward_request,
+                             fixture);
+        if (fixture->sending_edge < 0)
+            hs_tenant_limits_allow(fixture->edges[edge], "tenant",
+                                   (uint32_t)(-1 - fixture->sending_edge));
+        if (interval_ms[edge] == 0 || fixture->now_ms % (uint64_t)interval_ms[edge] != 0)
             continue;
-        if (hs_tenant_limits_enter(world->edges[edge], world->view, "tenant", LIMIT_EDGES,
-                                   world->now_ms) != 0)
+        if (hs_tenant_limits_enter(fixture->edges[edge], fixture->view, "tenant", LIMIT_EDGES,
+                                   fixture->now_ms) != 0)
             continue;
         admitted++;
-        hs_tenant_limits_leave(world->edges[edge], "tenant");
+        hs_tenant_limits_leave(fixture->edges[edge], "tenant");
     }
     return admitted;
 }
 
-/** Requests admitted in all when edge e sends one in one_in_ms[e] milliseconds (0: none). */
-static int admitted_under_rate(const int *one_in_ms) {
-    limit_world world = {.view = view_with_limit("{\"requests_per_second\":100}"),
-                         .home = hs_limit_home_new(),
-                         .now_ms = 5000};
+/** Returns the requests admitted if edge e receives one per interval_ms[e] (0: none). */
+static int admitted_under_rate(const int *interval_ms) {
+    limit_fixture fixture = {.view = view_with_limit("{\"requests_per_second\":100}"),
+                             .owner = hs_limit_home_new(),
+                             .now_ms = 5000};
     for (int edge = 0; edge < LIMIT_EDGES; edge++)
-        world.edges[edge] = hs_tenant_limits_new();
+        fixture.edges[edge] = hs_tenant_limits_new();
     int admitted = 0;
     for (int ms = 0; ms < LIMIT_SECONDS * 1000; ms++)
-        admitted += tick(&world, one_in_ms);
+        admitted += run_one_ms(&fixture, interval_ms);
     for (int edge = 0; edge < LIMIT_EDGES; edge++)
-        hs_tenant_limits_free(world.edges[edge]);
-    hs_limit_home_free(world.home);
-    hs_config_view_release(world.view);
+        hs_tenant_limits_free(fixture.edges[edge]);
+    hs_limit_home_free(fixture.owner);
+    hs_config_view_release(fixture.view);
     return admitted;
 }
 
-static void rate_holds_wherever_requests_come_in(void) {
+static void rate_limit_holds_for_any_distribution_over_edges(void) {
     static const int patterns[][LIMIT_EDGES] = {{2, 0, 0}, {6, 6, 6}, {2, 30, 200}, {1, 1, 1}};
     const int allowed = LIMIT_RATE * LIMIT_SECONDS;
     for (size_t index = 0; index < G_N_ELEMENTS(patterns); index++) {
@@ -243,23 +246,23 @@
     CU_ASSERT(admitted_under_rate(slow) >= sent * 95 / 100);
 }
 
-static void silent_home_leaves_the_equal_share(void) {
+static void equal_share_applies_without_a_limit_owner_response(void) {
     hs_config_view *view = view_with_limit("{\"requests_per_second\":100,\"max_in_flight\":8}");
     hs_tenant_limits *limits = hs_tenant_limits_new();
-    limit_world world = {.view = view, .home = hs_limit_home_new(), .now_ms = 5000};
+    limit_fixture fixture = {.view = view, .owner = hs_limit_home_new(), .now_ms = 5000};
     for (int request = 0; request < 11; request++)
         CU_ASSERT_EQUAL(hs_tenant_limits_enter(limits, view, "tenant", 4, 5000), 0);
     CU_ASSERT(hs_tenant_limits_enter(limits, view, "tenant", 4, 5000) > 0);
     for (int request = 0; request < 11; request++)
         hs_tenant_limits_leave(limits, "tenant");
-    hs_tenant_limits_ask(limits, view, 5050, carry_ask, &world);
+    hs_tenant_limits_ask(limits, view, 5050, forward_request, &fixture);
     CU_ASSERT(hs_tenant_limits_enter(limits, view, "tenant", 4, 5100) > 0);
     /* A quarter of 8 in flight. */
     CU_ASSERT_EQUAL(hs_tenant_limits_enter(limits, view, "tenant", 4, 5600), 0);
     CU_ASSERT_EQUAL(hs_tenant_limits_enter(limits, view, "tenant", 4, 5600), 0);
     CU_ASSERT(hs_tenant_limits_enter(limits, view, "tenant", 4, 5601) > 0);
     CU_ASSERT_EQUAL(hs_tenant_limits_enter(limits, view, "other", 4, 5601), 0);
-    hs_limit_home_free(world.home);
+    hs_limit_home_free(fixture.owner);
     hs_tenant_limits_free(limits);
     hs_config_view_release(view);
 }
@@ -267,16 +270,16 @@
 static void in_flight_limit_counts_all_edges(void) {
     hs_config_view *view = view_with_limit("{\"max_in_flight\":8}");
     const hs_tenant_limit *limit = hs_config_view_limit(view, "tenant");
-    hs_limit_home *home = hs_limit_home_new();
+    hs_limit_home *owner = hs_limit_home_new();
     hs_limit_ask first = {.edge_id = "a", .tenant = "tenant", .wanted = 5};
     hs_limit_ask second = {.edge_id = "b", .tenant = "tenant", .wanted = 5};
-    CU_ASSERT_EQUAL(hs_limit_home_grant(home, limit, &first, 1000), 5);
-    CU_ASSERT_EQUAL(hs_limit_home_grant(home, limit, &second, 1000), 3);
+    CU_ASSERT_EQUAL(hs_limit_home_grant(owner, limit, &first, 1000), 5);
+    CU_ASSERT_EQUAL(hs_limit_home_grant(owner, limit, &second, 1000), 3);
     first.in_flight = 2;
-    CU_ASSERT_EQUAL(hs_limit_home_grant(home, limit, &first, 1100), 3);
+    CU_ASSERT_EQUAL(hs_limit_home_grant(owner, limit, &first, 1100), 3);
     second.in_flight = 3;
-    CU_ASSERT_EQUAL(hs_limit_home_grant(home, limit, &second, 9000), 5);
-    hs_limit_home_free(home);
+    CU_ASSERT_EQUAL(hs_limit_home_grant(owner, limit, &second, 9000), 5);
+    hs_limit_home_free(owner);
     hs_config_view_release(view);
 }
 
@@ -285,12 +288,15 @@
     {"prefers_the_affine_engine_until_it_is_loaded", prefers_the_affine_engine_until_it_is_loaded},
     {"avoids_an_engine_without_the_model", avoids_an_engine_without_the_model},
     {"leaving_engine_gets_no_new_work", leaving_engine_gets_no_new_work},
-    {"lagging_report_does_not_undo_a_young_mark", lagging_report_does_not_undo_a_young_mark},
+    {"lagging_report_does_not_clear_a_recent_leaving_mark",
+     lagging_report_does_not_clear_a_recent_leaving_mark},
     {"failing_engine_is_ejected_and_returns", failing_engine_is_ejected_and_returns},
-    {"full_engines_refuse", full_engines_refuse},
-    {"retries_stay_a_share_of_requests", retries_stay_a_share_of_requests},
-    {"rate_holds_wherever_requests_come_in", rate_holds_wherever_requests_come_in},
+    {"engines_at_their_limit_are_not_chosen", engines_at_their_limit_are_not_chosen},
+    {"retries_stay_within_the_budget", retries_stay_within_the_budget},
+    {"rate_limit_holds_for_any_distribution_over_edges",
+     rate_limit_holds_for_any_distribution_over_edges},
     {"demand_below_the_rate_is_not_refused", demand_below_the_rate_is_not_refused},
-    {"silent_home_leaves_the_equal_share", silent_home_leaves_the_equal_share},
+    {"equal_share_applies_without_a_limit_owner_response",
+     equal_share_applies_without_a_limit_owner_response},
     {"in_flight_limit_counts_all_edges", in_flight_limit_counts_all_edges},
     {NULL, NULL}};
