--- a/src/scheduling/scheduler_pull.c
+++ b/src/scheduling/scheduler_pull.c
@@ -4,7 +4,10 @@
 #define PULL_INTERVAL_MS 20
 #define MAX_PULL_ITEMS 64
 
-/** Counts the free slots of all engines; appends those engines' models, borrowed, to @p models. */
+/**
+ * Counts the free slots of all engines. Appends the models of engines with free slots to @p models;
+ * the strings are borrowed.
+ */
 static uint32_t count_free_slots(hs_scheduler *scheduler, uint64_t now_ms, GPtrArray *models) {
     uint32_t free_slots = 0;
     GHashTableIter iterator;
