--- a/src/commands/online_request.c
+++ b/src/commands/online_request.c
@@ -159,7 +159,7 @@
     case HS_RUN_INVALID:
     case HS_RUN_ABORTED:
     case HS_RUN_CANCELLED:
-        return HS_ATTEMPT_GOOD;
+        return HS_ATTEMPT_COMPLETED;
     case HS_RUN_REFUSED:
         if (strcmp(result->code, "leaving") == 0)
             return HS_ATTEMPT_LEAVING;
@@ -283,10 +283,10 @@
 } tried_engines;
 
 static void add_tried(tried_engines *tried, const char *id) {
-    uint32_t count = tried->query.tried_count;
+    uint32_t count = tried->query.excluded_count;
     g_strlcpy(tried->ids[count], id, sizeof tried->ids[count]);
     tried->pointers[count] = tried->ids[count];
-    tried->query.tried_count++;
+    tried->query.excluded_count++;
 }
 
 /** Another attempt holds our key: read its answer from its engine, without ever running ours. */
@@ -350,7 +350,7 @@
     bool sent = reachable && obtain_key(request, choice) && is_wanted(request);
     if (sent)
         result = run_attempt(request, choice);
-    hs_attempt_verdict verdict = reachable ? HS_ATTEMPT_GOOD : HS_ATTEMPT_FAILED;
+    hs_attempt_verdict verdict = reachable ? HS_ATTEMPT_COMPLETED : HS_ATTEMPT_FAILED;
     hs_engine_table_finish(request->node->engines, choice->id, request->model,
                            sent ? verdict_of(&result) : verdict, hs_clock_monotonic_ms());
     hs_node_notice_online(request->node, choice->id);
@@ -365,10 +365,10 @@
     tried_engines tried = {.query = {.group = request->group,
                                      .model = request->model,
                                      .prefix_hash = request->prefix_hash}};
-    tried.query.tried_ids = tried.pointers;
+    tried.query.excluded_ids = tried.pointers;
     int number = 1;
     bool free_attempt = true;
-    while (number <= node->settings->max_attempts && tried.query.tried_count < MAX_TRIED) {
+    while (number <= node->settings->max_attempts && tried.query.excluded_count < MAX_TRIED) {
         hs_engine_choice choice;
         if (!is_wanted(request))
             return;
@@ -380,7 +380,8 @@
             end_without_engine(request, "the retry budget is spent");
             return;
         }
-        if (!hs_engine_table_take(node->engines, &tried.query, hs_clock_monotonic_ms(), &choice)) {
+        if (!hs_engine_table_acquire(node->engines, &tried.query, hs_clock_monotonic_ms(),
+                                     &choice)) {
             end_without_engine(request, "no engine is available");
             return;
         }
@@ -399,7 +400,7 @@
     hs_online_request *request = data;
     hs_node *node = request->node;
     g_mutex_lock(&node->retry_lock);
-    hs_retry_budget_request(&node->retry_budget);
+    hs_retry_budget_note_request(&node->retry_budget);
     g_mutex_unlock(&node->retry_lock);
     hs_demand_add(node->demand, request->group->name, request->model, 1);
     run_attempts(request);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -56,9 +56,9 @@
     if (hs_placement_controller_handle(daemon->placement, message))
         return;
     if (message->kind_case == HS__PEER_MESSAGE__KIND_ENGINE_LOAD)
-        hs_engine_table_learn_load(node->engines, message->engine_load->engine_id,
-                                   message->engine_load->online_in_flight,
-                                   message->engine_load->leaving, hs_clock_monotonic_ms());
+        hs_engine_table_put_load_report(node->engines, message->engine_load->engine_id,
+                                        message->engine_load->online_in_flight,
+                                        message->engine_load->leaving, hs_clock_monotonic_ms());
 }
 
 static uint64_t read_config_offset(void *user_data) {
@@ -68,7 +68,7 @@
 
 static GPtrArray *read_leaving_engines(void *user_data) {
     const hs_node *node = user_data;
-    return hs_engine_table_leaving(node->engines, hs_clock_monotonic_ms());
+    return hs_engine_table_list_leaving(node->engines, hs_clock_monotonic_ms());
 }
 
 static void make_membership(hs_node *node) {
--- a/src/daemon/listing.c
+++ b/src/daemon/listing.c
@@ -41,14 +41,14 @@
         hs_log_warning("list_without_engines", "machines=%u", machines->len);
         return;
     }
-    hs_engine_table_listing_begin(node->engines);
+    hs_engine_table_begin_listing(node->engines);
     for (guint index = 0; index < machines->len; index++) {
         const hs_machine *machine = machines->pdata[index];
         if (machine->kind == HS_MACHINE_ENGINE)
-            hs_engine_table_list(node->engines, machine->id, machine->url, machine->zone,
-                                 machine->labels, machine->leaving);
+            hs_engine_table_put_listed(node->engines, machine->id, machine->url, machine->zone,
+                                       machine->labels, machine->leaving);
     }
-    hs_engine_table_listing_end(node->engines);
+    hs_engine_table_end_listing(node->engines);
     hs_membership *membership = hs_membership_service_lock(node->membership);
     for (guint index = 0; index < machines->len; index++) {
         const hs_machine *machine = machines->pdata[index];
--- a/src/daemon/peer_engines.c
+++ b/src/daemon/peer_engines.c
@@ -25,7 +25,7 @@
 }
 
 static void list_engines(hs_node *node, const json_t *engines) {
-    hs_engine_table_listing_begin(node->engines);
+    hs_engine_table_begin_listing(node->engines);
     size_t index;
     json_t *engine;
     json_array_foreach(engines, index, engine) {
@@ -33,10 +33,11 @@
         const char *url = json_string_value(json_object_get(engine, "url"));
         const char *zone = json_string_value(json_object_get(engine, "zone"));
         if (id != NULL && url != NULL && zone != NULL)
-            hs_engine_table_list(node->engines, id, url, zone, json_object_get(engine, "labels"),
-                                 json_is_true(json_object_get(engine, "leaving")));
+            hs_engine_table_put_listed(node->engines, id, url, zone,
+                                       json_object_get(engine, "labels"),
+                                       json_is_true(json_object_get(engine, "leaving")));
     }
-    hs_engine_table_listing_end(node->engines);
+    hs_engine_table_end_listing(node->engines);
 }
 
 bool hs_peer_engines_fetch(hs_node *node) {
--- a/src/node/limit_exchange.c
+++ b/src/node/limit_exchange.c
@@ -10,13 +10,13 @@
 struct hs_limit_exchange {
     hs_node *node;
     GMutex lock;
-    hs_limit_home *home; /**< Of the tenants whose home we are. */
+    hs_limit_owner *home; /**< Of the tenants whose home we are. */
     gint stopping;
     GThread *thread;
 };
 
 /** Send the ask to the tenant's home: the first daemon by rendezvous. */
-static void send_ask(const hs_limit_ask *ask, void *user_data) {
+static void send_ask(const hs_allowance_request *ask, void *user_data) {
     hs_node *node = user_data;
     Hs__LimitAsk body = HS__LIMIT_ASK__INIT;
     body.tenant = (char *)ask->tenant;
@@ -34,7 +34,7 @@
     hs_node *node = exchange->node;
     while (g_atomic_int_get(&exchange->stopping) == 0) {
         hs_config_view *view = hs_config_store_view(node->config);
-        hs_tenant_limits_ask(node->limits, view, hs_clock_monotonic_ms(), send_ask, node);
+        hs_tenant_limits_send_requests(node->limits, view, hs_clock_monotonic_ms(), send_ask, node);
         hs_config_view_release(view);
         hs_clock_sleep_ms(TICK_MS);
     }
@@ -44,7 +44,7 @@
 hs_limit_exchange *hs_limit_exchange_start(hs_node *node) {
     hs_limit_exchange *exchange = g_new0(hs_limit_exchange, 1);
     exchange->node = node;
-    exchange->home = hs_limit_home_new();
+    exchange->home = hs_limit_owner_new();
     g_mutex_init(&exchange->lock);
     exchange->thread = g_thread_new("tenant-limits", run_asks, exchange);
     return exchange;
@@ -61,15 +61,15 @@
     const Hs__LimitAsk *body = message->limit_ask;
     hs_config_view *view = hs_config_store_view(node->config);
     const hs_tenant_limit *limit = hs_config_view_limit(view, body->tenant);
-    hs_limit_ask ask = {.edge_id = message->sender_id,
-                        .tenant = body->tenant,
-                        .wanted = body->wanted,
-                        .advanced = body->advanced,
-                        .in_flight = body->in_flight};
+    hs_allowance_request ask = {.edge_id = message->sender_id,
+                                .tenant = body->tenant,
+                                .wanted = body->wanted,
+                                .advanced = body->advanced,
+                                .in_flight = body->in_flight};
     g_mutex_lock(&exchange->lock);
     uint32_t allowance =
         limit == NULL ? body->wanted
-                      : hs_limit_home_grant(exchange->home, limit, &ask, hs_clock_monotonic_ms());
+                      : hs_limit_owner_grant(exchange->home, limit, &ask, hs_clock_monotonic_ms());
     g_mutex_unlock(&exchange->lock);
     hs_config_view_release(view);
     Hs__LimitGrant grant = HS__LIMIT_GRANT__INIT;
@@ -88,8 +88,8 @@
         answer_ask(exchange, message, from);
         return true;
     case HS__PEER_MESSAGE__KIND_LIMIT_GRANT:
-        hs_tenant_limits_allow(exchange->node->limits, message->limit_grant->tenant,
-                               message->limit_grant->allowance);
+        hs_tenant_limits_add_allowance(exchange->node->limits, message->limit_grant->tenant,
+                                       message->limit_grant->allowance);
         return true;
     default:
         return false;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -31,7 +31,7 @@
 void hs_node_notice_online(hs_node *node, const char *engine_id) {
     uint32_t in_flight = 0;
     char zone[64];
-    if (!hs_engine_table_in_flight(node->engines, engine_id, &in_flight, zone))
+    if (!hs_engine_table_get_in_flight(node->engines, engine_id, &in_flight, zone))
         return;
     hs_membership *membership = hs_membership_service_lock(node->membership);
     const hs_member *scheduler = hs_membership_rank_first(membership, engine_id, zone);
--- a/src/queries/status_queries.c
+++ b/src/queries/status_queries.c
@@ -83,7 +83,7 @@
                                               "url", info->url, "zone", info->zone, "labels",
                                               info->labels, "leaving", info->leaving, "ejected",
                                               info->ejected, "in_flight", (int)info->in_flight,
-                                              "online", (int)info->known_online));
+                                              "online", (int)info->estimated_online));
     }
     hs_engine_infos_free(infos);
     return list;
@@ -104,7 +104,7 @@
         g_atomic_int_get(&node->online_count), "scheduler", "engines", (int)scheduler.engines,
         "running", (int)scheduler.running, "queued", (int)scheduler.queued, "started",
         (json_int_t)scheduler.items_started, "recorded", (json_int_t)scheduler.items_recorded,
-        "again", (json_int_t)scheduler.items_again, "preemptions",
+        "again", (json_int_t)scheduler.items_retried, "preemptions",
         (json_int_t)scheduler.preemptions, "notices", (json_int_t)scheduler.notices, "members",
         describe_members(node), "engines", describe_engines(node));
     return hs_http_reply_json(response, 200, body);
