--- a/src/http/caller_connections.c
+++ b/src/http/caller_connections.c
@@ -6,33 +6,32 @@
 #include <glib.h>
 #include <sys/socket.h>
 
-/** Room is made from this share of the limit on: an eighth is left for what comes meanwhile. */
-#define FULL_SHARE 0.875
-/** Down to this share of it, so that room is not made for each caller anew. Chosen, not measured.
- */
-#define ROOM_SHARE 0.75
-/** A connection idle for less, in ms, may only wait for its first request's way. */
-#define IDLE_LEAST_MS 500
+/** Share of the limit from which idle connections are ended. */
+#define EVICTION_START_SHARE 0.875
+/** Share of the limit down to which idle connections are ended. */
+#define EVICTION_TARGET_SHARE 0.75
+/** Idle time before a connection may be ended. A new one waits for its first request. */
+#define MIN_IDLE_MS 500
 
 struct hs_caller_connection {
     int descriptor;
-    bool busy;       /**< A request was begun on it and is not answered to its end. */
-    bool half_ended; /**< Receiving was ended on this side. */
+    bool busy;                 /**< A request is being received or answered. */
+    bool is_receive_shut_down; /**< The receiving side is shut down. */
     uint64_t idle_since_ms;
     hs_connection_kind kind;
     uint64_t opened_ms;
 };
 
 struct hs_caller_connections {
-    uint32_t most;
-    gint kind; /**< hs_connection_kind of those who call. */
+    uint32_t max_open;
+    gint kind; /**< hs_connection_kind of new connections. */
     GMutex lock;
     GHashTable *all; /**< of hs_caller_connection*, as a set. */
 };
 
-hs_caller_connections *hs_caller_connections_new(uint32_t most) {
+hs_caller_connections *hs_caller_connections_new(uint32_t max_open) {
     hs_caller_connections *connections = g_new0(hs_caller_connections, 1);
-    connections->most = most;
+    connections->max_open = max_open;
     g_mutex_init(&connections->lock);
     connections->all = g_hash_table_new_full(NULL, NULL, g_free, NULL);
     return connections;
@@ -62,8 +61,8 @@
     return connection;
 }
 
-/** Where the kernel gave a connection up for its silence, say so; the library does not tell. */
-static void note_silence(const hs_caller_connection *connection) {
+/** Logs and counts a connection that the kernel timed out. The HTTP library does not report it. */
+static void report_timeout(const hs_caller_connection *connection) {
     if (hs_connection_has_timed_out(connection->descriptor))
         hs_connection_note_loss(connection->kind, hs_clock_monotonic_ms() - connection->opened_ms,
                                 "kernel");
@@ -71,7 +70,7 @@
 
 void hs_caller_connections_remove(hs_caller_connections *connections,
                                   hs_caller_connection *connection) {
-    note_silence(connection);
+    report_timeout(connection);
     g_mutex_lock(&connections->lock);
     g_hash_table_remove(connections->all, connection);
     g_mutex_unlock(&connections->lock);
@@ -92,26 +91,29 @@
     if (connection == NULL)
         return -1;
     g_mutex_lock(&connections->lock);
-    int descriptor = connection->half_ended ? -1 : connection->descriptor;
+    int descriptor = connection->is_receive_shut_down ? -1 : connection->descriptor;
     g_mutex_unlock(&connections->lock);
     return descriptor;
 }
 
 static void end_receiving(hs_caller_connection *connection) {
-    connection->half_ended = true;
+    connection->is_receive_shut_down = true;
     shutdown(connection->descriptor, SHUT_RD);
 }
 
-/** Connections idle since before @p until_ms. Free with g_ptr_array_free. The caller holds the
- * lock. */
-static GPtrArray *list_idle(hs_caller_connections *connections, uint64_t until_ms) {
+/**
+ * Returns the connections idle since @p idle_since_max_ms or earlier. Free with g_ptr_array_free.
+ * The calling thread holds the lock.
+ */
+static GPtrArray *list_idle(hs_caller_connections *connections, uint64_t idle_since_max_ms) {
     GPtrArray *idle = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer key = NULL;
     g_hash_table_iter_init(&iterator, connections->all);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         const hs_caller_connection *connection = key;
-        if (!connection->busy && !connection->half_ended && connection->idle_since_ms <= until_ms)
+        if (!connection->busy && !connection->is_receive_shut_down &&
+            connection->idle_since_ms <= idle_since_max_ms)
             g_ptr_array_add(idle, key);
     }
     return idle;
@@ -138,11 +140,11 @@
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&connections->lock);
     uint32_t count = g_hash_table_size(connections->all);
-    if (connections->most > 0 && count >= connections->most * FULL_SHARE) {
-        uint32_t wanted = count - (uint32_t)(connections->most * ROOM_SHARE);
-        GPtrArray *idle = list_idle(connections, now_ms - MIN(now_ms, IDLE_LEAST_MS));
+    if (connections->max_open > 0 && count >= connections->max_open * EVICTION_START_SHARE) {
+        uint32_t excess = count - (uint32_t)(connections->max_open * EVICTION_TARGET_SHARE);
+        GPtrArray *idle = list_idle(connections, now_ms - MIN(now_ms, MIN_IDLE_MS));
         g_ptr_array_sort(idle, compare_idle);
-        for (; ended < MIN(wanted, idle->len); ended++)
+        for (; ended < MIN(excess, idle->len); ended++)
             end_receiving(idle->pdata[ended]);
         g_ptr_array_free(idle, TRUE);
     }
--- a/src/http/caller_connections.h
+++ b/src/http/caller_connections.h
@@ -1,9 +1,9 @@
 /**
  * @file caller_connections.h
- * The open connections of one listener: which are idle, and room for new ones. Shared by threads.
+ * Table of the open connections of one listener. All functions are thread-safe.
  *
- * A listener that has as many connections as it may takes no more, and idle ones would keep callers
- * with requests out. The longest idle are therefore ended before that.
+ * A listener at its connection limit accepts no new connections. The connections that have been
+ * idle for longest are therefore ended before the limit is reached.
  */
 #ifndef HS_HTTP_CALLER_CONNECTIONS_H
 #define HS_HTTP_CALLER_CONNECTIONS_H
@@ -16,33 +16,45 @@
 typedef struct hs_caller_connections hs_caller_connections;
 typedef struct hs_caller_connection hs_caller_connection;
 
-/** @p most: connections that the listener may have; 0: no limit is known. */
-hs_caller_connections *hs_caller_connections_new(uint32_t most);
+/** @p max_open: connection limit of the listener; 0: unknown. */
+hs_caller_connections *hs_caller_connections_new(uint32_t max_open);
 void hs_caller_connections_free(hs_caller_connections *connections);
 
-/** Who calls, callers where it is not set; for connections from now on. */
+/** Sets the kind of connections added later. The default is HS_CONNECTION_CALLER. */
 void hs_caller_connections_set_kind(hs_caller_connections *connections, hs_connection_kind kind);
 
-/** A connection was accepted; the result belongs to the table until its removal. */
+/**
+ * Adds an accepted connection and sets its timeouts. The table owns the result and frees it at its
+ * removal. The descriptor stays with the HTTP library.
+ */
 hs_caller_connection *hs_caller_connections_add(hs_caller_connections *connections, int descriptor);
+/** Removes and frees a connection. Counts it as lost if the kernel timed it out. */
 void hs_caller_connections_remove(hs_caller_connections *connections,
                                   hs_caller_connection *connection);
 
-/** A request was begun on it, or answered to its end. @p connection: NULL is allowed. */
+/** Marks the start (true) or the end (false) of a request. @p connection may be NULL. */
 void hs_caller_connections_set_busy(hs_caller_connections *connections,
                                     hs_caller_connection *connection, bool busy);
 
-/** Its socket, on which the caller's end can be seen; -1: it cannot. NULL is allowed. */
+/**
+ * Returns the socket on which a close by the caller can be detected, or -1 if there is none, as
+ * after the receiving side is shut down. @p connection may be NULL.
+ */
 int hs_caller_connections_watched(hs_caller_connections *connections,
                                   const hs_caller_connection *connection);
 
-/** End the receiving side of all idle ones: what has arrived there is still served. */
+/**
+ * Shuts down the receiving side of all idle connections. Requests that have already arrived on them
+ * are still served.
+ */
 void hs_caller_connections_end_idle(hs_caller_connections *connections);
 
-/** Where few more fit, end the longest idle ones in the same way; how many. */
+/**
+ * If the table is close to its limit, ends the longest idle connections in the same way. Returns
+ * the number of connections ended.
+ */
 uint32_t hs_caller_connections_make_room(hs_caller_connections *connections);
 
-/** Connections now open. */
 uint32_t hs_caller_connections_count(hs_caller_connections *connections);
 
 #endif
--- a/src/http/client_connection.c
+++ b/src/http/client_connection.c
@@ -1,4 +1,4 @@
-/** @file client_connection.c  One connection of our own; see client_connection.h. */
+/** @file client_connection.c  See client_connection.h. */
 #include "http/client_connection.h"
 
 #include "base/clock.h"
@@ -19,11 +19,11 @@
 #include <unistd.h>
 
 #define READ_SIZE 16384
-/** Where an interrupt has no descriptor, it is looked at this often. */
+/** Interval at which an interrupt without a descriptor is checked. */
 #define INTERRUPT_CHECK_MS 250
 #define FIRST_FINAL_STATUS 200
-/** An idle connection keeps room for a body of this size, in bytes. */
-#define KEPT_BODY_BYTES 16384
+/** Largest body buffer that an idle connection retains. */
+#define MAX_RETAINED_BODY_BYTES 16384
 
 struct hs_client_connection {
     int descriptor;
@@ -35,18 +35,18 @@
     bool head_complete;
     bool message_complete;
     bool is_head_method;
-    GByteArray *surplus; /**< Bytes that came after the whole answer. */
+    GByteArray *surplus; /**< Bytes received after the end of the response. */
     bool unfinished_send;
     bool failed;
     size_t sent_bytes;
     GByteArray *body;
-    uint64_t body_received; /**< Bytes of body so far. */
-    uint64_t body_reported; /**< As of the last return of read_body. */
-    uint64_t charged;       /**< To the memory budget, for a body that is read whole. */
-    bool is_guarded;
-    hs_connection_kind kind; /**< Where it is guarded. */
+    uint64_t body_received; /**< Bytes of the body received so far. */
+    uint64_t body_reported; /**< Value of body_received when read_body last returned. */
+    uint64_t charged; /**< Bytes charged to the memory budget, if the whole body is buffered. */
+    bool has_kind;
+    hs_connection_kind kind; /**< Valid if has_kind is set. */
     uint64_t opened_ms;
-    uint32_t requests; /**< Begun on it so far. */
+    uint32_t requests; /**< Requests started so far. */
 };
 
 const char *hs_step_name(hs_step step) {
@@ -72,7 +72,7 @@
 static int on_header_field(http_parser *parser, const char *at, size_t length) {
     hs_client_connection *connection = parser->data;
     flush_field(connection);
-    if (!connection->head_complete) /* Trailers are not passed on. */
+    if (!connection->head_complete) /* Trailers are not forwarded. */
         g_string_append_len(connection->field_name, at, (gssize)length);
     return 0;
 }
@@ -102,7 +102,7 @@
 
 static int on_message_complete(http_parser *parser) {
     hs_client_connection *connection = parser->data;
-    if (!connection->head_complete) { /* An interim answer; the final one follows. */
+    if (!connection->head_complete) { /* An interim response; the final one follows. */
         g_array_set_size(connection->fields, 0);
         return 0;
     }
@@ -124,7 +124,7 @@
     connection->charged = 0;
 }
 
-/** A body that is kept whole has grown; it cannot be refused, since its request has run. */
+/** Charges the growth of a buffered body. Never refuses it, as the request has already run. */
 static void charge_body(hs_client_connection *connection) {
     uint64_t held = hs_memory_block_bytes(connection->body->len);
     if (held <= connection->charged)
@@ -134,7 +134,7 @@
 }
 
 void hs_client_connection_drop_body(hs_client_connection *connection) {
-    bool is_large = connection->body->len > KEPT_BODY_BYTES;
+    bool is_large = connection->body->len > MAX_RETAINED_BODY_BYTES;
     release_body(connection);
     g_byte_array_set_size(connection->body, 0);
     if (!is_large)
@@ -143,7 +143,7 @@
     connection->body = g_byte_array_new();
 }
 
-static void begin_answer(hs_client_connection *connection, bool is_head_method) {
+static void begin_response(hs_client_connection *connection, bool is_head_method) {
     http_parser_init(&connection->parser, HTTP_RESPONSE);
     connection->parser.data = connection;
     g_array_set_size(connection->fields, 0);
@@ -158,14 +158,14 @@
     connection->is_head_method = is_head_method;
 }
 
-/** Feed bytes to the parser; false when they are no answer. */
+/** Feeds bytes to the parser. Returns false if they are no valid response. */
 static bool feed(hs_client_connection *connection, const char *bytes, size_t length) {
-    size_t taken = 0;
+    size_t consumed = 0;
     if (!connection->message_complete)
-        taken = http_parser_execute(&connection->parser, &parser_callbacks, bytes, length);
+        consumed = http_parser_execute(&connection->parser, &parser_callbacks, bytes, length);
     if (connection->message_complete) {
-        g_byte_array_append(connection->surplus, (const guint8 *)bytes + taken,
-                            (guint)(length - taken));
+        g_byte_array_append(connection->surplus, (const guint8 *)bytes + consumed,
+                            (guint)(length - consumed));
         return true;
     }
     return HTTP_PARSER_ERRNO(&connection->parser) == HPE_OK;
@@ -176,22 +176,22 @@
     return step;
 }
 
-/** A call of the kernel on the connection failed with @p cause. */
-static hs_step fail_with(hs_client_connection *connection, int cause) {
+/** Handles a system call on the connection that failed with errno @p cause. */
+static hs_step fail_with_errno(hs_client_connection *connection, int cause) {
     if (cause == ETIMEDOUT)
         return hs_client_connection_lose(connection, "kernel");
     return fail(connection, HS_STEP_CUT);
 }
 
-/** How long one poll may last. */
-static int poll_limit(const hs_wait *wait, uint64_t now_ms, int interrupt_descriptor) {
+/** Returns the timeout of one poll call in ms. */
+static int poll_timeout_ms(const hs_wait *wait, uint64_t now_ms, int interrupt_descriptor) {
     uint64_t left = MIN(wait->deadline - now_ms, HS_CLOCK_WAKE_MS);
     if (wait->interrupt != NULL && interrupt_descriptor < 0)
         left = MIN(left, INTERRUPT_CHECK_MS);
     return (int)left;
 }
 
-/** Wait for @p events on the socket; HS_STEP_PROGRESS with @p ready when some came. */
+/** Waits for @p events on the socket. HS_STEP_PROGRESS: @p ready holds those that occurred. */
 static hs_step wait_for(int descriptor, short events, const hs_wait *wait, short *ready) {
     enum { OWN, WATCHED, INTERRUPT, POLLED };
     int interrupt_descriptor =
@@ -207,7 +207,7 @@
             [WATCHED] = {.fd = wait->watched, .events = POLLRDHUP},
             [INTERRUPT] = {.fd = interrupt_descriptor, .events = POLLIN},
         };
-        int count = poll(polled, POLLED, poll_limit(wait, now_ms, interrupt_descriptor));
+        int count = poll(polled, POLLED, poll_timeout_ms(wait, now_ms, interrupt_descriptor));
         if (count < 0 && errno != EINTR)
             return HS_STEP_CUT;
         if (polled[WATCHED].revents != 0)
@@ -263,12 +263,12 @@
 }
 
 void hs_client_connection_guard(hs_client_connection *connection, hs_connection_kind kind) {
-    connection->is_guarded = true;
+    connection->has_kind = true;
     connection->kind = kind;
     hs_connection_guard(connection->descriptor, kind);
 }
 
-/** What the kernel still holds of the request is dropped at the close, so that it never arrives. */
+/** Makes close() discard request bytes that the kernel has not delivered yet. */
 static void reset_at_close(int descriptor) {
     struct linger at_once = {.l_onoff = 1, .l_linger = 0};
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
@@ -277,7 +277,7 @@
 hs_step hs_client_connection_lose(hs_client_connection *connection, const char *noticed_by) {
     connection->failed = true;
     reset_at_close(connection->descriptor);
-    if (connection->is_guarded)
+    if (connection->has_kind)
         hs_connection_note_loss(connection->kind, hs_clock_monotonic_ms() - connection->opened_ms,
                                 noticed_by);
     return HS_STEP_LOST;
@@ -300,16 +300,16 @@
     g_free(connection);
 }
 
-/** Take what the socket holds into the parser. */
+/** Feeds the bytes that the socket holds to the parser, without waiting. */
 static hs_step receive_some(hs_client_connection *connection) {
     char buffer[READ_SIZE];
     ssize_t length = recv(connection->descriptor, buffer, sizeof buffer, MSG_DONTWAIT);
     if (length < 0 && (errno == EAGAIN || errno == EINTR))
         return HS_STEP_PROGRESS;
     if (length < 0)
-        return fail_with(connection, errno);
+        return fail_with_errno(connection, errno);
     if (length == 0) {
-        /* An answer without a length ends with its connection. */
+        /* A response without a length ends with the connection. */
         http_parser_execute(&connection->parser, &parser_callbacks, NULL, 0);
         connection->failed = true;
         return connection->message_complete ? HS_STEP_COMPLETE : HS_STEP_CUT;
@@ -319,7 +319,8 @@
     return connection->message_complete ? HS_STEP_COMPLETE : HS_STEP_PROGRESS;
 }
 
-static hs_step fill(hs_client_connection *connection, const hs_wait *wait) {
+/** Waits for bytes and feeds them to the parser. */
+static hs_step wait_and_receive(hs_client_connection *connection, const hs_wait *wait) {
     short ready = 0;
     hs_step step = wait_for(connection->descriptor, POLLIN, wait, &ready);
     if (step != HS_STEP_PROGRESS)
@@ -327,7 +328,7 @@
     return receive_some(connection);
 }
 
-/** Write what is left of the request; the bytes written, or -1. */
+/** Writes the rest of the request. Returns the number of bytes written, or -1. */
 static ssize_t write_some(hs_client_connection *connection, const GString *head, const void *body,
                           size_t body_length) {
     size_t sent = connection->sent_bytes;
@@ -344,7 +345,7 @@
 hs_step hs_client_connection_send(hs_client_connection *connection, const GString *head,
                                   const void *body, size_t body_length, bool is_head_method,
                                   const hs_wait *wait) {
-    begin_answer(connection, is_head_method);
+    begin_response(connection, is_head_method);
     connection->requests++;
     connection->sent_bytes = 0;
     size_t total = head->len + body_length;
@@ -355,12 +356,12 @@
             continue;
         }
         if (written < 0 && errno != EAGAIN && errno != EINTR)
-            return fail_with(connection, errno);
+            return fail_with_errno(connection, errno);
         short ready = 0;
         hs_step step = wait_for(connection->descriptor, POLLIN | POLLOUT, wait, &ready);
         if (step == HS_STEP_PROGRESS && (ready & POLLIN) != 0)
             step = receive_some(connection);
-        if (step == HS_STEP_COMPLETE) { /* Answered before the body was in. */
+        if (step == HS_STEP_COMPLETE) { /* The response came before the end of the body. */
             connection->unfinished_send = true;
             return HS_STEP_PROGRESS;
         }
@@ -372,17 +373,17 @@
 
 hs_step hs_client_connection_await_sign(hs_client_connection *connection, uint32_t limit_ms,
                                         const hs_wait *wait) {
-    hs_wait patience = *wait;
-    patience.deadline = MIN(wait->deadline, hs_clock_monotonic_ms() + limit_ms);
+    hs_wait limited_wait = *wait;
+    limited_wait.deadline = MIN(wait->deadline, hs_clock_monotonic_ms() + limit_ms);
     if (connection->message_complete || limit_ms == 0)
         return HS_STEP_PROGRESS;
     short ready = 0;
-    hs_step step = wait_for(connection->descriptor, POLLIN, &patience, &ready);
+    hs_step step = wait_for(connection->descriptor, POLLIN, &limited_wait, &ready);
     if (step == HS_STEP_PROGRESS)
         return step;
     if (step != HS_STEP_DEADLINE)
         return fail(connection, step);
-    /* The last byte may have gone a moment after the wait began. */
+    /* Half the limit: the last byte may have been sent after the start of the wait. */
     if (hs_connection_is_unacknowledged(connection->descriptor, limit_ms / 2))
         return hs_client_connection_lose(connection, "unacknowledged");
     return HS_STEP_PROGRESS;
@@ -395,24 +396,25 @@
 hs_step hs_client_connection_read_head(hs_client_connection *connection, const hs_wait *wait) {
     hs_step step = HS_STEP_PROGRESS;
     while (!connection->head_complete && step == HS_STEP_PROGRESS)
-        step = fill(connection, wait);
-    if (connection->head_complete && step == HS_STEP_CUT) /* The body's reader sees the cut. */
+        step = wait_and_receive(connection, wait);
+    if (connection->head_complete && step == HS_STEP_CUT) /* read_body reports the failure. */
         step = HS_STEP_PROGRESS;
     return connection->message_complete ? HS_STEP_COMPLETE : step;
 }
 
-/** Whether body bytes came since read_body last returned; the caller may have left older ones. */
-static bool has_news(const hs_client_connection *connection) {
+/** Whether body bytes came since read_body last returned. */
+static bool has_new_body_bytes(const hs_client_connection *connection) {
     return connection->body_received > connection->body_reported;
 }
 
 hs_step hs_client_connection_read_body(hs_client_connection *connection, const hs_wait *wait) {
     hs_step step = HS_STEP_PROGRESS;
-    while (!has_news(connection) && !connection->message_complete && step == HS_STEP_PROGRESS)
-        step = connection->failed ? HS_STEP_CUT : fill(connection, wait);
+    while (!has_new_body_bytes(connection) && !connection->message_complete &&
+           step == HS_STEP_PROGRESS)
+        step = connection->failed ? HS_STEP_CUT : wait_and_receive(connection, wait);
     if (connection->message_complete)
         step = HS_STEP_COMPLETE;
-    else if (has_news(connection))
+    else if (has_new_body_bytes(connection))
         step = HS_STEP_PROGRESS;
     connection->body_reported = connection->body_received;
     return step;
@@ -435,7 +437,7 @@
             return HS_STEP_CUT;
         if (connection->body->len > limit)
             return HS_STEP_INVALID;
-        hs_step step = fill(connection, wait);
+        hs_step step = wait_and_receive(connection, wait);
         charge_body(connection);
         if (step != HS_STEP_PROGRESS && step != HS_STEP_COMPLETE)
             return step;
@@ -449,7 +451,7 @@
         return false;
     GByteArray *rest = connection->surplus;
     connection->surplus = g_byte_array_new();
-    begin_answer(connection, connection->is_head_method);
+    begin_response(connection, connection->is_head_method);
     bool well_formed = rest->len == 0 || feed(connection, (const char *)rest->data, rest->len);
     g_byte_array_free(rest, TRUE);
     return well_formed;
--- a/src/http/connection_guard.h
+++ b/src/http/connection_guard.h
@@ -1,9 +1,9 @@
 /**
  * @file connection_guard.h
- * Connections that go silent without an end: what the kernel tells of them, and their count.
+ * Detection of TCP connections that stop responding without being closed: the kernel's timeouts,
+ * its connection state, and counters of lost connections.
  *
- * Bounds, counts and log lines are the process's, as the log is; all functions are safe from any
- * thread.
+ * Timeouts and counters are global to the process. All functions are thread-safe.
  */
 #ifndef HS_HTTP_CONNECTION_GUARD_H
 #define HS_HTTP_CONNECTION_GUARD_H
@@ -11,7 +11,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Whom a connection leads to, or comes from. */
+/** The kind of peer at the other end of a connection. */
 typedef enum {
     HS_CONNECTION_CALLER,
     HS_CONNECTION_DAEMON,
@@ -20,53 +20,53 @@
     HS_CONNECTION_KINDS
 } hs_connection_kind;
 
-/** Times in ms; 0: not bounded. */
+/** Timeouts in ms; 0: no timeout. */
 typedef struct {
-    /** Without a sign of the other side's kernel, after which the own one ends a connection. */
+    /** Time without a packet from the peer's kernel after which a connection is ended, by kind. */
     uint32_t kernel_ms[HS_CONNECTION_KINDS];
-    /** A request that may be repeated stays unacknowledged on a kept connection. */
+    /** Time for which a repeatable request may stay unacknowledged on a reused connection. */
     uint32_t repeat_unacknowledged_ms;
-    /** The same for one that may run once. */
+    /** The same for a request that must not run twice. */
     uint32_t once_unacknowledged_ms;
-    /** Idle time up to which a kept connection gets a request that may run once. */
+    /** Idle time up to which a connection is reused for a request that must not run twice. */
     uint32_t once_idle_ms;
 } hs_connection_bounds;
 
-/** Name of a kind, for logs and metrics. */
+/** Returns the name of a kind, for logs and metrics. */
 const char *hs_connection_kind_name(hs_connection_kind kind);
 
-/** Set the bounds of connections from now on; before the first one, all are 0. */
-void hs_connection_bounds_set(const hs_connection_bounds *bounds);
+/** Sets the timeouts of connections opened later. Until the first call all are 0. */
+void hs_connection_bounds_set(const hs_connection_bounds *timeouts);
 hs_connection_bounds hs_connection_bounds_get(void);
 
-/** Let the kernel end a silent TCP connection within its kind's bound. */
+/** Sets the kernel's timeouts of a TCP connection, unless the timeout of its kind is 0. */
 void hs_connection_guard(int descriptor, hs_connection_kind kind);
 
 /**
- * Whether bytes are on their way and none was acknowledged for @p limit_ms. A peer that is slow to
- * read acknowledges; false where the kernel does not tell.
+ * Whether bytes are in flight and the last acknowledgement is at least @p limit_ms old. The kernel
+ * of a peer that reads slowly still acknowledges. Returns false if the state cannot be read.
  */
 bool hs_connection_is_unacknowledged(int descriptor, uint32_t limit_ms);
 
 /**
- * Keep a stalled connection: its other side takes no bytes, but its kernel gave a sign within the
- * bound. Without this the kernel ends it after the bound, whatever signs come. To be called
- * repeatedly while it is stalled. The kernel goes on counting that time when the other side takes
- * bytes again, so that the wider bound stays. @p open_ms: at least the time for which nothing may
- * have been taken.
+ * Extends the timeout of a stalled connection: the peer reads no bytes, but its kernel responded
+ * within the timeout. Without the extension the kernel ends the connection even though the peer's
+ * kernel responds. Called repeatedly during the stall. The extended timeout stays in force, since
+ * the kernel does not restart its count when the peer reads again. @p open_ms: upper bound of the
+ * time since the peer last read bytes.
  */
 void hs_connection_keep_stalled(int descriptor, hs_connection_kind kind, uint64_t open_ms);
 
-/** Whether the kernel gave the connection up after it sent again or probed in vain. */
+/** Whether the kernel closed the connection after unanswered retransmissions or probes. */
 bool hs_connection_has_timed_out(int descriptor);
 
 /**
- * Log and count one lost connection. @p age_ms: since it was opened. @p noticed_by: "kernel",
+ * Logs and counts a lost connection. @p age_ms: time since it was opened. @p noticed_by: "kernel",
  * "unacknowledged" or "timeout".
  */
 void hs_connection_note_loss(hs_connection_kind kind, uint64_t age_ms, const char *noticed_by);
 
-/** Lost connections of a kind so far. */
+/** Returns the number of connections of a kind lost since the start of the process. */
 uint64_t hs_connection_losses(hs_connection_kind kind);
 
 #endif
--- a/src/http/connection_plan.c
+++ b/src/http/connection_plan.c
@@ -3,34 +3,30 @@
 
 #include <glib.h>
 
-/** Kept for what is no listener's: one in four, for kept connections to engines, the store, logs.
- */
-#define KEPT_PARTS 4
-/** Connections of other daemons: one in eight, a call each; at most some from each of 360 daemons.
- */
-#define PEERS_PARTS 8
-/** Their bounds, in connections: a small fleet's calls, and some three from each of 360 daemons. */
-#define PEERS_LEAST 16
-#define PEERS_MOST 1024 /* Connections. */
-/** Each of the others: one in 32; a question each of the platform's and of callers that resolve. */
-#define OTHER_PARTS 32
-/** Their bounds, in connections. Chosen, not measured. */
-#define OTHER_LEAST 8
-#define OTHER_MOST 128 /* Connections. */
-/** Readiness, resolving, metrics. */
+/** Divisor for the descriptors reserved for idle connections to engines, the store and logs. */
+#define RESERVED_DIVISOR 4
+/** Divisor for the connections of other daemons. */
+#define PEERS_DIVISOR 8
+#define MIN_PEER_CONNECTIONS 16
+#define MAX_PEER_CONNECTIONS 1024
+/** Divisor for the connections of each other listener. */
+#define OTHER_DIVISOR 32
+#define MIN_OTHER_CONNECTIONS 8
+#define MAX_OTHER_CONNECTIONS 128
+/** Listeners for readiness, resolving and metrics. */
 #define OTHER_LISTENERS 3
-/** Callers at least, whatever the limit: fewer would serve nobody. Chosen, not measured. */
-#define FRONT_LEAST 8
-/** Each has a thread: with some 60 kB a connection, a hundred and twenty megabytes. */
-#define FRONT_MOST 2048
+/** Callers' connections allowed even if the descriptor limit is too low for them. */
+#define MIN_FRONT_CONNECTIONS 8
+/** Bounds the memory of connections, as each has a thread. */
+#define MAX_FRONT_CONNECTIONS 2048
 
 hs_connection_plan hs_connection_plan_make(uint32_t descriptors, uint32_t per_request) {
     hs_connection_plan plan = {
-        .peers = CLAMP(descriptors / PEERS_PARTS, PEERS_LEAST, PEERS_MOST),
-        .other = CLAMP(descriptors / OTHER_PARTS, OTHER_LEAST, OTHER_MOST),
+        .peers = CLAMP(descriptors / PEERS_DIVISOR, MIN_PEER_CONNECTIONS, MAX_PEER_CONNECTIONS),
+        .other = CLAMP(descriptors / OTHER_DIVISOR, MIN_OTHER_CONNECTIONS, MAX_OTHER_CONNECTIONS),
     };
-    uint32_t taken = descriptors / KEPT_PARTS + plan.peers + OTHER_LISTENERS * plan.other;
-    uint32_t left = descriptors > taken ? descriptors - taken : 0;
-    plan.front = CLAMP(left / per_request, FRONT_LEAST, FRONT_MOST);
+    uint32_t reserved = descriptors / RESERVED_DIVISOR + plan.peers + OTHER_LISTENERS * plan.other;
+    uint32_t available = descriptors > reserved ? descriptors - reserved : 0;
+    plan.front = CLAMP(available / per_request, MIN_FRONT_CONNECTIONS, MAX_FRONT_CONNECTIONS);
     return plan;
 }
--- a/src/http/connection_probe.c
+++ b/src/http/connection_probe.c
@@ -8,11 +8,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** Bytes of an answer's body at most: the paths that are asked answer a few words. */
-#define ANSWER_BYTES_MOST 1024
+/** Limit of the response body. */
+#define MAX_RESPONSE_BODY_BYTES 1024
 
-/** Wait until a connect under way has ended; false when it failed or the time is up. */
-static bool is_connected(int descriptor, hs_deadline deadline) {
+/** Waits for a pending connect. Returns false if it failed or the deadline passed. */
+static bool await_connected(int descriptor, hs_deadline deadline) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     struct pollfd polled = {.fd = descriptor, .events = POLLOUT};
     int failure = 0;
@@ -21,26 +21,26 @@
            getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &failure, &length) == 0 && failure == 0;
 }
 
-/** A connected socket and its own address; -1 with @p step. */
+/** Returns a connected socket and its local address, or -1 with the reason in @p step. */
 static int connect_probe(const struct sockaddr_in *to, hs_deadline deadline,
-                         struct sockaddr_in *own, hs_step *step) {
+                         struct sockaddr_in *local, hs_step *step) {
     int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     *step = HS_STEP_CUT;
     if (descriptor < 0)
         return -1;
-    socklen_t length = sizeof *own;
-    bool begun =
+    socklen_t length = sizeof *local;
+    bool started =
         connect(descriptor, (const struct sockaddr *)to, sizeof *to) == 0 || errno == EINPROGRESS;
-    if (begun && is_connected(descriptor, deadline) &&
-        getsockname(descriptor, (struct sockaddr *)own, &length) == 0)
+    if (started && await_connected(descriptor, deadline) &&
+        getsockname(descriptor, (struct sockaddr *)local, &length) == 0)
         return descriptor;
     *step = hs_clock_monotonic_ms() >= deadline ? HS_STEP_DEADLINE : HS_STEP_CUT;
     close(descriptor);
     return -1;
 }
 
-static hs_step ask(const hs_connection_probe *probe, hs_client_connection *connection,
-                   hs_deadline deadline) {
+static hs_step request_target(const hs_connection_probe *probe, hs_client_connection *connection,
+                              hs_deadline deadline) {
     hs_wait wait = {.deadline = deadline, .watched = HS_WATCH_NOTHING};
     GString *head = g_string_new(NULL);
     g_string_printf(head, "GET %s HTTP/1.1\r\nHost: localhost\r\nConnection: close\r\n\r\n",
@@ -48,7 +48,7 @@
     hs_step step = hs_client_connection_send(connection, head, NULL, 0, false, &wait);
     g_string_free(head, TRUE);
     if (step == HS_STEP_PROGRESS)
-        step = hs_client_connection_read_all(connection, ANSWER_BYTES_MOST, &wait);
+        step = hs_client_connection_read_all(connection, MAX_RESPONSE_BODY_BYTES, &wait);
     return step;
 }
 
@@ -56,17 +56,17 @@
     struct sockaddr_in to = {.sin_family = AF_INET,
                              .sin_port = htons(probe->port),
                              .sin_addr.s_addr = htonl(probe->address)};
-    struct sockaddr_in own = {0};
+    struct sockaddr_in local = {0};
     hs_step step = HS_STEP_CUT;
-    int descriptor = connect_probe(&to, deadline, &own, &step);
+    int descriptor = connect_probe(&to, deadline, &local, &step);
     if (descriptor < 0)
         return step;
     if (probe->listener != NULL)
-        hs_listener_expect_own(probe->listener, &own);
+        hs_listener_set_probe_address(probe->listener, &local);
     hs_client_connection *connection = hs_client_connection_adopt(descriptor);
-    step = ask(probe, connection, deadline);
+    step = request_target(probe, connection, deadline);
     hs_client_connection_close(connection);
     if (probe->listener != NULL)
-        hs_listener_expect_own(probe->listener, NULL);
+        hs_listener_set_probe_address(probe->listener, NULL);
     return step;
 }
--- a/src/http/connection_probe.h
+++ b/src/http/connection_probe.h
@@ -1,7 +1,7 @@
 /**
  * @file connection_probe.h
- * Whether a listener of the own process takes connections: found out by being its caller. Only
- * that sees all of it: a full queue, a limit that is reached, descriptors or threads that lack.
+ * Checks whether a listener of this process accepts connections, by sending it a request. The check
+ * covers a full listen queue, the connection limit, and a lack of descriptors or threads.
  */
 #ifndef HS_HTTP_CONNECTION_PROBE_H
 #define HS_HTTP_CONNECTION_PROBE_H
@@ -9,18 +9,19 @@
 #include "http/client_connection.h"
 #include "http/listener.h"
 
-/** Where to connect, and what to ask there. */
+/** The address and the request of a probe. */
 typedef struct {
     uint32_t address; /**< IPv4, host order. */
     uint16_t port;
-    const char *target;    /**< A path that any daemon answers, whatever the status. */
-    hs_listener *listener; /**< Answers the probe past its handler; NULL: it has a path for it. */
+    const char *target;    /**< Path to request. Any response status is a success. */
+    hs_listener *listener; /**< Answers the probe without its handler; NULL: the handler answers. */
 } hs_connection_probe;
 
 /**
- * Connect and wait for a whole answer. HS_STEP_COMPLETE: the connection was taken. Otherwise how
- * that failed: HS_STEP_DEADLINE, at @p deadline, or HS_STEP_CUT, without an own descriptor or
- * thread. One probe of a listener at a time.
+ * Connects and waits for a complete response. Returns HS_STEP_COMPLETE if the listener accepted the
+ * connection and responded. Otherwise the result says how the probe failed: HS_STEP_DEADLINE at
+ * @p deadline, HS_STEP_CUT for example without a free descriptor or thread. Only one probe of a
+ * listener may run at a time.
  */
 hs_step hs_connection_probe_run(const hs_connection_probe *probe, hs_deadline deadline);
 
--- a/src/http/error_body.c
+++ b/src/http/error_body.c
@@ -1,4 +1,4 @@
-/** @file error_body.c  Error answers; see error_body.h. */
+/** @file error_body.c  See error_body.h. */
 #include "http/error_body.h"
 
 #include <glib.h>
--- a/src/http/front_watch.h
+++ b/src/http/front_watch.h
@@ -1,7 +1,8 @@
 /**
  * @file front_watch.h
- * Whether the front listener takes new connections, by asking it again and again, and room in all
- * listeners. A daemon that does not take connections must not say that it is ready.
+ * Probes the front listener periodically, and ends idle connections of listeners that are close to
+ * their connection limit. A daemon whose front listener accepts no connections must not report
+ * itself ready. All functions are thread-safe, except stop and free.
  */
 #ifndef HS_HTTP_FRONT_WATCH_H
 #define HS_HTTP_FRONT_WATCH_H
@@ -9,32 +10,38 @@
 #include "http/caller_connections.h"
 #include "http/connection_probe.h"
 
-/** Listeners of one daemon: callers, readiness, resolving, metrics, other daemons. */
+/** Listeners of one daemon: front, readiness, resolving, metrics, other daemons. */
 #define HS_WATCHED_LISTENERS_MOST 5
 
 typedef struct hs_front_watch hs_front_watch;
 
-/** What is watched. All borrowed. */
+/** What is watched. All pointers are borrowed. */
 typedef struct {
-    hs_connection_probe probe; /**< Address 0: of a listener on all addresses. */
-    hs_caller_connections *connections[HS_WATCHED_LISTENERS_MOST]; /**< Of listeners, the front's
-                                                                      first; NULL: none. */
-    uint32_t contact_ms; /**< Time within which a ready daemon takes a connection. */
+    hs_connection_probe probe; /**< Address 0: the listener listens on all addresses. */
+    /** Of each listener, the front listener first; NULL: no listener. */
+    hs_caller_connections *connections[HS_WATCHED_LISTENERS_MOST];
+    uint32_t contact_ms; /**< Time within which a ready daemon accepts a connection. */
 } hs_front_watch_settings;
 
-/** Start watching, in threads of its own. */
+/** Starts the threads that probe and that end idle connections. */
 hs_front_watch *hs_front_watch_start(const hs_front_watch_settings *settings);
 
-/** Whether the front took the last connection that was tried. */
+/** Whether the last probe of the front listener succeeded. */
 bool hs_front_watch_is_taking(hs_front_watch *watch);
 
-/** The front is about to take none any more: try no further ones. */
+/** Stops probing, before the front listener stops accepting. The last result stays in force. */
 void hs_front_watch_leave(hs_front_watch *watch);
 
-/** End its threads, before the listeners are freed; the word stands. NULL is allowed. */
+/**
+ * Ends the threads; to be called before the listeners are freed. The last result stays readable.
+ * NULL is allowed.
+ */
 void hs_front_watch_stop(hs_front_watch *watch);
 
-/** Free once stopped, after the listeners that ask it are. NULL is allowed. */
+/**
+ * Frees a stopped watch; to be called after the listeners whose handlers read the result are freed.
+ * NULL is allowed.
+ */
 void hs_front_watch_free(hs_front_watch *watch);
 
 #endif
--- a/src/http/http_fields.c
+++ b/src/http/http_fields.c
@@ -1,4 +1,4 @@
-/** @file http_fields.c  Lists of header fields; see http_fields.h. */
+/** @file http_fields.c  See http_fields.h. */
 #include "http/http_fields.h"
 
 #include <string.h>
--- a/src/http/http_fields.h
+++ b/src/http/http_fields.h
@@ -1,6 +1,7 @@
 /**
  * @file http_fields.h
- * Header fields in the order they came, with those that come twice; a map would keep only one.
+ * A list of header fields that keeps their order and repeated fields, which a map would lose. Not
+ * thread-safe.
  */
 #ifndef HS_HTTP_HTTP_FIELDS_H
 #define HS_HTTP_HTTP_FIELDS_H
@@ -12,22 +13,25 @@
     char *value;
 } hs_http_field;
 
-/** Make an empty list; free with hs_http_fields_free. */
+/** Returns an empty list of hs_http_field. Free with hs_http_fields_free. */
 GArray *hs_http_fields_new(void);
 
-/** NULL is allowed. */
+/** Frees the list and its fields. NULL is allowed. */
 void hs_http_fields_free(GArray *fields);
 
-/** Append a copy of a field. */
+/** Appends a copy of a field. */
 void hs_http_fields_add(GArray *fields, const char *name, const char *value);
 
-/** First value under @p name, whatever its case, or NULL. Borrowed. */
+/** Returns the first value of field @p name (case-insensitive), or NULL. Borrowed. */
 const char *hs_http_fields_find(const GArray *fields, const char *name);
 
-/** Whether @p token stands in the comma-separated value of some field @p name. */
+/** Whether any field @p name has @p token in its comma-separated value (case-insensitive). */
 gboolean hs_http_fields_has_token(const GArray *fields, const char *name, const char *token);
 
-/** Whether a field concerns one connection only and is not passed on, named by @p fields too. */
+/**
+ * Whether field @p name applies to a single connection and is not forwarded: one of the standard
+ * hop-by-hop fields, or listed in the Connection field of @p fields.
+ */
 gboolean hs_http_fields_is_hop_by_hop(const GArray *fields, const char *name);
 
 #endif
--- a/src/http/http_server.c
+++ b/src/http/http_server.c
@@ -1,4 +1,4 @@
-/** @file http_server.c  Listener over ulfius; see http_server.h. */
+/** @file http_server.c  See http_server.h. */
 #include "http/http_server.h"
 
 #include "base/peer_watch.h"
@@ -21,11 +21,11 @@
     size_t max_header_bytes;
     bool started;
     int quiesced_socket;
-    uint32_t connections_most;
+    uint32_t max_open_connections;
     hs_caller_connections *connections; /**< NULL before start. */
 };
 
-/** The socket of the connection that a thread serves: each connection has a thread of its own. */
+/** The socket of the connection that this thread serves. */
 static _Thread_local int thread_descriptor = -1;
 
 static void note_connection(void *data, struct MHD_Connection *connection, void **state,
@@ -48,7 +48,7 @@
     return info != NULL ? info->socket_context : NULL;
 }
 
-/** Called as a request begins, in its connection's thread. */
+/** Called at the start of a request, on the thread of its connection. */
 static void *begin_request(void *data, const char *target, struct MHD_Connection *connection) {
     hs_http_server *server = data;
     hs_caller_connection *caller = connection_of(connection);
@@ -82,9 +82,9 @@
                                                           .message = "no such path"});
 }
 
-/** Bytes of all header lines as they came. */
+/** Returns the size in bytes of the request target and all header lines. */
 static size_t header_bytes(const struct _u_request *request) {
-    static const size_t separators = 4; /* ": " and the line's end */
+    static const size_t separators = 4; /* ": " and CRLF */
     size_t total = strlen(request->http_url);
     for (int index = 0; index < request->map_header->nb_values; index++)
         total += strlen(request->map_header->keys[index]) + request->map_header->lengths[index] +
@@ -99,7 +99,7 @@
                                           request->binary_body_length > server->max_body_bytes);
 }
 
-/** Runs before every handler: refuses a head or a body over the limit. */
+/** Runs before every handler. Refuses requests with a head or a body over the limit. */
 static int check_size(const struct _u_request *request, struct _u_response *response,
                       void *user_data) {
     const hs_http_server *server = user_data;
@@ -130,10 +130,9 @@
         return NULL;
     }
     server->max_body_bytes = max_body_bytes;
-    /* Bodies are taken raw: a broken form must get an answer, not a dropped connection. */
+    /* Bodies are read raw: ulfius closes the connection on a malformed form without a response. */
     server->instance.allowed_post_processor = U_POST_PROCESS_NONE;
-    /* One byte above the limit, so that an oversized chunked body is seen as such, not cut short.
-     */
+    /* One byte above the limit, so that a truncated chunked body is detected as oversized. */
     server->instance.max_post_body_size = max_body_bytes == 0 ? 0 : max_body_bytes + 1;
     ulfius_set_default_endpoint(&server->instance, reply_not_found, NULL);
     return server;
@@ -159,10 +158,10 @@
         {MHD_OPTION_SOCK_ADDR, 0, &server->address},
         {MHD_OPTION_END, 0, NULL},
         {MHD_OPTION_END, 0, NULL}};
-    if (server->connections_most > 0)
+    if (server->max_open_connections > 0)
         options[G_N_ELEMENTS(options) - 2] = (struct MHD_OptionItem){
-            MHD_OPTION_CONNECTION_LIMIT, (intptr_t)server->connections_most, NULL};
-    server->connections = hs_caller_connections_new(server->connections_most);
+            MHD_OPTION_CONNECTION_LIMIT, (intptr_t)server->max_open_connections, NULL};
+    server->connections = hs_caller_connections_new(server->max_open_connections);
     unsigned int flags =
         MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL;
     if (ulfius_start_framework_with_mhd_options(&server->instance, flags, options) != U_OK)
@@ -172,8 +171,8 @@
     return 0;
 }
 
-void hs_http_server_limit_connections(hs_http_server *server, uint32_t most) {
-    server->connections_most = most;
+void hs_http_server_limit_connections(hs_http_server *server, uint32_t max_open) {
+    server->max_open_connections = max_open;
 }
 
 hs_caller_connections *hs_http_server_connections(hs_http_server *server) {
--- a/src/http/listener.c
+++ b/src/http/listener.c
@@ -1,4 +1,4 @@
-/** @file listener.c  Listener on libmicrohttpd; see listener.h. */
+/** @file listener.c  See listener.h. */
 #include "http/listener.h"
 
 #include "base/clock.h"
@@ -11,12 +11,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define CONNECTION_MEMORY (48 * 1024)
+#define CONNECTION_MEMORY_BYTES (48 * 1024)
 #define THREAD_STACK_BYTES (256 * 1024)
 #define LISTEN_BACKLOG 1024
-#define STREAM_BLOCK 16384
-#define FIRST_IDLE_TIMEOUT_S 60
-/** Send buffer of a caller's socket where memory is bounded, in bytes; the kernel doubles it. */
+#define STREAM_BLOCK_BYTES 16384
+#define DEFAULT_IDLE_TIMEOUT_S 60
+/** Send buffer of a caller's socket if a memory budget is set. The kernel doubles the value. */
 #define SEND_BUFFER_BYTES (32 * 1024)
 
 struct hs_listener {
@@ -27,10 +27,10 @@
     gint idle_timeout_s;
     gint closes_after_answers;
     gint open_requests;
-    int quiesced_socket; /**< Former listening socket; -1: still listening. */
+    int quiesced_socket; /**< Listening socket after hs_listener_quiesce; -1 before. */
     hs_caller_connections *connections;
     GMutex lock;
-    struct sockaddr_in own_caller; /**< Of a probe under way; port 0: none. Under the lock. */
+    struct sockaddr_in probe_address; /**< Of a running probe; port 0: none. Under the lock. */
 };
 
 static hs_caller_connection *connection_of(struct MHD_Connection *connection) {
@@ -39,7 +39,7 @@
     return info != NULL ? info->socket_context : NULL;
 }
 
-/** The kernel's send buffer of a caller takes the machine's memory too. */
+/** Limits the kernel's send buffer, which the memory budget does not count, if a budget is set. */
 static void bound_send_buffer(int descriptor) {
     int bytes = SEND_BUFFER_BYTES;
     if (hs_memory_budget_get() > 0 && descriptor >= 0)
@@ -65,7 +65,7 @@
     hs_caller_connections_set_busy(listener->connections, connection_of(connection), busy);
 }
 
-/** Called with the raw target before the head is read; its result is the request's state. */
+/** Called with the raw target before the head is read. Returns the state of the request. */
 static void *begin_request(void *data, const char *target, struct MHD_Connection *connection) {
     hs_inbound *inbound = g_new0(hs_inbound, 1);
     inbound->listener = data;
@@ -80,7 +80,7 @@
     return inbound;
 }
 
-/** Give back what is kept of a body. */
+/** Frees the received part of a body and releases its memory charge. */
 static void drop_body(hs_inbound *inbound) {
     g_byte_array_free(inbound->body, TRUE);
     inbound->body = g_byte_array_new();
@@ -99,7 +99,7 @@
     g_free(inbound);
 }
 
-/** The library says so before it releases the answer, where the caller's connection ended. */
+/** Called at the end of a request; if the caller disconnected, before the response is released. */
 static void end_request(void *data, struct MHD_Connection *connection, void **state,
                         enum MHD_RequestTerminationCode reason) {
     (void)data;
@@ -113,14 +113,14 @@
     unref_inbound(inbound);
 }
 
-static enum MHD_Result take_field(void *data, enum MHD_ValueKind kind, const char *name,
-                                  const char *value) {
+static enum MHD_Result add_field(void *data, enum MHD_ValueKind kind, const char *name,
+                                 const char *value) {
     (void)kind;
     hs_http_fields_add(data, name, value != NULL ? value : "");
     return MHD_YES;
 }
 
-/** The caller's end of its connection; NULL: not known. */
+/** Returns the caller's address, or NULL if it is unknown. */
 static const struct sockaddr_in *caller_of(const hs_inbound *inbound) {
     const union MHD_ConnectionInfo *info =
         MHD_get_connection_info(inbound->connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
@@ -129,20 +129,20 @@
     return (const struct sockaddr_in *)(const void *)info->client_addr;
 }
 
-static void take_head(hs_inbound *inbound, const char *method, const char *version) {
-    inbound->lacks_chunks = strcmp(version, MHD_HTTP_VERSION_1_0) == 0;
+static void read_request_head(hs_inbound *inbound, const char *method, const char *version) {
+    inbound->is_http_1_0 = strcmp(version, MHD_HTTP_VERSION_1_0) == 0;
     inbound->method = g_strdup(method);
     inbound->received_ms = hs_clock_monotonic_ms();
     const struct sockaddr_in *caller = caller_of(inbound);
     inbound->caller_address = caller != NULL ? ntohl(caller->sin_addr.s_addr) : 0;
-    MHD_get_connection_values(inbound->connection, MHD_HEADER_KIND, take_field, inbound->fields);
+    MHD_get_connection_values(inbound->connection, MHD_HEADER_KIND, add_field, inbound->fields);
     inbound->descriptor = hs_caller_connections_watched(inbound->listener->connections,
                                                         connection_of(inbound->connection));
     unsigned int idle_s = (unsigned int)g_atomic_int_get(&inbound->listener->idle_timeout_s);
     MHD_set_connection_option(inbound->connection, MHD_CONNECTION_OPTION_TIMEOUT, idle_s);
 }
 
-/** Room for @p length more bytes of a body. */
+/** Charges @p length more body bytes to the memory budget. Returns false if it is exhausted. */
 static bool charge_body(hs_inbound *inbound, size_t length) {
     uint64_t held = hs_memory_block_bytes(inbound->body->len + length);
     if (held <= inbound->charged)
@@ -153,7 +153,7 @@
     return true;
 }
 
-static void take_body(hs_inbound *inbound, const char *bytes, size_t length) {
+static void append_body(hs_inbound *inbound, const char *bytes, size_t length) {
     size_t limit = inbound->listener->max_body_bytes;
     if (inbound->lacks_memory)
         return;
@@ -167,15 +167,15 @@
     }
 }
 
-/** Whether the request comes from the listener's own process; see hs_listener_expect_own. */
-static bool is_own(const hs_inbound *inbound) {
+/** Whether the request is a connection probe; see hs_listener_set_probe_address. */
+static bool is_connection_probe(const hs_inbound *inbound) {
     const struct sockaddr_in *caller = caller_of(inbound);
     if (caller == NULL)
         return false;
     g_mutex_lock(&inbound->listener->lock);
-    const struct sockaddr_in *own = &inbound->listener->own_caller;
-    bool same = own->sin_port != 0 && own->sin_port == caller->sin_port &&
-                own->sin_addr.s_addr == caller->sin_addr.s_addr;
+    const struct sockaddr_in *expected = &inbound->listener->probe_address;
+    bool same = expected->sin_port != 0 && expected->sin_port == caller->sin_port &&
+                expected->sin_addr.s_addr == caller->sin_addr.s_addr;
     g_mutex_unlock(&inbound->listener->lock);
     return same;
 }
@@ -188,16 +188,16 @@
     hs_listener *listener = data;
     hs_inbound *inbound = *state;
     if (inbound->method == NULL) {
-        take_head(inbound, method, version);
+        read_request_head(inbound, method, version);
         return MHD_YES;
     }
     if (*upload_size > 0) {
-        take_body(inbound, upload_data, *upload_size);
+        append_body(inbound, upload_data, *upload_size);
         *upload_size = 0;
         return MHD_YES;
     }
-    if (is_own(inbound))
-        hs_inbound_reply(inbound, HS_OWN_STATUS, NULL, "", 0);
+    if (is_connection_probe(inbound))
+        hs_inbound_reply(inbound, HS_PROBE_STATUS, NULL, "", 0);
     else
         listener->handler(inbound, listener->user_data);
     return inbound->answered ? MHD_YES : MHD_NO;
@@ -220,12 +220,12 @@
     listener->handler = handler;
     listener->user_data = user_data;
     listener->max_body_bytes = limits->max_body_bytes;
-    listener->idle_timeout_s = FIRST_IDLE_TIMEOUT_S;
+    listener->idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
     listener->quiesced_socket = -1;
     g_mutex_init(&listener->lock);
-    listener->connections = hs_caller_connections_new(limits->connections_most);
+    listener->connections = hs_caller_connections_new(limits->max_open_connections);
     struct MHD_OptionItem limit[] = {
-        {MHD_OPTION_CONNECTION_LIMIT, (intptr_t)limits->connections_most, NULL},
+        {MHD_OPTION_CONNECTION_LIMIT, (intptr_t)limits->max_open_connections, NULL},
         {MHD_OPTION_END, 0, NULL}};
     listener->daemon = MHD_start_daemon(
         MHD_USE_THREAD_PER_CONNECTION | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL |
@@ -233,11 +233,11 @@
         port, NULL, NULL, handle_step, listener, MHD_OPTION_SOCK_ADDR, &local,
         MHD_OPTION_URI_LOG_CALLBACK, begin_request, listener, MHD_OPTION_NOTIFY_COMPLETED,
         end_request, listener, MHD_OPTION_NOTIFY_CONNECTION, note_connection, listener,
-        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY, MHD_OPTION_THREAD_STACK_SIZE,
-        (size_t)THREAD_STACK_BYTES, MHD_OPTION_LISTEN_BACKLOG_SIZE, (unsigned int)LISTEN_BACKLOG,
-        MHD_OPTION_CONNECTION_TIMEOUT, (unsigned int)FIRST_IDLE_TIMEOUT_S,
-        MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U, MHD_OPTION_ARRAY,
-        limits->connections_most > 0 ? limit : limit + 1, MHD_OPTION_END);
+        MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY_BYTES,
+        MHD_OPTION_THREAD_STACK_SIZE, (size_t)THREAD_STACK_BYTES, MHD_OPTION_LISTEN_BACKLOG_SIZE,
+        (unsigned int)LISTEN_BACKLOG, MHD_OPTION_CONNECTION_TIMEOUT,
+        (unsigned int)DEFAULT_IDLE_TIMEOUT_S, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1U,
+        MHD_OPTION_ARRAY, limits->max_open_connections > 0 ? limit : limit + 1, MHD_OPTION_END);
     if (listener->daemon == NULL) {
         hs_error_set(error, HS_LAYER_HTTP, HS_UNAVAILABLE, "cannot listen on %s:%u", address, port);
         free_listener(listener);
@@ -271,10 +271,10 @@
     return listener->connections;
 }
 
-void hs_listener_expect_own(hs_listener *listener, const struct sockaddr_in *caller) {
-    static const struct sockaddr_in nobody;
+void hs_listener_set_probe_address(hs_listener *listener, const struct sockaddr_in *caller) {
+    static const struct sockaddr_in no_address;
     g_mutex_lock(&listener->lock);
-    listener->own_caller = caller != NULL ? *caller : nobody;
+    listener->probe_address = caller != NULL ? *caller : no_address;
     g_mutex_unlock(&listener->lock);
 }
 
@@ -291,8 +291,8 @@
     free_listener(listener);
 }
 
-static void queue(hs_inbound *inbound, uint32_t status, const GArray *fields,
-                  struct MHD_Response *response) {
+static void queue_response(hs_inbound *inbound, uint32_t status, const GArray *fields,
+                           struct MHD_Response *response) {
     for (guint index = 0; fields != NULL && index < fields->len; index++) {
         const hs_http_field *field = &g_array_index(fields, hs_http_field, index);
         MHD_add_response_header(response, field->name, field->value);
@@ -304,46 +304,46 @@
     inbound->answered = true;
 }
 
-/** A whole answer until its caller has it. */
+/** The body of a response, until it is sent. */
 typedef struct {
     size_t length;
     char bytes[];
-} kept_reply;
+} reply_body;
 
-static void release_reply(void *data) {
-    kept_reply *kept = data;
-    hs_memory_release(HS_MEMORY_REPLIES, kept->length);
-    g_free(kept);
+static void free_reply(void *data) {
+    reply_body *reply = data;
+    hs_memory_release(HS_MEMORY_REPLIES, reply->length);
+    g_free(reply);
 }
 
 void hs_inbound_reply(hs_inbound *inbound, uint32_t status, const GArray *fields, const void *body,
                       size_t body_length) {
-    kept_reply *kept = g_malloc(sizeof(kept_reply) + body_length);
-    kept->length = body_length;
+    reply_body *reply = g_malloc(sizeof(reply_body) + body_length);
+    reply->length = body_length;
     if (body_length > 0)
-        memcpy(kept->bytes, body, body_length);
+        memcpy(reply->bytes, body, body_length);
     hs_memory_charge(HS_MEMORY_REPLIES, body_length);
     struct MHD_Response *response = MHD_create_response_from_buffer_with_free_callback_cls(
-        body_length, kept->bytes, release_reply, kept);
-    queue(inbound, status, fields, response);
+        body_length, reply->bytes, free_reply, reply);
+    queue_response(inbound, status, fields, response);
 }
 
-/** A stream's reader and what frees its state. */
+/** A streamed response. */
 typedef struct {
     hs_body_reader reader;
     void *reader_data;
     GDestroyNotify release;
-    hs_inbound *inbound;  /**< Holds a reference: the state goes by it until it is released. */
-    int reset_descriptor; /**< Socket to reset where the stream is cut; -1: a close is enough. */
+    hs_inbound *inbound;  /**< A reference, as reader_data depends on the request. */
+    int reset_descriptor; /**< Socket to reset if the stream is aborted; -1: a close is enough. */
 } stream_state;
 
 /**
- * Reset a connection, so that what was sent does not look whole. The library would end its sending
- * side in order before it closes; dissolving the association (AF_UNSPEC) resets at once.
+ * Resets a connection, so that the caller detects a truncated response. libmicrohttpd would shut
+ * down the sending side in order; connect() with AF_UNSPEC resets a TCP connection at once.
  */
 static void reset_connection(int descriptor) {
-    const struct sockaddr nowhere = {.sa_family = AF_UNSPEC};
-    if (connect(descriptor, &nowhere, sizeof nowhere) != 0)
+    const struct sockaddr unspecified = {.sa_family = AF_UNSPEC};
+    if (connect(descriptor, &unspecified, sizeof unspecified) != 0)
         shutdown(descriptor, SHUT_RDWR);
 }
 
@@ -382,10 +382,10 @@
                              .reader_data = reader_data,
                              .release = release,
                              .inbound = inbound,
-                             .reset_descriptor = inbound->lacks_chunks ? inbound->descriptor : -1};
+                             .reset_descriptor = inbound->is_http_1_0 ? inbound->descriptor : -1};
     struct MHD_Response *response = MHD_create_response_from_callback(
-        MHD_SIZE_UNKNOWN, STREAM_BLOCK, read_stream, stream, free_stream);
-    queue(inbound, status, fields, response);
+        MHD_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, read_stream, stream, free_stream);
+    queue_response(inbound, status, fields, response);
 }
 
 void hs_inbound_drop(hs_inbound *inbound) {
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,9 +1,9 @@
 /**
  * @file listener.h
- * An HTTP/1.1 listener on libmicrohttpd, the engine below ulfius, one thread a connection.
+ * An HTTP/1.1 listener based on libmicrohttpd, with one thread per connection.
  *
- * ulfius itself decodes paths, keeps one of two equal headers and hides the connection; requests
- * that are passed on need the raw target, every field and the caller's socket to watch.
+ * Forwarded requests need the raw target, all header fields and the caller's socket. ulfius decodes
+ * paths, drops repeated fields and hides the connection.
  */
 #ifndef HS_HTTP_LISTENER_H
 #define HS_HTTP_LISTENER_H
@@ -20,93 +20,99 @@
 
 typedef struct hs_listener hs_listener;
 
-/** One request as it came; owned by the listener, valid until the answer has ended. */
+/** A received request. Owned by the listener; valid until the end of its response. */
 typedef struct {
     char *method;
-    char *target;            /**< Path and query, undecoded. */
-    GArray *fields;          /**< of hs_http_field, in their order. */
-    GByteArray *body;        /**< Whole. */
-    uint32_t caller_address; /**< IPv4 number in host order; 0: not known. */
-    int descriptor; /**< The caller's socket, to be watched only (base/peer_watch.h); -1: none. */
-    bool is_too_large;
-    bool lacks_memory; /**< No memory for its body: what came of it was given back. */
-    uint64_t charged;  /**< To the memory budget, for its body. */
-    bool lacks_chunks; /**< HTTP/1.0: a body of unknown length ends with the connection. */
-    bool answered;
-    uint64_t received_ms; /**< Monotonic time at which its head was read. */
-    void *connection;     /**< The library's connection. */
+    char *target;   /**< Path and query, undecoded. */
+    GArray *fields; /**< of hs_http_field, in order of arrival. */
+    GByteArray *body;
+    uint32_t caller_address; /**< IPv4 address in host order; 0: unknown. */
+    int descriptor;    /**< The caller's socket, for watching only (base/peer_watch.h); -1: none. */
+    bool is_too_large; /**< The body is over the limit and incomplete. */
+    bool lacks_memory; /**< The memory budget is exhausted; the body was discarded. */
+    uint64_t charged;  /**< Bytes charged to the memory budget for the body. */
+    bool is_http_1_0;  /**< A response body of unknown length ends with the connection. */
+    bool answered;     /**< A response was queued. */
+    uint64_t received_ms; /**< Monotonic time at which the head was read. */
+    void *connection;     /**< The struct MHD_Connection. */
     hs_listener *listener;
-    gint references; /**< The library's, and that of an answer that is a stream. */
+    gint references; /**< Of the library, and of a streamed response. */
 } hs_inbound;
 
-/** Handle a whole request: exactly one of the reply functions must be called. */
+/** Handles a complete request. Must call exactly one of the reply functions or hs_inbound_drop. */
 typedef void (*hs_inbound_handler)(hs_inbound *inbound, void *user_data);
 
-/** What a stream's reader returns besides a count of bytes. */
+/** Results of a stream's reader other than a number of bytes. */
 #define HS_READER_END (-1)
 #define HS_READER_ABORT (-2)
 
-/** Fill @p buffer; blocks until bytes are there. Bytes, HS_READER_END or HS_READER_ABORT. */
+/**
+ * Reads body bytes into @p buffer, and blocks until there are some. Returns the number of bytes,
+ * HS_READER_END or HS_READER_ABORT.
+ */
 typedef ssize_t (*hs_body_reader)(void *reader_data, char *buffer, size_t size);
 
-/** What a listener takes. */
+/** Limits of a listener. */
 typedef struct {
-    size_t max_body_bytes;     /**< Larger bodies are marked too large; 0: no limit. */
-    uint32_t connections_most; /**< Open at one time; 0: the library's own limit, about 1,000. */
+    size_t max_body_bytes;         /**< A request over it has is_too_large set; 0: no limit. */
+    uint32_t max_open_connections; /**< 0: the limit of libmicrohttpd. */
 } hs_listener_limits;
 
-/** Listen on an IPv4 number and port. NULL with @p error (may be NULL). */
+/**
+ * Starts to listen on an IPv4 address and a port. Returns NULL with @p error (may be NULL) on
+ * failure.
+ */
 hs_listener *hs_listener_start(const char *address, uint16_t port, const hs_listener_limits *limits,
                                hs_inbound_handler handler, void *user_data, hs_error *error);
 
-/** Who calls here, callers where it is not set; for connections from now on. */
+/** Sets the kind of connections accepted later. The default is HS_CONNECTION_CALLER. */
 void hs_listener_set_kind(hs_listener *listener, hs_connection_kind kind);
 
-/** Idle time in seconds after which connections are closed; for connections from now on. */
+/** Sets the idle time after which a connection is closed. Applied at the start of each request. */
 void hs_listener_set_idle_timeout(hs_listener *listener, uint32_t seconds);
 
-/** From now on every answer closes its connection. */
+/** Adds "Connection: close" to all further responses. */
 void hs_listener_close_after_answers(hs_listener *listener);
 
 /**
- * Take no new connections and let idle ones end. A request that has already arrived on one is
- * still served. Ends of callers' connections are no longer noticed on those.
+ * Stops accepting connections and ends idle ones. Requests that have already arrived on these are
+ * still served, but a close by their callers is no longer detected.
  */
 void hs_listener_quiesce(hs_listener *listener);
 
-/** Its open connections. Borrowed. */
+/** Returns the table of open connections. Borrowed. */
 hs_caller_connections *hs_listener_connections(hs_listener *listener);
 
-/** Status of the answer to a request of the own process. */
-#define HS_OWN_STATUS 204
+/** Response status of a connection probe from this process. */
+#define HS_PROBE_STATUS 204
 
 /**
- * Answer requests from this address with HS_OWN_STATUS, without the handler: they only ask whether
- * the listener takes connections (see connection_probe.h). NULL: no longer.
+ * Sets the address of a connection probe (see connection_probe.h). Requests from it are answered
+ * with HS_PROBE_STATUS without the handler. NULL: no probe.
  */
-void hs_listener_expect_own(hs_listener *listener, const struct sockaddr_in *caller);
+void hs_listener_set_probe_address(hs_listener *listener, const struct sockaddr_in *caller);
 
-/** Requests now being handled or answered. */
+/** Returns the number of requests that are being received, handled or answered. */
 uint32_t hs_listener_open_requests(hs_listener *listener);
 
-/** Stop, cut what is left, free. NULL is allowed. */
+/** Stops the listener, closes all connections and frees the listener. NULL is allowed. */
 void hs_listener_stop(hs_listener *listener);
 
-/** Answer with a whole body. @p fields: of hs_http_field, may be NULL. */
+/** Responds with a complete body. @p fields: of hs_http_field, may be NULL. */
 void hs_inbound_reply(hs_inbound *inbound, uint32_t status, const GArray *fields, const void *body,
                       size_t body_length);
 
-/** Answer with a body that comes from @p reader; @p release frees @p reader_data at the end. */
+/** Responds with the body that @p reader returns. @p release frees @p reader_data at the end. */
 void hs_inbound_reply_stream(hs_inbound *inbound, uint32_t status, const GArray *fields,
                              hs_body_reader reader, void *reader_data, GDestroyNotify release);
 
 /**
- * Reset the caller's connection while its answer is sent, from any thread: the answer's state is
- * then released by the library. False where its socket is not known.
+ * Resets the caller's connection while its response is being sent; the library then releases the
+ * response. Callable from any thread. Returns false if the socket is unknown.
  */
 bool hs_inbound_cut(const hs_inbound *inbound);
 
-/** Close the connection without an answer. */
+/** Closes the connection without a response. */
 void hs_inbound_drop(hs_inbound *inbound);
 
 #endif
--- a/src/http/multipart.c
+++ b/src/http/multipart.c
@@ -7,7 +7,7 @@
 #define HEADER_END "\r\n\r\n"
 #define MAX_BOUNDARY_LENGTH 70
 
-/** "--" and the boundary that the content type names; NULL when it names none. Free with g_free. */
+/** Returns "--" and the boundary of the content type, or NULL if it has none. Free with g_free. */
 static char *delimiter_of(const char *content_type) {
     if (content_type == NULL || !g_str_has_prefix(content_type, "multipart/form-data"))
         return NULL;
@@ -22,15 +22,15 @@
     return g_strdup_printf("--%.*s", (int)length, parameter + (quoted ? 1 : 0));
 }
 
-/** The value of attribute="..." within the part's head; false when absent. */
+/** Copies the value of attribute="..." in a part's head. Returns false if absent or too long. */
 static bool attribute_of(const char *head, size_t head_length, const char *attribute, char *value,
                          size_t value_size) {
     g_autofree char *text = g_strndup(head, head_length);
-    g_autofree char *wanted = g_strdup_printf("; %s=\"", attribute);
-    const char *found = strstr(text, wanted);
+    g_autofree char *prefix = g_strdup_printf("; %s=\"", attribute);
+    const char *found = strstr(text, prefix);
     if (found == NULL)
         return false;
-    found += strlen(wanted);
+    found += strlen(prefix);
     size_t length = strcspn(found, "\"");
     if (found[length] != '"' || length >= value_size)
         return false;
@@ -39,7 +39,7 @@
     return true;
 }
 
-/** Read the part between two delimiters. False when it has no head. */
+/** Parses the part between two delimiters. Returns false if it has no head or no name. */
 static bool read_part(const char *begin, const char *end, char *name, size_t name_size,
                       hs_multipart_part *part) {
     const char *head_end = memmem(begin, (size_t)(end - begin), HEADER_END, strlen(HEADER_END));
--- a/src/http/multipart.h
+++ b/src/http/multipart.h
@@ -1,9 +1,9 @@
 /**
  * @file multipart.h
- * Parts of a multipart/form-data body that is held whole. Pure.
+ * Finds the parts of a complete multipart/form-data body. Pure functions.
  *
- * ulfius can parse multipart, but drops the connection of a broken body without an answer, where
- * the caller must get a 4xx; so the body is taken raw and cut here.
+ * The multipart parser of ulfius is not used, because it closes the connection on a malformed body;
+ * callers must get a 4xx response.
  */
 #ifndef HS_HTTP_MULTIPART_H
 #define HS_HTTP_MULTIPART_H
@@ -11,17 +11,17 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** A part; pointers into the body. */
+/** A part. The content points into the body. */
 typedef struct {
     const char *content;
     size_t length;
-    char filename[128]; /**< Empty when none was given. */
+    char filename[128]; /**< Empty if the part has none. */
 } hs_multipart_part;
 
-/** What was found of a part. */
+/** Result of a search; HS_MULTIPART_BROKEN: the body is malformed. */
 typedef enum { HS_MULTIPART_FOUND, HS_MULTIPART_ABSENT, HS_MULTIPART_BROKEN } hs_multipart_result;
 
-/** Find the part called @p name. A body that is not closed by its final boundary is broken. */
+/** Finds the part @p name. A body without its final boundary is malformed. */
 hs_multipart_result hs_multipart_find(const char *content_type, const char *body, size_t length,
                                       const char *name, hs_multipart_part *part);
 
--- a/src/peer/peer_socket.c
+++ b/src/peer/peer_socket.c
@@ -1,4 +1,4 @@
-/** @file peer_socket.c  The daemons' UDP socket; see peer_socket.h. */
+/** @file peer_socket.c  See peer_socket.h. */
 #include "peer/peer_socket.h"
 
 #include <arpa/inet.h>
@@ -8,8 +8,8 @@
 #include <sys/time.h>
 #include <unistd.h>
 
-/** A stop is noticed after this time where no datagram comes. */
-#define RECEIVE_WAIT_US (400 * 1000)
+/** Interval at which the receiving thread checks for a stop if no datagram arrives. */
+#define RECEIVE_TIMEOUT_US (400 * 1000)
 
 struct hs_peer_socket {
     int descriptor;
@@ -24,7 +24,7 @@
 hs_peer_socket *hs_peer_socket_new(const char *address, uint16_t port, hs_error *error) {
     struct sockaddr_in local = {.sin_family = AF_INET, .sin_port = htons(port)};
     int descriptor = socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
-    struct timeval wait = {.tv_usec = RECEIVE_WAIT_US};
+    struct timeval wait = {.tv_usec = RECEIVE_TIMEOUT_US};
     if (descriptor < 0 || inet_pton(AF_INET, address, &local.sin_addr) != 1 ||
         setsockopt(descriptor, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait) != 0 ||
         bind(descriptor, (struct sockaddr *)&local, sizeof local) != 0) {
@@ -42,11 +42,11 @@
 
 static gpointer receive_datagrams(gpointer data) {
     hs_peer_socket *self = data;
-    g_autofree uint8_t *buffer = g_malloc(HS_DATAGRAM_MAX);
+    g_autofree uint8_t *buffer = g_malloc(HS_MAX_DATAGRAM_BYTES);
     while (!g_atomic_int_get(&self->stopping)) {
         struct sockaddr_in from;
         socklen_t from_length = sizeof from;
-        ssize_t length = recvfrom(self->descriptor, buffer, HS_DATAGRAM_MAX, 0,
+        ssize_t length = recvfrom(self->descriptor, buffer, HS_MAX_DATAGRAM_BYTES, 0,
                                   (struct sockaddr *)&from, &from_length);
         if (length <= 0)
             continue;
@@ -86,7 +86,7 @@
 void hs_peer_socket_send(hs_peer_socket *socket, uint32_t address, uint16_t port,
                          const Hs__PeerMessage *message) {
     size_t length = hs__peer_message__get_packed_size(message);
-    if (length > HS_DATAGRAM_MAX)
+    if (length > HS_MAX_DATAGRAM_BYTES)
         return;
     g_autofree uint8_t *buffer = g_malloc(length);
     hs__peer_message__pack(message, buffer);
--- a/src/peer/peer_socket.h
+++ b/src/peer/peer_socket.h
@@ -1,6 +1,6 @@
 /**
  * @file peer_socket.h
- * Datagrams between daemons (UDP, protobuf-c). Small, repeatable, and safe to lose.
+ * Exchange of protobuf messages between daemons over UDP. Messages may be lost or duplicated.
  */
 #ifndef HS_PEER_PEER_SOCKET_H
 #define HS_PEER_PEER_SOCKET_H
@@ -13,34 +13,41 @@
 #include <netinet/in.h>
 #include <stdint.h>
 
-#define HS_DATAGRAM_MAX 65000
+#define HS_MAX_DATAGRAM_BYTES 65000
 
 typedef struct hs_peer_socket hs_peer_socket;
 
-/** Runs on the receiving thread; @p from is the sender's address. */
+/** Handles a message on the receiving thread. @p from: the sender's address. */
 typedef void (*hs_peer_handler)(const Hs__PeerMessage *message, const struct sockaddr_in *from,
                                 void *user_data);
 
+/** Counters since the creation of the socket. */
 typedef struct {
     uint64_t sent_messages;
     uint64_t sent_bytes;
     uint64_t received_messages;
     uint64_t received_bytes;
-    uint64_t malformed;
+    uint64_t malformed; /**< Datagrams received that are no valid message. */
 } hs_peer_counters;
 
-/** Bind to an IPv4 number and port; NULL with @p error on failure. */
+/** Binds to an IPv4 address and a port. Returns NULL with @p error on failure. */
 hs_peer_socket *hs_peer_socket_new(const char *address, uint16_t port, hs_error *error);
 
-/** Start the receiving thread. */
+/** Starts the receiving thread. */
 void hs_peer_socket_start(hs_peer_socket *socket, hs_peer_handler handler, void *user_data);
+/** Ends the receiving thread. Only allowed after the start. */
 void hs_peer_socket_stop(hs_peer_socket *socket);
+/** Frees a socket whose thread does not run. NULL is allowed. */
 void hs_peer_socket_free(hs_peer_socket *socket);
 
-/** Send; a datagram that cannot be sent is dropped. Safe from any thread. */
+/**
+ * Sends a message to an IPv4 address in host order. A message that is too large or cannot be sent
+ * is dropped. Thread-safe.
+ */
 void hs_peer_socket_send(hs_peer_socket *socket, uint32_t address, uint16_t port,
                          const Hs__PeerMessage *message);
 
+/** Returns a copy of the counters. Thread-safe. */
 hs_peer_counters hs_peer_socket_counters(hs_peer_socket *socket);
 
 #endif
--- a/tests/unit/test_connection_guard.c
+++ b/tests/unit/test_connection_guard.c
@@ -1,7 +1,7 @@
 /**
  * @file test_connection_guard.c
- * What the kernel is told of connections that may go silent, and what it tells: the options read
- * back, and connections whose packets are dropped.
+ * Detection of connections that stop responding: the socket options, and connections whose packets
+ * are dropped.
  */
 #include "base/clock.h"
 #include "http/client_connection.h"
@@ -19,20 +19,20 @@
 #include <unistd.h>
 
 #define ANSWER "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-/** Two seconds of the kernel's probes, in ms. */
-#define LONG_BOUND_MS 6000
-/** The least that keep-alive can do: it counts seconds. */
-#define KERNEL_BOUND_MS 900
-/** Its probe's interval, and some, in ms. */
-#define NOTICED_MS 3500
+/** A timeout that sets the interval of the kernel's probes to two seconds. */
+#define LONG_TIMEOUT_MS 6000
+/** A timeout below the shortest probe interval, one second. */
+#define KERNEL_TIMEOUT_MS 900
+/** Time within which the kernel ends a connection after KERNEL_TIMEOUT_MS, with a margin. */
+#define DETECTION_LIMIT_MS 3500
 #define LIMIT_MS 10000
-#define SIGN_MS 120
+#define SHORT_LIMIT_MS 120
 
-static void set_bounds(uint32_t kernel_ms) {
-    hs_connection_bounds bounds = {0};
+static void set_timeouts(uint32_t kernel_ms) {
+    hs_connection_bounds timeouts = {0};
     for (int kind = 0; kind < HS_CONNECTION_KINDS; kind++)
-        bounds.kernel_ms[kind] = kernel_ms;
-    hs_connection_bounds_set(&bounds);
+        timeouts.kernel_ms[kind] = kernel_ms;
+    hs_connection_bounds_set(&timeouts);
 }
 
 static int option_of(int descriptor, int level, int name) {
@@ -47,22 +47,22 @@
     CU_ASSERT_EQUAL(option_of(descriptor, IPPROTO_TCP, TCP_KEEPIDLE), 2);
     CU_ASSERT_EQUAL(option_of(descriptor, IPPROTO_TCP, TCP_KEEPINTVL), 2);
     CU_ASSERT_EQUAL(option_of(descriptor, IPPROTO_TCP, TCP_KEEPCNT), 3);
-    CU_ASSERT_EQUAL(option_of(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT), LONG_BOUND_MS);
+    CU_ASSERT_EQUAL(option_of(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT), LONG_TIMEOUT_MS);
 }
 
-static void a_guarded_socket_has_its_options(void) {
+static void timeouts_set_the_socket_options(void) {
     for (int kind = 0; kind < HS_CONNECTION_KINDS; kind++) {
         int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        set_bounds(0);
+        set_timeouts(0);
         hs_connection_guard(descriptor, (hs_connection_kind)kind);
         CU_ASSERT_EQUAL(option_of(descriptor, SOL_SOCKET, SO_KEEPALIVE), 0);
         CU_ASSERT_EQUAL(option_of(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT), 0);
-        set_bounds(LONG_BOUND_MS);
+        set_timeouts(LONG_TIMEOUT_MS);
         hs_connection_guard(descriptor, (hs_connection_kind)kind);
         check_options(descriptor);
         close(descriptor);
     }
-    set_bounds(0);
+    set_timeouts(0);
 }
 
 static void answer_and_check(hs_inbound *inbound, void *user_data) {
@@ -71,8 +71,8 @@
     hs_inbound_reply(inbound, 200, NULL, "ok", 2);
 }
 
-static void an_accepted_socket_has_its_options(void) {
-    set_bounds(LONG_BOUND_MS);
+static void accepted_sockets_have_timeouts(void) {
+    set_timeouts(LONG_TIMEOUT_MS);
     scripted_peer *free_port = scripted_peer_start();
     uint16_t port = scripted_peer_port(free_port);
     scripted_peer_stop(free_port);
@@ -85,19 +85,19 @@
     CU_ASSERT_TRUE(raw_caller_read_until(caller, "ok", LIMIT_MS));
     raw_caller_close(caller);
     hs_listener_stop(listener);
-    set_bounds(0);
+    set_timeouts(0);
 }
 
-/** A connection over a proxy to a peer that answers each request. */
+/** A connection through a proxy to a peer that answers each request. */
 typedef struct {
     scripted_peer *peer;
     fault_proxy *proxy;
     hs_client_connection *connection;
     hs_wait wait;
     GString *head;
-} tested_link;
+} test_connection;
 
-static void open_link(tested_link *opened) {
+static void open_test_connection(test_connection *opened) {
     opened->peer = scripted_peer_start();
     scripted_peer_set(
         opened->peer,
@@ -113,13 +113,13 @@
     hs_client_connection_guard(opened->connection, HS_CONNECTION_ENGINE);
 }
 
-static hs_step send_once(tested_link *opened) {
+static hs_step send_once(test_connection *opened) {
     return hs_client_connection_send(opened->connection, opened->head, NULL, 0, false,
                                      &opened->wait);
 }
 
-/** One whole exchange; then the connection goes silent. */
-static void use_and_silence(tested_link *opened, proxy_silence silence) {
+/** Completes one exchange, then stops the packets of the connection. */
+static void exchange_and_silence(test_connection *opened, proxy_silence silence) {
     CU_ASSERT_EQUAL(send_once(opened), HS_STEP_PROGRESS);
     CU_ASSERT_FALSE(hs_client_connection_is_kept(opened->connection));
     CU_ASSERT_EQUAL(hs_client_connection_read_all(opened->connection, LIMIT_MS, &opened->wait),
@@ -127,74 +127,75 @@
     fault_proxy_silence_open(opened->proxy, silence);
 }
 
-static void close_link(tested_link *opened) {
+static void close_test_connection(test_connection *opened) {
     hs_client_connection_close(opened->connection);
     fault_proxy_stop(opened->proxy);
     scripted_peer_stop(opened->peer);
     g_string_free(opened->head, TRUE);
-    set_bounds(0);
+    set_timeouts(0);
 }
 
-/** The kernel ends a connection on which a request stays unacknowledged; it is counted once. */
-static void the_kernel_ends_an_unacknowledged_exchange(void) {
-    tested_link opened;
-    set_bounds(KERNEL_BOUND_MS);
-    open_link(&opened);
-    use_and_silence(&opened, PROXY_DROPS_ALL_PACKETS);
+/** The kernel ends a connection with an unacknowledged request; the loss is counted once. */
+static void unacknowledged_request_times_out(void) {
+    test_connection opened;
+    set_timeouts(KERNEL_TIMEOUT_MS);
+    open_test_connection(&opened);
+    exchange_and_silence(&opened, PROXY_DROPS_ALL_PACKETS);
     uint64_t before = hs_connection_losses(HS_CONNECTION_ENGINE);
-    uint64_t began_ms = hs_clock_monotonic_ms();
+    uint64_t started_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(send_once(&opened), HS_STEP_PROGRESS);
     CU_ASSERT_TRUE(hs_client_connection_is_kept(opened.connection));
     CU_ASSERT_EQUAL(hs_client_connection_read_head(opened.connection, &opened.wait), HS_STEP_LOST);
-    CU_ASSERT(hs_clock_monotonic_ms() - began_ms < NOTICED_MS);
+    CU_ASSERT(hs_clock_monotonic_ms() - started_ms < DETECTION_LIMIT_MS);
     CU_ASSERT_EQUAL(hs_connection_losses(HS_CONNECTION_ENGINE), before + 1);
     CU_ASSERT_FALSE(hs_client_connection_is_reusable(opened.connection));
-    close_link(&opened);
+    close_test_connection(&opened);
 }
 
-/** Keep-alive ends an idle one, so that it is not used again. */
-static void the_kernel_ends_an_idle_connection(void) {
-    tested_link opened;
-    set_bounds(KERNEL_BOUND_MS);
-    open_link(&opened);
-    use_and_silence(&opened, PROXY_DROPS_ALL_PACKETS);
-    uint64_t until_ms = hs_clock_monotonic_ms() + NOTICED_MS;
+/** Keep-alive ends an idle connection whose peer is gone, so that it is not reused. */
+static void idle_connection_without_a_peer_times_out(void) {
+    test_connection opened;
+    set_timeouts(KERNEL_TIMEOUT_MS);
+    open_test_connection(&opened);
+    exchange_and_silence(&opened, PROXY_DROPS_ALL_PACKETS);
+    uint64_t until_ms = hs_clock_monotonic_ms() + DETECTION_LIMIT_MS;
     CU_ASSERT_TRUE(hs_client_connection_is_quiet(opened.connection));
     while (hs_client_connection_is_quiet(opened.connection) && hs_clock_monotonic_ms() < until_ms)
-        hs_clock_sleep_ms(SIGN_MS);
+        hs_clock_sleep_ms(SHORT_LIMIT_MS);
     CU_ASSERT_FALSE(hs_client_connection_is_quiet(opened.connection));
-    close_link(&opened);
+    close_test_connection(&opened);
 }
 
-/** No acknowledgement is a sign within a short time; a peer that only waits is not lost. */
-static void an_unacknowledged_request_is_noticed_soon(void) {
+/** A missing acknowledgement is a loss; an acknowledged request without a response is none. */
+static void liveness_check_detects_an_unacknowledged_request(void) {
     static const proxy_silence silences[] = {PROXY_ACKNOWLEDGES, PROXY_DROPS_ALL_PACKETS};
     static const hs_step steps[] = {HS_STEP_PROGRESS, HS_STEP_LOST};
     for (size_t index = 0; index < G_N_ELEMENTS(silences); index++) {
-        tested_link opened;
-        open_link(&opened);
-        use_and_silence(&opened, silences[index]);
-        uint64_t began_ms = hs_clock_monotonic_ms();
+        test_connection opened;
+        open_test_connection(&opened);
+        exchange_and_silence(&opened, silences[index]);
+        uint64_t started_ms = hs_clock_monotonic_ms();
         CU_ASSERT_EQUAL(send_once(&opened), HS_STEP_PROGRESS);
-        CU_ASSERT_EQUAL(hs_client_connection_await_sign(opened.connection, SIGN_MS, &opened.wait),
-                        steps[index]);
-        CU_ASSERT(hs_clock_monotonic_ms() - began_ms < SIGN_MS + SIGN_MS);
-        close_link(&opened);
+        CU_ASSERT_EQUAL(
+            hs_client_connection_await_sign(opened.connection, SHORT_LIMIT_MS, &opened.wait),
+            steps[index]);
+        CU_ASSERT(hs_clock_monotonic_ms() - started_ms < SHORT_LIMIT_MS + SHORT_LIMIT_MS);
+        close_test_connection(&opened);
     }
 }
 
-/** A call to another daemon ends at its own bound; the next one has a new connection. */
-static void a_call_to_a_daemon_ends_at_its_bound(void) {
+/** A call to a silent daemon ends at its deadline; the next call uses a new connection. */
+static void call_to_a_silent_daemon_times_out(void) {
     scripted_peer *peer = scripted_peer_start();
     scripted_peer_set(peer, &(peer_script){.bytes = "", .ending = PEER_GOES_SILENT});
     hs_daemon_address address = {.address = INADDR_LOOPBACK, .port = scripted_peer_port(peer)};
     GByteArray *body = g_byte_array_new();
     hs_peer_answer answer;
     uint64_t before = hs_connection_losses(HS_CONNECTION_DAEMON);
-    uint64_t began_ms = hs_clock_monotonic_ms();
-    CU_ASSERT_EQUAL(hs_job_peer_post(&address, "/x", body, began_ms + SIGN_MS, &answer),
+    uint64_t started_ms = hs_clock_monotonic_ms();
+    CU_ASSERT_EQUAL(hs_job_peer_post(&address, "/x", body, started_ms + SHORT_LIMIT_MS, &answer),
                     HS_PEER_SILENT);
-    CU_ASSERT(hs_clock_monotonic_ms() - began_ms < SIGN_MS + SIGN_MS);
+    CU_ASSERT(hs_clock_monotonic_ms() - started_ms < SHORT_LIMIT_MS + SHORT_LIMIT_MS);
     CU_ASSERT_EQUAL(hs_connection_losses(HS_CONNECTION_DAEMON), before + 1);
     scripted_peer_set(
         peer, &(peer_script){.bytes = ANSWER, .length = strlen(ANSWER), .ending = PEER_CLOSES});
@@ -207,10 +208,11 @@
 }
 
 const test_case connection_guard_tests[] = {
-    {"a_guarded_socket_has_its_options", a_guarded_socket_has_its_options},
-    {"an_accepted_socket_has_its_options", an_accepted_socket_has_its_options},
-    {"the_kernel_ends_an_unacknowledged_exchange", the_kernel_ends_an_unacknowledged_exchange},
-    {"the_kernel_ends_an_idle_connection", the_kernel_ends_an_idle_connection},
-    {"an_unacknowledged_request_is_noticed_soon", an_unacknowledged_request_is_noticed_soon},
-    {"a_call_to_a_daemon_ends_at_its_bound", a_call_to_a_daemon_ends_at_its_bound},
+    {"timeouts_set_the_socket_options", timeouts_set_the_socket_options},
+    {"accepted_sockets_have_timeouts", accepted_sockets_have_timeouts},
+    {"unacknowledged_request_times_out", unacknowledged_request_times_out},
+    {"idle_connection_without_a_peer_times_out", idle_connection_without_a_peer_times_out},
+    {"liveness_check_detects_an_unacknowledged_request",
+     liveness_check_detects_an_unacknowledged_request},
+    {"call_to_a_silent_daemon_times_out", call_to_a_silent_daemon_times_out},
     {NULL, NULL}};
--- a/tests/unit/test_connections.c
+++ b/tests/unit/test_connections.c
@@ -1,4 +1,4 @@
-/** @file test_connections.c  Shares of descriptors, and room among a listener's connections. */
+/** @file test_connections.c  Connection limits of listeners, and eviction of idle connections. */
 #include "base/clock.h"
 #include "http/caller_connections.h"
 #include "http/connection_plan.h"
@@ -8,12 +8,12 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define MOST 8
-/** Longer than a connection must be idle to be ended, in ms. */
+#define MAX_OPEN 8
+/** Longer than the idle time after which a connection may be ended. */
 #define IDLE_MS 520
 
-/** Callers with a request each, other daemons and the other listeners fit, with some kept back. */
-static void planned_connections_fit_the_descriptors(void) {
+/** The limits of all listeners use at most three quarters of the descriptors. */
+static void planned_connections_fit_the_descriptor_limit(void) {
     static const uint32_t limits[] = {256, 300, 1024, 4096, 20000, 1048576};
     for (size_t index = 0; index < G_N_ELEMENTS(limits); index++) {
         for (uint32_t per_request = 2; per_request <= 4; per_request++) {
@@ -30,23 +30,24 @@
     return recv(descriptor, &byte, 1, MSG_DONTWAIT) == 0;
 }
 
-/** The longest idle are ended, never one with a request, and none while there is room. */
-static void room_is_made_of_the_longest_idle(void) {
-    int sockets[MOST][2];
-    hs_caller_connection *all[MOST];
-    hs_caller_connections *connections = hs_caller_connections_new(MOST);
-    for (int index = 0; index < MOST; index++) {
+/** Near the limit the longest idle connections are ended, but none with a request. */
+static void longest_idle_connections_are_evicted(void) {
+    int sockets[MAX_OPEN][2];
+    hs_caller_connection *all[MAX_OPEN];
+    hs_caller_connections *connections = hs_caller_connections_new(MAX_OPEN);
+    for (int index = 0; index < MAX_OPEN; index++) {
         CU_ASSERT_EQUAL(socketpair(AF_UNIX, SOCK_STREAM, 0, sockets[index]), 0);
-        if (index == MOST - 1)
+        if (index == MAX_OPEN - 1)
             CU_ASSERT_EQUAL(hs_caller_connections_make_room(connections), 0);
         all[index] = hs_caller_connections_add(connections, sockets[index][0]);
         hs_clock_sleep_ms(2);
     }
-    CU_ASSERT_EQUAL(hs_caller_connections_make_room(connections), 0); /* None is idle for long. */
+    CU_ASSERT_EQUAL(hs_caller_connections_make_room(connections),
+                    0); /* None is idle for long enough. */
     hs_clock_sleep_ms(IDLE_MS);
     hs_caller_connections_set_busy(connections, all[0], true);
     CU_ASSERT_EQUAL(hs_caller_connections_make_room(connections), 2);
-    for (int index = 0; index < MOST; index++) {
+    for (int index = 0; index < MAX_OPEN; index++) {
         bool ended = index == 1 || index == 2;
         CU_ASSERT_EQUAL(is_ended(sockets[index][0]), ended);
         CU_ASSERT_EQUAL(hs_caller_connections_watched(connections, all[index]),
@@ -60,6 +61,6 @@
 }
 
 const test_case connection_tests[] = {
-    {"planned_connections_fit_the_descriptors", planned_connections_fit_the_descriptors},
-    {"room_is_made_of_the_longest_idle", room_is_made_of_the_longest_idle},
+    {"planned_connections_fit_the_descriptor_limit", planned_connections_fit_the_descriptor_limit},
+    {"longest_idle_connections_are_evicted", longest_idle_connections_are_evicted},
     {NULL, NULL}};
--- a/tests/unit/test_input.c
+++ b/tests/unit/test_input.c
@@ -1,4 +1,4 @@
-/** @file test_input.c  Checks of completion bodies and JSONL files; identities. */
+/** @file test_input.c  Checks of completion bodies, JSONL files and multipart bodies; IDs. */
 #include "batch/batch_id.h"
 #include "batch/jsonl.h"
 #include "commands/completion_check.h"
@@ -17,7 +17,7 @@
     return result;
 }
 
-static void completion_rules_hold(void) {
+static void completion_bodies_are_checked(void) {
     CU_ASSERT_EQUAL(check("{\"model\":\"m\",\"prompt\":\"p\"}", false), 0);
     CU_ASSERT_EQUAL(
         check("{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"c\"}]}", true), 0);
@@ -52,7 +52,7 @@
     "{\"custom_id\":\"" id "\",\"method\":\"POST\",\"url\":\"/u\",\"body\":{\"model\":\"" model    \
     "\"}}\n"
 
-static void refuses_file(const char *text, const char *expected) {
+static void check_file_is_refused(const char *text, const char *expected) {
     hs_jsonl_file file;
     hs_error error = {0};
     CU_ASSERT_EQUAL(hs_jsonl_read(text, strlen(text), &rules, &file, &error), HS_INVALID);
@@ -60,23 +60,24 @@
     hs_jsonl_file_clear(&file);
 }
 
-static void bad_files_are_refused_by_line(void) {
-    refuses_file("", "no lines");
-    refuses_file(LINE("a", "m") "{broken\n", "line 2: not a JSON object");
-    refuses_file(LINE("a", "m") LINE("a", "m"), "line 2: duplicate custom_id");
-    refuses_file(LINE("a", "m") LINE("b", "other"), "line 2: every line must have the same model");
-    refuses_file("{\"custom_id\":\"a\",\"method\":\"GET\",\"url\":\"/u\",\"body\":{}}\n",
-                 "method must be POST");
-    refuses_file("{\"method\":\"POST\",\"url\":\"/u\",\"body\":{}}\n", "custom_id");
-    refuses_file(LINE("a", "m") LINE("b", "m") LINE("c", "m") LINE("d", "m") LINE("e", "m")
-                     LINE("f", "m"),
-                 "too many lines");
+static void invalid_files_are_refused_with_the_line(void) {
+    check_file_is_refused("", "no lines");
+    check_file_is_refused(LINE("a", "m") "{broken\n", "line 2: not a JSON object");
+    check_file_is_refused(LINE("a", "m") LINE("a", "m"), "line 2: duplicate custom_id");
+    check_file_is_refused(LINE("a", "m") LINE("b", "other"),
+                          "line 2: every line must have the same model");
+    check_file_is_refused("{\"custom_id\":\"a\",\"method\":\"GET\",\"url\":\"/u\",\"body\":{}}\n",
+                          "method must be POST");
+    check_file_is_refused("{\"method\":\"POST\",\"url\":\"/u\",\"body\":{}}\n", "custom_id");
+    check_file_is_refused(LINE("a", "m") LINE("b", "m") LINE("c", "m") LINE("d", "m") LINE("e", "m")
+                              LINE("f", "m"),
+                          "too many lines");
     g_autofree char *long_id = g_strnfill(300, 'x');
     g_autofree char *long_line = g_strdup_printf("{\"custom_id\":\"%s\"}\n", long_id);
-    refuses_file(long_line, "over the limit");
+    check_file_is_refused(long_line, "over the limit");
 }
 
-static void file_is_cut_into_chunks(void) {
+static void file_is_split_into_chunks(void) {
     const char *text = LINE("a", "m") LINE("b", "m") LINE("c", "m");
     hs_jsonl_file file;
     hs_error error = {0};
@@ -89,7 +90,7 @@
     hs_jsonl_file_clear(&file);
 }
 
-static void identities_are_stable_and_carry_their_partition(void) {
+static void ids_are_stable_and_contain_their_partition(void) {
     g_autofree char *file = hs_file_id("t", "abc", 3, 256, 16);
     g_autofree char *again = hs_file_id("t", "abc", 3, 256, 16);
     g_autofree char *other = hs_file_id("u", "abc", 3, 256, 16);
@@ -116,7 +117,7 @@
     return hs_multipart_find(type, body, strlen(body), "file", part);
 }
 
-static void multipart_is_cut_or_refused(void) {
+static void multipart_parts_are_found_or_refused(void) {
     const char *type = "multipart/form-data; boundary=b";
     hs_multipart_part part = {0};
     CU_ASSERT_EQUAL(find_file(type, PART("purpose", "batch") PART("file", "x\r\ny") "--b--", &part),
@@ -136,10 +137,10 @@
     CU_ASSERT_EQUAL(find_file("text/plain", PART("file", "x") "--b--", &part), HS_MULTIPART_BROKEN);
 }
 
-const test_case input_tests[] = {{"multipart_is_cut_or_refused", multipart_is_cut_or_refused},
-                                 {"completion_rules_hold", completion_rules_hold},
-                                 {"bad_files_are_refused_by_line", bad_files_are_refused_by_line},
-                                 {"file_is_cut_into_chunks", file_is_cut_into_chunks},
-                                 {"identities_are_stable_and_carry_their_partition",
-                                  identities_are_stable_and_carry_their_partition},
-                                 {NULL, NULL}};
+const test_case input_tests[] = {
+    {"multipart_parts_are_found_or_refused", multipart_parts_are_found_or_refused},
+    {"completion_bodies_are_checked", completion_bodies_are_checked},
+    {"invalid_files_are_refused_with_the_line", invalid_files_are_refused_with_the_line},
+    {"file_is_split_into_chunks", file_is_split_into_chunks},
+    {"ids_are_stable_and_contain_their_partition", ids_are_stable_and_contain_their_partition},
+    {NULL, NULL}};
