--- a/src/commands/cancel.c
+++ b/src/commands/cancel.c
@@ -63,7 +63,8 @@
     if (!tried || appended == HS_PLATFORM_BUSY || appended == HS_PLATFORM_REFUSED)
         return hs_refuse_unavailable(response, "platform_unavailable", error.message,
                                      RETRY_AFTER_S);
-    return hs_refuse_unknown(response, 504, "outcome_unknown", "cancel again to learn the outcome");
+    return hs_refuse_outcome_unknown(response, 504, "outcome_unknown",
+                                     "cancel again to learn the outcome");
 }
 
 int hs_command_cancel(const struct _u_request *request, struct _u_response *response,
--- a/src/commands/publish.c
+++ b/src/commands/publish.c
@@ -105,7 +105,8 @@
     if (certainly_not)
         hs_refuse_unavailable(response, "platform_unavailable", error.message, RETRY_AFTER_S);
     else if (!known)
-        hs_refuse_unknown(response, 504, "outcome_unknown", "read the object to learn the outcome");
+        hs_refuse_outcome_unknown(response, 504, "outcome_unknown",
+                                  "read the object to learn the outcome");
     else if (verdict == HS_CHANGE_ACCEPTED)
         reply_accepted(self, revision, response);
     else if (self->conditional)
--- a/src/commands/submit.c
+++ b/src/commands/submit.c
@@ -143,8 +143,8 @@
     if (appended == HS_PLATFORM_BUSY || appended == HS_PLATFORM_REFUSED)
         return hs_refuse_unavailable(response, "platform_unavailable", error.message,
                                      RETRY_AFTER_S);
-    return hs_refuse_unknown(response, 504, "outcome_unknown",
-                             "send the same job again to learn its outcome");
+    return hs_refuse_outcome_unknown(response, 504, "outcome_unknown",
+                                     "send the same job again to learn its outcome");
 }
 
 /** The key a resent job is known by: the caller's, or a digest of what it asks for. */
--- a/src/commands/upload.c
+++ b/src/commands/upload.c
@@ -133,7 +133,7 @@
     if (result == HS_PLATFORM_BUSY || result == HS_PLATFORM_REFUSED)
         return hs_refuse_unavailable(response, "platform_unavailable", error.message,
                                      RETRY_AFTER_S);
-    return hs_refuse_unknown(response, 504, "outcome_unknown", error.message);
+    return hs_refuse_outcome_unknown(response, 504, "outcome_unknown", error.message);
 }
 
 static int check_and_store(hs_node *node, const char *tenant, const hs_multipart_part *part,
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -269,7 +269,7 @@
     bool calls_done = wait_for_zero(&node->call_count, deadline_ms);
     bool items_done = wait_for_items(node->scheduler, deadline_ms);
     if (node->front_watch != NULL)
-        hs_front_watch_leave(node->front_watch);
+        hs_front_watch_stop_probing(node->front_watch);
     if (daemon->caller_server != NULL)
         hs_http_server_quiesce(daemon->caller_server);
     calls_done = wait_for_zero(&node->call_count, deadline_ms) && calls_done;
--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -202,15 +202,15 @@
 }
 
 static void bound_connections(const hs_settings *settings) {
-    hs_connection_bounds bounds = {
-        .kernel_ms = {[HS_CONNECTION_CALLER] = (uint32_t)settings->fleet_caller_silence_ms,
-                      [HS_CONNECTION_DAEMON] = (uint32_t)settings->fleet_daemon_silence_ms,
-                      [HS_CONNECTION_ENGINE] = (uint32_t)settings->fleet_engine_silence_ms,
-                      [HS_CONNECTION_STORE] = (uint32_t)settings->fleet_store_silence_ms},
+    hs_connection_timeouts bounds = {
+        .kernel_timeout_ms = {[HS_CONNECTION_CALLER] = (uint32_t)settings->fleet_caller_silence_ms,
+                              [HS_CONNECTION_DAEMON] = (uint32_t)settings->fleet_daemon_silence_ms,
+                              [HS_CONNECTION_ENGINE] = (uint32_t)settings->fleet_engine_silence_ms,
+                              [HS_CONNECTION_STORE] = (uint32_t)settings->fleet_store_silence_ms},
         .repeat_unacknowledged_ms = (uint32_t)settings->fleet_repeat_unacknowledged_ms,
         .once_unacknowledged_ms = (uint32_t)settings->fleet_once_unacknowledged_ms,
         .once_idle_ms = (uint32_t)settings->fleet_once_idle_ms};
-    hs_connection_bounds_set(&bounds);
+    hs_connection_timeouts_set(&bounds);
 }
 
 /**
--- a/src/fleet/crash_probe.c
+++ b/src/fleet/crash_probe.c
@@ -85,7 +85,7 @@
 /** Advances a check by one step. Returns true when the result is known. */
 static bool advance_check(hs_crash_probe *probe, engine_check *check) {
     bool is_crashed = false;
-    bool is_open = hs_client_connection_is_quiet(check->connection);
+    bool is_open = hs_client_connection_is_idle_and_open(check->connection);
     if (is_open && hs_clock_monotonic_ms() < check->opened_ms + MIN_OPEN_MS)
         return false;
     if (!is_open && check->reconnect_count < MAX_RECONNECTS) {
--- a/src/fleet/engine_attempt.c
+++ b/src/fleet/engine_attempt.c
@@ -50,19 +50,19 @@
 
 /** On a reused connection, which may have been lost, waits for an acknowledgement. */
 static hs_step await_acknowledgement(const hs_attempt_parameters *parameters, hs_attempt *attempt) {
-    if (!hs_client_connection_is_kept(attempt->connection))
+    if (!hs_client_connection_is_reused(attempt->connection))
         return HS_STEP_PROGRESS;
-    hs_connection_bounds bounds = hs_connection_bounds_get();
+    hs_connection_timeouts bounds = hs_connection_timeouts_get();
     uint32_t limit_ms =
         parameters->may_repeat ? bounds.repeat_unacknowledged_ms : bounds.once_unacknowledged_ms;
-    return hs_client_connection_await_sign(attempt->connection, limit_ms, &parameters->wait);
+    return hs_client_connection_check_liveness(attempt->connection, limit_ms, &parameters->wait);
 }
 
 /** Returns the longest wait for the head before a reused connection counts as lost; 0: none. */
 static uint32_t reused_connection_timeout_ms(const hs_attempt_parameters *parameters,
                                              const hs_attempt *attempt) {
     if (parameters->reused_head_timeout_ms == 0 ||
-        !hs_client_connection_is_kept(attempt->connection))
+        !hs_client_connection_is_reused(attempt->connection))
         return 0;
     const hs_request_size *size = parameters->query.size;
     uint32_t usual_limit_ms =
@@ -86,7 +86,7 @@
         hs_step step = hs_client_connection_read_head(attempt->connection, &wait);
         if (step == HS_STEP_DEADLINE && reused_timeout_ms > 0 &&
             hs_clock_monotonic_ms() < parameters->wait.deadline)
-            return hs_client_connection_lose(attempt->connection, "timeout");
+            return hs_client_connection_mark_lost(attempt->connection, "timeout");
         if (step != HS_STEP_PROGRESS && step != HS_STEP_COMPLETE)
             return step;
         attempt->status = hs_client_connection_status(attempt->connection);
@@ -97,7 +97,7 @@
         step = hs_client_connection_read_all(attempt->connection, MAX_STRAY_RESPONSE_BYTES, &wait);
         if (step != HS_STEP_COMPLETE)
             return step;
-        if (!hs_client_connection_skip_answer(attempt->connection))
+        if (!hs_client_connection_skip_response(attempt->connection))
             return HS_STEP_CUT;
     }
     return HS_STEP_INVALID;
@@ -106,7 +106,8 @@
 static hs_run_state run_state_after(const hs_attempt *attempt, bool has_head) {
     if (has_head)
         return attempt->answer.not_executed ? HS_RUN_NOT_EXECUTED : HS_RUN_EXECUTED;
-    bool sent = attempt->connection != NULL && hs_client_connection_sent_any(attempt->connection);
+    bool sent =
+        attempt->connection != NULL && hs_client_connection_has_sent_bytes(attempt->connection);
     return sent ? HS_RUN_MAYBE_EXECUTED : HS_RUN_NOT_EXECUTED;
 }
 
@@ -178,7 +179,7 @@
 
 /** Returns the longest idle time of a connection that may be reused for the request. */
 static uint32_t max_idle_ms(const hs_attempt_parameters *parameters) {
-    uint32_t once_idle_ms = hs_connection_bounds_get().once_idle_ms;
+    uint32_t once_idle_ms = hs_connection_timeouts_get().once_idle_ms;
     if (parameters->fresh)
         return 0;
     return parameters->may_repeat || once_idle_ms == 0 ? UINT32_MAX : once_idle_ms;
@@ -225,7 +226,7 @@
 void hs_attempt_note_resume_mismatch(const hs_attempt *attempt, const char *request_id,
                                      uint64_t last_event, uint64_t event) {
     hs_engine_lease_note_resume_mismatch(attempt->lease);
-    hs_client_connection_give_up(attempt->connection);
+    hs_client_connection_mark_unusable(attempt->connection);
     hs_log_warning("run_misplaced",
                    "request=%s engine=%s last_event=%" G_GUINT64_FORMAT " event=%" G_GUINT64_FORMAT
                    " outcome=not_taken",
--- a/src/fleet/engine_lease.c
+++ b/src/fleet/engine_lease.c
@@ -64,7 +64,7 @@
     uint64_t limit_ms = announced_ms > 0 ? (uint64_t)((double)announced_ms * KEEP_ALIVE_SHARE)
                                          : DEFAULT_KEEP_ALIVE_MS;
     return now_ms < idle->idle_since_ms + limit_ms &&
-           hs_client_connection_is_quiet(idle->connection);
+           hs_client_connection_is_idle_and_open(idle->connection);
 }
 
 static bool has_carried(const hs_carried_requests *carried, uint64_t request_hash) {
@@ -124,7 +124,7 @@
     g_mutex_unlock(&lease->engines->lock);
     connection = hs_client_connection_open(address, port, &connecting, step);
     if (connection != NULL)
-        hs_client_connection_guard(connection, HS_CONNECTION_ENGINE);
+        hs_client_connection_set_timeouts(connection, HS_CONNECTION_ENGINE);
     return connection;
 }
 
--- a/src/http/refusal.c
+++ b/src/http/refusal.c
@@ -22,8 +22,8 @@
                                                           .retry_after_s = retry_after_s});
 }
 
-int hs_refuse_unknown(struct _u_response *response, unsigned int status, const char *code,
-                      const char *message) {
+int hs_refuse_outcome_unknown(struct _u_response *response, unsigned int status, const char *code,
+                              const char *message) {
     return hs_http_reply_error(response, &(hs_error_body){.status = status,
                                                           .type = "outcome_unknown",
                                                           .code = code,
--- a/src/jobs/job_peer.c
+++ b/src/jobs/job_peer.c
@@ -44,7 +44,7 @@
     if (step == HS_STEP_PROGRESS || step == HS_STEP_COMPLETE)
         step = hs_client_connection_read_all(connection, ANSWER_LIMIT_BYTES, wait);
     if (step == HS_STEP_DEADLINE)
-        hs_client_connection_lose(connection, "timeout");
+        hs_client_connection_mark_lost(connection, "timeout");
     return step == HS_STEP_COMPLETE;
 }
 
@@ -72,11 +72,11 @@
         hs_client_connection_open(peer->address, peer->port, &wait, &step);
     wait.deadline = deadline;
     if (connection != NULL)
-        hs_client_connection_guard(connection, HS_CONNECTION_DAEMON);
+        hs_client_connection_set_timeouts(connection, HS_CONNECTION_DAEMON);
     if (connection != NULL && exchange(connection, head, body, &wait)) {
         copy_answer(connection, answer);
         outcome = HS_PEER_ANSWERED;
-    } else if (connection != NULL && hs_client_connection_sent_any(connection)) {
+    } else if (connection != NULL && hs_client_connection_has_sent_bytes(connection)) {
         outcome = HS_PEER_NO_ANSWER;
     }
     if (connection != NULL)
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -8,7 +8,7 @@
 }
 
 bool hs_node_takes_connections(const hs_node *node) {
-    return node->front_watch == NULL || hs_front_watch_is_taking(node->front_watch);
+    return node->front_watch == NULL || hs_front_watch_is_accepting(node->front_watch);
 }
 
 bool hs_node_takes_requests(hs_node *node) {
--- a/src/online/online_stream.c
+++ b/src/online/online_stream.c
@@ -148,7 +148,7 @@
     GByteArray *body = hs_client_connection_body(attempt->connection);
     guint ready_before = request->ready->len;
     guint body_before = body->len;
-    hs_step step = hs_client_connection_take_ready(attempt->connection);
+    hs_step step = hs_client_connection_read_available(attempt->connection);
     if (body->len > body_before)
         hs_engine_lease_note_received(attempt->lease);
     /* If an event is out of order, the library thread finds the same error and reports it. */
@@ -191,7 +191,7 @@
 
 bool hs_online_stream_drop(hs_online_request *request) {
     const hs_stream_state *stream = &request->stream;
-    if (!hs_inbound_cut(request->inbound))
+    if (!hs_inbound_reset(request->inbound))
         return false;
     hs_log_warning("stream_dropped",
                    "request=%s reason=%s held_bytes=%u charged_bytes=%" G_GUINT64_FORMAT
--- a/src/online/read_ahead.c
+++ b/src/online/read_ahead.c
@@ -31,8 +31,8 @@
 static void keep_stalled_connection(hs_online_request *request, uint64_t now_ms) {
     int descriptor = request->inbound->descriptor;
     if (descriptor >= 0)
-        hs_connection_keep_stalled(descriptor, HS_CONNECTION_CALLER,
-                                   now_ms - request->stream.started_ms);
+        hs_connection_extend_timeout(descriptor, HS_CONNECTION_CALLER,
+                                     now_ms - request->stream.started_ms);
 }
 
 /** Reads all stalled streams ahead. The caller holds the lock. */
--- a/src/store/store_client.c
+++ b/src/store/store_client.c
@@ -73,7 +73,7 @@
     g_mutex_lock(&client->lock);
     while (connection == NULL && !g_queue_is_empty(&client->idle)) {
         connection = g_queue_pop_tail(&client->idle);
-        if (!hs_client_connection_is_quiet(connection)) {
+        if (!hs_client_connection_is_idle_and_open(connection)) {
             hs_client_connection_close(connection);
             connection = NULL;
         }
@@ -107,7 +107,7 @@
 
 /** How long a call may stay unacknowledged on a kept connection. */
 static uint32_t unacknowledged_ms(const hs_store_call *call) {
-    hs_connection_bounds bounds = hs_connection_bounds_get();
+    hs_connection_timeouts bounds = hs_connection_timeouts_get();
     return is_read(call) ? bounds.repeat_unacknowledged_ms : bounds.once_unacknowledged_ms;
 }
 
@@ -151,7 +151,7 @@
 static hs_deadline head_deadline(const hs_client_connection *connection, const hs_store_call *call,
                                  hs_deadline deadline) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    bool has_second = hs_client_connection_is_kept(connection) && is_read(call) && !call->holds;
+    bool has_second = hs_client_connection_is_reused(connection) && is_read(call) && !call->holds;
     return has_second && deadline > now_ms ? now_ms + (deadline - now_ms) / KEPT_READ_PARTS
                                            : deadline;
 }
@@ -159,16 +159,16 @@
 /** Read the whole answer to a call that was sent. */
 static hs_step read_answer(hs_client_connection *connection, const hs_store_call *call,
                            const hs_wait *wait) {
-    bool is_kept = hs_client_connection_is_kept(connection);
+    bool is_kept = hs_client_connection_is_reused(connection);
     hs_step step = HS_STEP_PROGRESS;
     hs_wait first = *wait;
     first.deadline = head_deadline(connection, call, wait->deadline);
     if (is_kept)
-        step = hs_client_connection_await_sign(connection, unacknowledged_ms(call), wait);
+        step = hs_client_connection_check_liveness(connection, unacknowledged_ms(call), wait);
     if (step == HS_STEP_PROGRESS)
         step = hs_client_connection_read_head(connection, &first);
     if (step == HS_STEP_DEADLINE && is_kept && is_read(call)) /* A write's time is short. */
-        step = hs_client_connection_lose(connection, "timeout");
+        step = hs_client_connection_mark_lost(connection, "timeout");
     if (step == HS_STEP_PROGRESS || step == HS_STEP_COMPLETE)
         step = hs_client_connection_read_all(connection, ANSWER_LIMIT_BYTES, wait);
     return step;
@@ -192,7 +192,7 @@
         const GByteArray *received = hs_client_connection_body(connection);
         outcome = outcome_of(hs_client_connection_status(connection));
         g_byte_array_append(answer, received->data, received->len);
-    } else if (!hs_client_connection_sent_any(connection)) {
+    } else if (!hs_client_connection_has_sent_bytes(connection)) {
         outcome = HS_STORE_REFUSED;
     }
     g_mutex_lock(&client->lock);
@@ -216,7 +216,7 @@
     hs_client_connection *connection =
         hs_client_connection_open(client->address, client->port, &connecting, &step);
     if (connection != NULL)
-        hs_client_connection_guard(connection, HS_CONNECTION_STORE);
+        hs_client_connection_set_timeouts(connection, HS_CONNECTION_STORE);
     return connection;
 }
 
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -116,7 +116,7 @@
         g_string_append_printf(text,
                                "heathsail_connections_lost{kind=\"%s\"} %" G_GUINT64_FORMAT "\n",
                                hs_connection_kind_name((hs_connection_kind)kind),
-                               (guint64)hs_connection_losses((hs_connection_kind)kind));
+                               (guint64)hs_connection_loss_count((hs_connection_kind)kind));
 }
 
 static void write_memory(GString *text, hs_read_ahead *ahead) {
--- a/src/surface/fleet_surface.c
+++ b/src/surface/fleet_surface.c
@@ -252,7 +252,7 @@
 /** Whether the front takes connections; without a front there is nothing to take. */
 static bool takes_connections(const hs_fleet_surface *surface) {
     return surface->front == NULL ||
-           (surface->watch != NULL && hs_front_watch_is_taking(surface->watch));
+           (surface->watch != NULL && hs_front_watch_is_accepting(surface->watch));
 }
 
 static bool is_ready(hs_fleet_surface *surface) {
@@ -337,7 +337,7 @@
 }
 
 static void watch_front(hs_fleet_surface *surface) {
-    hs_listener *const listeners[HS_WATCHED_LISTENERS_MOST] = {
+    hs_listener *const listeners[HS_MAX_WATCHED_LISTENERS] = {
         surface->front, surface->ready, surface->directory, surface->metrics, surface->peers};
     hs_endpoint front;
     hs_endpoint_parse(surface->settings.front, &front);
@@ -346,7 +346,7 @@
                                                .target = "/",
                                                .listener = surface->front},
                                      .contact_ms = surface->settings.contact_ms};
-    for (int index = 0; index < HS_WATCHED_LISTENERS_MOST; index++)
+    for (int index = 0; index < HS_MAX_WATCHED_LISTENERS; index++)
         if (listeners[index] != NULL)
             watch.connections[index] = hs_listener_connections(listeners[index]);
     surface->watch = hs_front_watch_start(&watch);
@@ -380,7 +380,7 @@
 void hs_fleet_surface_leave(hs_fleet_surface *surface) {
     g_atomic_int_set(&surface->leaving, 1);
     if (surface->watch != NULL)
-        hs_front_watch_leave(surface->watch);
+        hs_front_watch_stop_probing(surface->watch);
     if (surface->front != NULL)
         hs_listener_close_after_answers(surface->front);
 }
@@ -391,7 +391,7 @@
 }
 
 uint32_t hs_fleet_surface_open_requests(hs_fleet_surface *surface) {
-    return surface->front != NULL ? hs_listener_open_requests(surface->front) : 0;
+    return surface->front != NULL ? hs_listener_open_request_count(surface->front) : 0;
 }
 
 void hs_fleet_surface_stop(hs_fleet_surface *surface) {
--- a/standin/token_engine/token_engine.c
+++ b/standin/token_engine/token_engine.c
@@ -421,5 +421,5 @@
 }
 
 uint32_t token_engine_open(token_engine *engine) {
-    return engine->listener != NULL ? hs_listener_open_requests(engine->listener) : 0;
+    return engine->listener != NULL ? hs_listener_open_request_count(engine->listener) : 0;
 }
--- a/tests/fuzz/engine_answer.c
+++ b/tests/fuzz/engine_answer.c
@@ -47,7 +47,7 @@
         FUZZ_CHECK(step == HS_STEP_COMPLETE);
         FUZZ_CHECK(hs_client_connection_status(connection) >= 200);
     }
-    hs_client_connection_skip_answer(connection);
+    hs_client_connection_skip_response(connection);
     hs_client_connection_close(connection);
     g_string_free(head, TRUE);
     close(sockets[1]);
