--- a/include/heathsail/fleet.h
+++ b/include/heathsail/fleet.h
@@ -1,7 +1,8 @@
 /**
  * @file fleet.h
- * Typed forms of what operators, engines and callers say on the fleet surface. The adapter in
- * platform/ turns wire bytes into these and back; nothing else knows how they are spelled.
+ * Data types of the fleet surface: the configuration, engine entries, request sizes and engine
+ * load. The codecs in platform/ convert them from and to the wire formats. Only the reference count
+ * of hs_fleet_config is thread-safe; the other types have no synchronisation.
  */
 #ifndef HEATHSAIL_FLEET_H
 #define HEATHSAIL_FLEET_H
@@ -10,7 +11,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What a route allows to happen to a request more than once. */
+/** How requests of a route are executed and whether an execution may be repeated. */
 typedef enum {
     HS_ROUTE_NON_IDEMPOTENT,
     HS_ROUTE_IDEMPOTENT,
@@ -18,29 +19,29 @@
     HS_ROUTE_BATCH,
 } hs_route_kind;
 
-/** One share of a route's traffic. */
+/** The share of a route's traffic that a service gets. */
 typedef struct {
     char *service;
-    double weight; /**< Relative to the sum over the route's shares; not below 0. */
+    double weight; /**< At least 0; relative to the sum over the route's shares. */
 } hs_route_share;
 
-/** A routing rule: requests of a host under a path prefix. */
+/** A routing rule for requests to a host under a path prefix. */
 typedef struct {
     char *name;
     char *host;
     char *path_prefix;
     hs_route_kind kind;
-    GArray *shares; /**< of hs_route_share; at least one. */
+    GArray *shares; /**< Of hs_route_share; at least one. */
     uint32_t timeout_ms;
     uint32_t target_latency_ms;
     uint32_t max_attempts;
-    uint32_t priority; /**< 0 is the highest rank. */
-    bool resumable;
-    uint32_t gap_target_ms;        /**< 0: none. */
-    uint32_t completion_target_ms; /**< Batch: when results are due after the submission. */
-    uint64_t retention_ms;         /**< Batch: when items may be given up after the submission. */
-    uint64_t waiting_tokens_most;  /**< Batch: tokens of a tenant's unfinished items at a time, of
-                                        all callers where there are no tenants; 0: no limit. */
+    uint32_t priority;             /**< 0 is the highest rank. */
+    bool resumable;                /**< A stream can be resumed after its connection broke. */
+    uint32_t gap_target_ms;        /**< Target time between events of a stream; 0: none. */
+    uint32_t completion_target_ms; /**< Batch: time from submission until results are due. */
+    uint64_t retention_ms;         /**< Batch: time from submission until items may be dropped. */
+    uint64_t waiting_tokens_most;  /**< Batch: limit of the tokens in a tenant's unfinished items,
+                                        or in all callers' if there are no tenants; 0: no limit. */
     bool is_public;                /**< Callers need no key. */
 } hs_fleet_route;
 
@@ -48,22 +49,22 @@
 typedef struct {
     char *name;
     char *health_path;
-    uint32_t max_connections; /**< To one engine from all daemons; 0: no limit known. */
-    uint64_t memory_tokens;   /**< An engine's memory; 0: not a model engine. */
-    bool has_moves;           /**< A run's memory can be moved to another engine. */
+    uint32_t max_connections; /**< Limit per engine over all daemons; 0: unknown. */
+    uint64_t memory_tokens; /**< Capacity of an engine's key-value cache; 0: not a model engine. */
+    bool has_moves;         /**< The state of a run can be moved to another engine. */
 } hs_fleet_service;
 
-/** A customer whose callers prove by a key that they are its. */
+/** A customer. Callers authenticate as the tenant by one of the tenant's keys. */
 typedef struct {
     char *name;
-    GPtrArray *keys; /**< of char*; none: nobody can call as this tenant. */
+    GPtrArray *keys; /**< Of char*; empty: no caller can authenticate as this tenant. */
     bool has_priority;
-    uint32_t priority; /**< With has_priority, in place of a route's; 0 is the highest rank. */
-    double rate_per_s; /**< Online requests a second over all daemons; 0: no limit. */
-    double burst;      /**< Requests above the rate at one time. */
+    uint32_t priority; /**< If has_priority: replaces the route's; 0 is the highest rank. */
+    double rate_per_s; /**< Limit of online requests over all daemons; 0: no limit. */
+    double burst;      /**< Requests above the rate that are admitted at once. */
 } hs_fleet_tenant;
 
-/** What callers may send. */
+/** Limits on requests and connections of callers. */
 typedef struct {
     uint64_t max_header_bytes;
     uint64_t max_body_bytes;
@@ -71,33 +72,33 @@
     uint64_t idle_timeout_ms;
 } hs_fleet_limits;
 
-/** One version of the configuration; immutable once made, counted by references. */
+/** One version of the configuration. Reference-counted; immutable once published. */
 typedef struct {
     gint references;
     uint64_t version;
-    uint64_t offset;     /**< Its record's place in the store. */
-    GPtrArray *routes;   /**< of hs_fleet_route* */
-    GPtrArray *services; /**< of hs_fleet_service* */
-    bool needs_keys;     /**< It names tenants: what is not public takes one of their keys. */
-    GPtrArray *tenants;  /**< of hs_fleet_tenant* */
+    uint64_t offset;     /**< Offset of the configuration record in the store. */
+    GPtrArray *routes;   /**< Of hs_fleet_route*. */
+    GPtrArray *services; /**< Of hs_fleet_service*. */
+    bool needs_keys;     /**< Routes that are not public require a tenant's key. */
+    GPtrArray *tenants;  /**< Of hs_fleet_tenant*. */
     GHashTable
-        *tenant_by_key;       /**< key -> hs_fleet_tenant*, borrowed; see tenants/tenant_index.h. */
-    uint32_t tenants_highest; /**< Highest rank (lowest number) that a tenant has by itself;
-                                   UINT32_MAX: none has one. */
-    bool has_unranked_callers; /**< Some callers' requests have their route's rank. */
+        *tenant_by_key;       /**< Key -> hs_fleet_tenant*, borrowed; see tenants/tenant_index.h. */
+    uint32_t tenants_highest; /**< Lowest number among the tenants' priorities; UINT32_MAX:
+                                   no tenant has a priority. */
+    bool has_unranked_callers; /**< Some callers' requests use the priority of their route. */
     hs_fleet_limits limits;
 } hs_fleet_config;
 
-/** Make an empty configuration with one reference. */
+/** Returns an empty configuration with one reference. */
 hs_fleet_config *hs_fleet_config_new(void);
 
-/** Take one more reference. */
+/** Adds a reference. Returns @p config. */
 hs_fleet_config *hs_fleet_config_ref(hs_fleet_config *config);
 
-/** Drop a reference; the last one frees. NULL is allowed. */
+/** Drops a reference and frees the configuration with the last one. @p config may be NULL. */
 void hs_fleet_config_unref(hs_fleet_config *config);
 
-/** What an engine says of itself in the store. */
+/** The entry that an engine publishes about itself in the store. */
 typedef struct {
     char *id;
     char *service;
@@ -107,14 +108,14 @@
     uint32_t slots;
     bool draining;
     uint32_t warmup_left_ms;
-    uint64_t born_ms; /**< Wall time of its start, by which two starts under one id differ; 0: not
-                           told, and each start has an id of its own. */
+    uint64_t born_ms; /**< Wall-clock start time, which tells two starts under one id apart; 0: not
+                           reported, each start then has a new id. */
 } hs_engine_entry;
 
-/** Free the strings of @p entry. */
+/** Frees the strings of @p entry and zeroes the struct. */
 void hs_engine_entry_clear(hs_engine_entry *entry);
 
-/** A part of a prompt that may be shared between requests. */
+/** A part of a prompt that several requests may share. */
 typedef struct {
     uint64_t id;
     uint32_t tokens;
@@ -122,34 +123,30 @@
 
 #define HS_PROMPT_PARTS_MAX 16
 
-/** What a request says of its size. */
+/** The size that a request declares. */
 typedef struct {
     hs_prompt_part parts[HS_PROMPT_PARTS_MAX];
     uint32_t part_count;
-    uint32_t prompt_tokens; /**< 0: not said. */
+    uint32_t prompt_tokens; /**< 0: not declared. */
     uint32_t output_tokens; /**< Upper bound. */
 } hs_request_size;
 
-/** An engine's load as it came with an answer. */
+/** The load that an engine reports in a response. */
 typedef struct {
     bool present;
     uint32_t running;
     uint32_t waiting;
     uint32_t slots;
-    uint32_t slowdown_percent; /**< How long work takes there at present, 100: as usual; 0: not
-                                    told. */
-    bool is_slowdown_rejected; /**< It told what no engine can mean: slowdown_percent is 0. */
+    uint32_t slowdown_percent; /**< Current execution time relative to normal, which is 100; 0: not
+                                    reported. */
+    bool is_slowdown_rejected; /**< The reported value was invalid: slowdown_percent is 0. */
 } hs_engine_load;
 
-/**
- * Bounds in percent of what an engine can mean by its slowdown. A machine that was shared and is
- * not any more gains a few times; at a hundredth of its pace every request there is late, which
- * failures tell anyway.
- */
+/** Range of valid slowdown reports; values outside are rejected. */
 #define HS_SLOWDOWN_LEAST_PERCENT 10
 #define HS_SLOWDOWN_MOST_PERCENT 10000
 
-/** Time from the monotonic clock, in ms, after which nobody waits any more. */
+/** A point in time of hs_clock_monotonic_ms, in ms, at which a wait ends. */
 typedef uint64_t hs_deadline;
 
 #endif
--- a/include/heathsail/settings.h
+++ b/include/heathsail/settings.h
@@ -1,14 +1,15 @@
 /**
  * @file settings.h
- * Settings of one daemon. Read once at the start, then never changed; freely shared by threads.
- * The table in src/daemon/settings.c gives each key's type, unit, range, default and meaning.
+ * Settings of one daemon. They are read once at start-up and not changed afterwards, so that
+ * threads share them without locking. The table in src/daemon/settings.c defines the type, unit,
+ * range, default and meaning of each key.
  */
 #ifndef HEATHSAIL_SETTINGS_H
 #define HEATHSAIL_SETTINGS_H
 
 #include <stdint.h>
 
-/** All strings are owned by the struct and freed by hs_settings_free. */
+/** The struct owns all strings; hs_settings_free frees them. */
 typedef struct {
     char *daemon_id;
     char *zone;
@@ -18,7 +19,7 @@
     int64_t shutdown_grace_ms;
     int64_t drain_notice_ms;
 
-    char *surface; /**< "openai" or "fleet". */
+    char *surface; /**< The API for callers: "openai" or "fleet". */
 
     int64_t caller_enabled;
     int64_t caller_port;
@@ -69,7 +70,7 @@
     int64_t ejection_failures;
     int64_t ejection_ms;
 
-    /* The fleet surface; see src/daemon/fleet_daemon.c. Addresses are "IPv4:port". */
+    /* Settings of the fleet surface. Addresses are "IPv4:port". */
     char *fleet_front;
     char *fleet_ready;
     char *fleet_directory;
--- a/src/base/build_info.c
+++ b/src/base/build_info.c
@@ -1,7 +1,7 @@
 /** @file build_info.c  See build_info.h. */
 #include "base/build_info.h"
 
-/* Told by the Makefile. */
+/* The Makefile defines the commit. */
 #ifndef HS_BUILD_COMMIT
 #define HS_BUILD_COMMIT "unknown"
 #endif
--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -1,4 +1,4 @@
-/** @file clock.c  Clocks; see clock.h. */
+/** @file clock.c  See clock.h. */
 #include "base/clock.h"
 
 #include <time.h>
@@ -15,14 +15,15 @@
     return (uint64_t)now.tv_sec * US_PER_S + (uint64_t)now.tv_nsec / NS_PER_US;
 }
 
-/** CLOCK_MONOTONIC stands still while the machine is suspended: leases would seem to last. */
+/** Uses CLOCK_BOOTTIME since CLOCK_MONOTONIC excludes suspension, by which leases would last too
+ * long. */
 uint64_t hs_clock_monotonic_us(void) {
     return read_us(CLOCK_BOOTTIME);
 }
 
 uint64_t hs_clock_suspended_ms(void) {
-    uint64_t steady_us = read_us(CLOCK_MONOTONIC);
-    return (read_us(CLOCK_BOOTTIME) - steady_us) / US_PER_MS;
+    uint64_t monotonic_us = read_us(CLOCK_MONOTONIC);
+    return (read_us(CLOCK_BOOTTIME) - monotonic_us) / US_PER_MS;
 }
 
 uint64_t hs_clock_monotonic_ms(void) {
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,11 +1,11 @@
 /**
  * @file clock.h
- * Clocks, and waits by them. They only decide when to try; no decision that must be single uses
- * one. No other file reads a clock or waits for a time on a condition.
+ * Clocks and timed waits. All other modules read clocks and wait through these functions, which are
+ * thread-safe.
  *
- * Two meanings of time: what others rely on (ages, deadlines, leases, how long something is
- * remembered) goes on while the machine is suspended; a pause between two steps of our own does
- * not. What crosses machines is a duration or a version, never a reading of a clock.
+ * Ages, deadlines, leases and retention times continue while the machine is suspended; pauses
+ * between two steps of one thread do not. Between machines, durations and versions are exchanged,
+ * never clock readings, and correctness does not depend on clocks of two machines agreeing.
  */
 #ifndef HS_BASE_CLOCK_H
 #define HS_BASE_CLOCK_H
@@ -14,40 +14,42 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Milliseconds that never go back, time for which the machine was suspended included. */
+/** Returns monotonic time in ms, which includes the time for which the machine was suspended. */
 uint64_t hs_clock_monotonic_ms(void);
 
-/** The same in microseconds. */
+/** Returns hs_clock_monotonic_ms in microseconds. */
 uint64_t hs_clock_monotonic_us(void);
 
-/** Milliseconds for which the machine was suspended so far: of no meaning but in differences. */
+/** Returns the total time in ms for which the machine was suspended; only differences matter. */
 uint64_t hs_clock_suspended_ms(void);
 
-/** Milliseconds since 1970 of the wall clock; for display and callers' deadlines only. */
+/** Returns the wall-clock time in ms since 1970; for display and callers' deadlines only. */
 uint64_t hs_clock_wall_ms(void);
 
-/** Sleep for about @p milliseconds. */
+/** Sleeps for about @p milliseconds; a signal can end the sleep early. */
 void hs_clock_sleep_ms(uint64_t milliseconds);
 
-/** A pause under way: ends after a time for which the machine ran. */
+/** A pause in progress. Time for which the machine is suspended does not count. */
 typedef struct {
-    gint64 until_us; /**< Of the steady clock that GLib waits by. */
+    gint64 until_us; /**< Time of g_get_monotonic_time. */
 } hs_pause;
 
+/** Starts a pause that ends in @p milliseconds. */
 hs_pause hs_clock_pause_begin(uint64_t milliseconds);
 
-/** Wait on the condition for what is left of the pause; false once it is over. */
+/** Waits on @p condition for the rest of the pause. Returns false once the pause is over. */
 bool hs_clock_pause_wait(const hs_pause *pause, GCond *condition, GMutex *lock);
 
 /**
- * Wait on the condition until hs_clock_monotonic_ms is @p deadline_ms; false once it is. After the
- * machine was suspended it ends up to HS_CLOCK_WAKE_MS late.
+ * Waits on @p condition until hs_clock_monotonic_ms reaches @p deadline_ms. Returns false once the
+ * deadline has passed, and true on a wake-up, which may be spurious. After the machine was
+ * suspended the wait ends up to HS_CLOCK_WAKE_MS late.
  */
 bool hs_clock_wait_until(uint64_t deadline_ms, GCond *condition, GMutex *lock);
 
 /**
- * The kernel's waits stand still with the machine. Each lasts no longer than this, in ms, so that a
- * deadline that passed meanwhile ends soon after the wake: within half a second.
+ * Maximum length of one wait in the kernel, in ms. Time-outs in the kernel do not advance while the
+ * machine is suspended, so longer waits are split to notice a deadline that passed meanwhile.
  */
 #define HS_CLOCK_WAKE_MS 400
 
--- a/src/base/descriptor_limit.c
+++ b/src/base/descriptor_limit.c
@@ -8,20 +8,20 @@
 #include <string.h>
 #include <sys/resource.h>
 
-/** Assumed where the limit cannot be read: the least that systems grant. */
-#define DESCRIPTORS_LEAST 256
+/** Assumed if the limit cannot be read. */
+#define FALLBACK_DESCRIPTOR_LIMIT 256
 
 uint32_t hs_descriptor_limit_raise(void) {
     struct rlimit limit;
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) {
         hs_log_warning("descriptor_limit_unknown", "reason=\"%s\"", strerror(errno));
-        return DESCRIPTORS_LEAST;
+        return FALLBACK_DESCRIPTOR_LIMIT;
     }
     struct rlimit raised = {.rlim_cur = limit.rlim_max, .rlim_max = limit.rlim_max};
     if (setrlimit(RLIMIT_NOFILE, &raised) == 0)
         limit = raised;
     else
-        hs_log_warning("descriptor_limit_kept", "limit=%" G_GUINT64_FORMAT " reason=\"%s\"",
+        hs_log_warning("descriptor_limit_not_raised", "limit=%" G_GUINT64_FORMAT " reason=\"%s\"",
                        (guint64)limit.rlim_cur, strerror(errno));
     return (uint32_t)MIN(limit.rlim_cur, G_MAXUINT32);
 }
--- a/src/base/endpoint.c
+++ b/src/base/endpoint.c
@@ -1,10 +1,10 @@
-/** @file endpoint.c  Parsing of "IPv4:port"; see endpoint.h. */
+/** @file endpoint.c  See endpoint.h. */
 #include "base/endpoint.h"
 
 #include <glib.h>
 #include <string.h>
 
-#define PORT_LAST 65535
+#define MAX_PORT 65535
 
 uint32_t hs_endpoint_address(const char *host) {
     struct in_addr number;
@@ -21,7 +21,7 @@
     g_strlcpy(parsed.host, text, (gsize)(colon - text) + 1);
     struct in_addr number;
     if (inet_pton(AF_INET, parsed.host, &number) != 1 ||
-        !g_ascii_string_to_unsigned(colon + 1, 10, 1, PORT_LAST, &port, NULL))
+        !g_ascii_string_to_unsigned(colon + 1, 10, 1, MAX_PORT, &port, NULL))
         return false;
     parsed.address = ntohl(number.s_addr);
     parsed.port = (uint16_t)port;
--- a/src/base/endpoint.h
+++ b/src/base/endpoint.h
@@ -1,6 +1,6 @@
 /**
  * @file endpoint.h
- * "IPv4:port" as it stands in settings, listings and seeds.
+ * Parsing of "IPv4:port" endpoints. Thread-safe; an hs_endpoint owns no memory.
  */
 #ifndef HS_BASE_ENDPOINT_H
 #define HS_BASE_ENDPOINT_H
@@ -13,13 +13,13 @@
 typedef struct {
     char host[INET_ADDRSTRLEN];
     uint32_t address; /**< IPv4 number in host order. */
-    uint16_t port;    /**< Not 0 once parsed. */
+    uint16_t port;    /**< Not 0 in a parsed endpoint. */
 } hs_endpoint;
 
-/** Parse @p text (may be NULL). False, and @p endpoint empty, where it is not IPv4:port. */
+/** Parses @p text (may be NULL). Returns false and zeroes @p endpoint if the text is invalid. */
 bool hs_endpoint_parse(const char *text, hs_endpoint *endpoint);
 
-/** Parse an IPv4 number alone into host order; 0 where it is none. */
+/** Parses an IPv4 address without a port. Returns the address in host order; 0 if invalid. */
 uint32_t hs_endpoint_address(const char *host);
 
 #endif
--- a/src/base/error.c
+++ b/src/base/error.c
@@ -1,4 +1,4 @@
-/** @file error.c  Filling and turning errors; see heathsail/error.h. */
+/** @file error.c  See heathsail/error.h. */
 #include "heathsail/error.h"
 
 #include <stdarg.h>
--- a/src/base/hash.c
+++ b/src/base/hash.c
@@ -1,4 +1,4 @@
-/** @file hash.c  Hashing; see hash.h. */
+/** @file hash.c  See hash.h. */
 #include "base/hash.h"
 
 #include <glib.h>
--- a/src/base/http_exchange.c
+++ b/src/base/http_exchange.c
@@ -1,4 +1,4 @@
-/** @file http_exchange.c  Whole exchanges over ulfius's client; see http_exchange.h. */
+/** @file http_exchange.c  See http_exchange.h. */
 #include "base/http_exchange.h"
 
 #include <glib.h>
--- a/src/base/interrupt.c
+++ b/src/base/interrupt.c
@@ -18,12 +18,12 @@
     g_mutex_clear(&interrupt->lock);
 }
 
-/** Make the descriptor readable exactly while a cause stands. The caller holds the lock. */
-static void show_cause(hs_interrupt *interrupt, bool stands) {
+/** Makes the descriptor readable, or not, if there is one. The caller holds the lock. */
+static void set_descriptor_readable(hs_interrupt *interrupt, bool readable) {
     if (interrupt->descriptor == NO_DESCRIPTOR)
         return;
     eventfd_t count = 0;
-    if (stands)
+    if (readable)
         eventfd_write(interrupt->descriptor, 1);
     else
         eventfd_read(interrupt->descriptor, &count);
@@ -31,24 +31,24 @@
 
 bool hs_interrupt_raise(hs_interrupt *interrupt, hs_interrupt_cause cause) {
     g_mutex_lock(&interrupt->lock);
-    bool is_more = cause > interrupt->cause;
-    if (is_more && interrupt->cause == HS_INTERRUPT_NONE)
-        show_cause(interrupt, true);
-    if (is_more)
+    bool is_higher = cause > interrupt->cause;
+    if (is_higher && interrupt->cause == HS_INTERRUPT_NONE)
+        set_descriptor_readable(interrupt, true);
+    if (is_higher)
         interrupt->cause = cause;
     g_mutex_unlock(&interrupt->lock);
-    return is_more;
+    return is_higher;
 }
 
 bool hs_interrupt_withdraw(hs_interrupt *interrupt, hs_interrupt_cause cause) {
     g_mutex_lock(&interrupt->lock);
-    bool stands = interrupt->cause == cause && cause != HS_INTERRUPT_NONE;
-    if (stands) {
-        show_cause(interrupt, false);
+    bool is_current = interrupt->cause == cause && cause != HS_INTERRUPT_NONE;
+    if (is_current) {
+        set_descriptor_readable(interrupt, false);
         interrupt->cause = HS_INTERRUPT_NONE;
     }
     g_mutex_unlock(&interrupt->lock);
-    return stands;
+    return is_current;
 }
 
 hs_interrupt_cause hs_interrupt_get(hs_interrupt *interrupt) {
@@ -63,7 +63,7 @@
     if (interrupt->descriptor == NO_DESCRIPTOR) {
         interrupt->descriptor = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
         if (interrupt->cause != HS_INTERRUPT_NONE)
-            show_cause(interrupt, true);
+            set_descriptor_readable(interrupt, true);
     }
     int descriptor = interrupt->descriptor;
     g_mutex_unlock(&interrupt->lock);
--- a/src/base/interrupt.h
+++ b/src/base/interrupt.h
@@ -1,8 +1,8 @@
 /**
  * @file interrupt.h
- * A word from one thread to another that waits on sockets: stop, or step aside. The waiter polls
- * the interrupt's descriptor beside its own, so that the word arrives at once and costs no
- * periodic look.
+ * A request from any thread to a thread that waits on sockets: to stop, or to be preempted. The
+ * waiting thread polls the interrupt's descriptor together with the sockets. Thread-safe between
+ * hs_interrupt_init and hs_interrupt_clear.
  */
 #ifndef HS_BASE_INTERRUPT_H
 #define HS_BASE_INTERRUPT_H
@@ -11,37 +11,42 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What is asked; a higher one replaces a lower one. */
+/** The reason for an interrupt, in ascending order: a higher cause replaces a lower one. */
 typedef enum {
     HS_INTERRUPT_NONE,
-    HS_INTERRUPT_YIELD, /**< Step aside; may be withdrawn, to go on later. */
-    HS_INTERRUPT_STOP,  /**< For good. */
+    HS_INTERRUPT_YIELD, /**< The work is preempted; can be withdrawn. */
+    HS_INTERRUPT_STOP,  /**< The work ends. */
 } hs_interrupt_cause;
 
 typedef struct {
     GMutex lock;
     hs_interrupt_cause cause;
-    int descriptor; /**< Readable while a cause stands; -1 until somebody waits. */
+    int descriptor; /**< An eventfd, readable while a cause is set; -1: not created. */
 } hs_interrupt;
 
 void hs_interrupt_init(hs_interrupt *interrupt);
+/** Closes the descriptor and destroys the lock. */
 void hs_interrupt_clear(hs_interrupt *interrupt);
 
-/** Ask; false when as much was asked before. Any thread. */
+/** Sets @p cause. Returns false if the same or a higher cause was set before. */
 bool hs_interrupt_raise(hs_interrupt *interrupt, hs_interrupt_cause cause);
 
-/** Take @p cause back; false when it is not what stands. */
+/** Removes @p cause. Returns false if the interrupt has another cause or none. */
 bool hs_interrupt_withdraw(hs_interrupt *interrupt, hs_interrupt_cause cause);
 
+/** Returns the current cause. */
 hs_interrupt_cause hs_interrupt_get(hs_interrupt *interrupt);
 
-/** Descriptor to poll for input; -1 when none is to be had: look at the cause now and then. */
+/**
+ * Returns the descriptor to poll for input, and creates it if needed. The interrupt owns it. -1 if
+ * none can be created: the caller then has to check the cause periodically.
+ */
 int hs_interrupt_descriptor(hs_interrupt *interrupt);
 
-/** Give the descriptor back; nobody may be waiting. The cause stays. */
+/** Closes the descriptor and keeps the cause. No thread may be polling the descriptor. */
 void hs_interrupt_release(hs_interrupt *interrupt);
 
-/** Wait for @p time_ms or a cause; whether one stands. */
+/** Waits until a cause is set, at most @p time_ms. Returns whether a cause is set. */
 bool hs_interrupt_pause(hs_interrupt *interrupt, uint64_t time_ms);
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -1,9 +1,9 @@
 /**
- * @file log.c  Key=value lines through GLib's structured logging; see log.h.
+ * @file log.c  See log.h.
  *
- * Lines go into a bounded ring and a thread of their own writes them, so that a reader of standard
- * output that stops holds nobody up. What does not fit, or is over the budget of a second, is
- * counted, and the count is logged.
+ * A writer thread takes lines from a bounded ring, so that a blocked reader of standard output does
+ * not block other threads. Lines that do not fit into the ring or exceed the rate limit are dropped
+ * and counted, and the count is logged.
  */
 #undef G_LOG_DOMAIN
 #define G_LOG_DOMAIN "heathsail"
@@ -19,20 +19,20 @@
 #include <string.h>
 #include <unistd.h>
 
-#define RING_LINES 2048
-#define LINES_PER_S 500
+#define MAX_QUEUED_LINES 2048
+#define MAX_LINES_PER_S 500
 #define BATCH_PAUSE_MS 60
-#define TAKE_WAIT_MS 500
-#define FLUSH_LIMIT_MS 200
+#define TAKE_TIMEOUT_MS 500
+#define FLUSH_TIMEOUT_MS 200
 
-static hs_ring *ring; /**< NULL: no writer; lines are written at once. */
+static hs_ring *ring; /**< NULL: no writer thread; lines are written directly. */
 static gint dropped_lines;
 static gint lines_this_second;
-static gint64 budget_second;
-static gint writer_stops;
+static gint64 current_second;
+static gint writer_stop_requested;
 static GThread *writer;
 static const char *log_instance_id = "-";
-static GLogLevelFlags log_most_verbose = G_LOG_LEVEL_INFO;
+static GLogLevelFlags log_max_verbosity = G_LOG_LEVEL_INFO;
 
 static const char *level_name(GLogLevelFlags level) {
     if (level & G_LOG_LEVEL_DEBUG)
@@ -51,14 +51,17 @@
     return "";
 }
 
-/** Whether the line is over this second's budget. Approximate between threads. */
-static bool is_over_budget(GLogLevelFlags level) {
+/**
+ * Returns whether the line exceeds the rate limit of the current second; warnings and errors never
+ * do. Approximate if several threads log.
+ */
+static bool exceeds_rate_limit(GLogLevelFlags level) {
     gint64 second = (gint64)hs_clock_monotonic_us() / G_USEC_PER_SEC;
-    if (second != budget_second) {
-        budget_second = second;
+    if (second != current_second) {
+        current_second = second;
         g_atomic_int_set(&lines_this_second, 0);
     }
-    return g_atomic_int_add(&lines_this_second, 1) >= LINES_PER_S &&
+    return g_atomic_int_add(&lines_this_second, 1) >= MAX_LINES_PER_S &&
            (level & (G_LOG_LEVEL_WARNING | G_LOG_LEVEL_ERROR)) == 0;
 }
 
@@ -71,7 +74,7 @@
 static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize field_count,
                                    gpointer user_data) {
     (void)user_data;
-    if ((level & G_LOG_LEVEL_MASK) > log_most_verbose)
+    if ((level & G_LOG_LEVEL_MASK) > log_max_verbosity)
         return G_LOG_WRITER_HANDLED;
     const char *event = field_value(fields, field_count, "EVENT");
     char *line = format_line(level, *event != '\0' ? event : "library",
@@ -80,7 +83,7 @@
         fputs(line, stdout);
         fflush(stdout);
         g_free(line);
-    } else if (is_over_budget(level) || !hs_ring_put(ring, line)) {
+    } else if (exceeds_rate_limit(level) || !hs_ring_put(ring, line)) {
         g_atomic_int_inc(&dropped_lines);
         g_free(line);
     }
@@ -97,7 +100,7 @@
     }
 }
 
-/** Write @p first and all lines that wait behind it, in one call. */
+/** Writes @p first and all queued lines in one call, and frees them. */
 static void write_batch(char *first) {
     GString *batch = g_string_new(first);
     g_free(first);
@@ -109,8 +112,8 @@
     gint dropped = g_atomic_int_and((guint *)&dropped_lines, 0);
     if (dropped > 0) {
         g_autofree char *pairs = g_strdup_printf("lines=%d", dropped);
-        g_autofree char *told = format_line(G_LOG_LEVEL_WARNING, "log_lines_dropped", pairs);
-        g_string_append(batch, told);
+        g_autofree char *drop_line = format_line(G_LOG_LEVEL_WARNING, "log_lines_dropped", pairs);
+        g_string_append(batch, drop_line);
     }
     write_all(batch->str, batch->len);
     g_string_free(batch, TRUE);
@@ -119,42 +122,42 @@
 static gpointer run_writer(gpointer data) {
     (void)data;
     while (true) {
-        char *line = hs_ring_take(ring, TAKE_WAIT_MS);
+        char *line = hs_ring_take(ring, TAKE_TIMEOUT_MS);
         if (line != NULL)
             write_batch(line);
-        else if (g_atomic_int_get(&writer_stops) != 0)
+        else if (g_atomic_int_get(&writer_stop_requested) != 0)
             return NULL;
-        if (line != NULL && g_atomic_int_get(&writer_stops) == 0)
+        if (line != NULL && g_atomic_int_get(&writer_stop_requested) == 0)
             hs_clock_sleep_ms(BATCH_PAUSE_MS);
     }
 }
 
 void hs_log_start_writer(void) {
-    ring = hs_ring_new(RING_LINES);
+    ring = hs_ring_new(MAX_QUEUED_LINES);
     writer = g_thread_new("log-writer", run_writer, NULL);
 }
 
 void hs_log_flush(void) {
     if (ring == NULL)
         return;
-    g_atomic_int_set(&writer_stops, 1);
-    uint64_t limit_ms = hs_clock_monotonic_ms() + FLUSH_LIMIT_MS;
-    while (hs_ring_size(ring) > 0 && hs_clock_monotonic_ms() < limit_ms)
+    g_atomic_int_set(&writer_stop_requested, 1);
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + FLUSH_TIMEOUT_MS;
+    while (hs_ring_size(ring) > 0 && hs_clock_monotonic_ms() < deadline_ms)
         hs_clock_sleep_ms(1);
 }
 
-void hs_log_set_level(GLogLevelFlags most_verbose) {
-    log_most_verbose = most_verbose;
+void hs_log_set_level(GLogLevelFlags max_verbosity) {
+    log_max_verbosity = max_verbosity;
 }
 
-void hs_log_open(const char *instance_id, GLogLevelFlags most_verbose) {
+void hs_log_open(const char *instance_id, GLogLevelFlags max_verbosity) {
     log_instance_id = instance_id;
-    log_most_verbose = most_verbose;
+    log_max_verbosity = max_verbosity;
     g_log_set_writer_func(write_line, NULL, NULL);
 }
 
 void hs_log_event(GLogLevelFlags level, const char *event, const char *format, ...) {
-    if (level > log_most_verbose)
+    if (level > log_max_verbosity)
         return;
     va_list arguments;
     va_start(arguments, format);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,27 +1,29 @@
 /**
  * @file log.h
- * Structured logging over GLib: one line of key=value pairs an event, on standard output.
+ * Structured logging through GLib: each event is a line of key=value pairs on standard output.
+ * hs_log_event is thread-safe; the other functions are called by the main thread.
  */
 #ifndef HS_BASE_LOG_H
 #define HS_BASE_LOG_H
 
 #include <glib.h>
 
-/** Install the key=value writer. @p instance_id stands in every line; borrowed for the process. */
-void hs_log_open(const char *instance_id, GLogLevelFlags most_verbose);
-
-/** From now on a thread of its own writes the lines; what does not fit is counted, never waited
- * for.
+/**
+ * Installs the key=value writer. Each line contains @p instance_id, which must stay valid until the
+ * process ends.
  */
+void hs_log_open(const char *instance_id, GLogLevelFlags max_verbosity);
+
+/** Starts a thread that writes the lines. If its queue is full, lines are dropped and counted. */
 void hs_log_start_writer(void);
 
-/** Give lines that wait a moment to be written; before the process ends. */
+/** Waits a limited time until queued lines are taken by the writer thread. Call before exit. */
 void hs_log_flush(void);
 
-/** Change the most verbose level logged. */
-void hs_log_set_level(GLogLevelFlags most_verbose);
+/** Sets the most verbose level that is logged. */
+void hs_log_set_level(GLogLevelFlags max_verbosity);
 
-/** Log one event: @p event is its name, the rest a printf format of key=value pairs. */
+/** Logs the event named @p event; @p format gives key=value pairs as printf does. */
 void hs_log_event(GLogLevelFlags level, const char *event, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 
--- a/src/base/memory_budget.c
+++ b/src/base/memory_budget.c
@@ -3,11 +3,11 @@
 
 #include <glib.h>
 
-/** The counters of the process, in bytes; under the lock. */
+/** The counters of the process in bytes. The lock protects the other fields. */
 static struct {
     GMutex lock;
     uint64_t budget;
-    uint64_t in_all;
+    uint64_t total_charged;
     uint64_t charged[HS_MEMORY_KINDS];
 } memory;
 
@@ -32,24 +32,24 @@
     return budget;
 }
 
-/** The caller holds the lock. */
-static void add(hs_memory_kind kind, uint64_t bytes) {
+/** Adds a charge. The caller holds the lock. */
+static void add_charge(hs_memory_kind kind, uint64_t bytes) {
     memory.charged[kind] += bytes;
-    memory.in_all += bytes;
+    memory.total_charged += bytes;
 }
 
-bool hs_memory_try_charge(hs_memory_kind kind, uint64_t bytes, hs_memory_claim claim) {
+bool hs_memory_try_charge(hs_memory_kind kind, uint64_t bytes, hs_memory_requester requester) {
     g_mutex_lock(&memory.lock);
-    bool may_take = hs_memory_may_take(memory.budget, memory.in_all, bytes, claim);
-    if (may_take)
-        add(kind, bytes);
+    bool can_charge = hs_memory_can_charge(memory.budget, memory.total_charged, bytes, requester);
+    if (can_charge)
+        add_charge(kind, bytes);
     g_mutex_unlock(&memory.lock);
-    return may_take;
+    return can_charge;
 }
 
 void hs_memory_charge(hs_memory_kind kind, uint64_t bytes) {
     g_mutex_lock(&memory.lock);
-    add(kind, bytes);
+    add_charge(kind, bytes);
     g_mutex_unlock(&memory.lock);
 }
 
@@ -57,7 +57,7 @@
     g_mutex_lock(&memory.lock);
     g_assert(memory.charged[kind] >= bytes);
     memory.charged[kind] -= bytes;
-    memory.in_all -= bytes;
+    memory.total_charged -= bytes;
     g_mutex_unlock(&memory.lock);
 }
 
@@ -70,21 +70,21 @@
 
 uint64_t hs_memory_charged_in_all(void) {
     g_mutex_lock(&memory.lock);
-    uint64_t charged = memory.in_all;
+    uint64_t charged = memory.total_charged;
     g_mutex_unlock(&memory.lock);
     return charged;
 }
 
-hs_memory_mark hs_memory_mark_now(void) {
+hs_memory_level hs_memory_mark_now(void) {
     g_mutex_lock(&memory.lock);
-    hs_memory_mark mark = hs_memory_mark_at(memory.budget, memory.in_all);
+    hs_memory_level level = hs_memory_level_at(memory.budget, memory.total_charged);
     g_mutex_unlock(&memory.lock);
-    return mark;
+    return level;
 }
 
 uint32_t hs_memory_taken_percent(void) {
     g_mutex_lock(&memory.lock);
-    uint32_t percent = hs_memory_taken_percent_at(memory.budget, memory.in_all);
+    uint32_t percent = hs_memory_used_percent_at(memory.budget, memory.total_charged);
     g_mutex_unlock(&memory.lock);
     return percent;
 }
--- a/src/base/memory_budget.h
+++ b/src/base/memory_budget.h
@@ -1,8 +1,7 @@
 /**
  * @file memory_budget.h
- * Memory that this process keeps for others, counted by kind against one budget. Thread-safe.
- *
- * What is charged is given back by whoever charged it. Marks and claims: memory_mark.h.
+ * Accounting of memory that the process buffers for callers and engines, by kind, against one
+ * budget of the process. Thread-safe. The module that charges memory also releases it.
  */
 #ifndef HS_BASE_MEMORY_BUDGET_H
 #define HS_BASE_MEMORY_BUDGET_H
@@ -12,37 +11,43 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What memory is kept for. */
+/** The use of buffered memory. */
 typedef enum {
-    HS_MEMORY_BODIES,  /**< Callers' requests. */
-    HS_MEMORY_ANSWERS, /**< Engines' whole answers. */
-    HS_MEMORY_REPLIES, /**< Whole answers that callers have not read. */
-    HS_MEMORY_STREAMS, /**< Streams read ahead of their callers. */
+    HS_MEMORY_BODIES,  /**< Request bodies of callers. */
+    HS_MEMORY_ANSWERS, /**< Complete answers of engines. */
+    HS_MEMORY_REPLIES, /**< Complete answers that callers have not read yet. */
+    HS_MEMORY_STREAMS, /**< Stream data that callers have not read yet. */
     HS_MEMORY_KINDS,
 } hs_memory_kind;
 
-/** Name of a kind, for metrics. */
+/** Returns the name of a kind for metrics; a static string. */
 const char *hs_memory_kind_name(hs_memory_kind kind);
 
-/** Set the budget in bytes; 0: none, and nothing is refused. */
+/** Sets the budget in bytes; 0: no limit. */
 void hs_memory_budget_set(uint64_t budget);
+
+/** Returns the budget in bytes; 0: no limit. */
 uint64_t hs_memory_budget_get(void);
 
-/** Charge @p bytes if the claim has room for them; false: it has none, and nothing is charged. */
-bool hs_memory_try_charge(hs_memory_kind kind, uint64_t bytes, hs_memory_claim claim);
+/** Charges @p bytes if @p requester may use them. Returns false, without a charge, if not. */
+bool hs_memory_try_charge(hs_memory_kind kind, uint64_t bytes, hs_memory_requester requester);
 
-/** Charge what cannot be refused any more; the budget may be exceeded. */
+/** Charges @p bytes unconditionally; the total may exceed the budget. */
 void hs_memory_charge(hs_memory_kind kind, uint64_t bytes);
 
-/** Give back what was charged. */
+/** Releases @p bytes that were charged under the same kind. */
 void hs_memory_release(hs_memory_kind kind, uint64_t bytes);
 
-/** Bytes charged now. */
+/** Returns the bytes that are charged for @p kind. */
 uint64_t hs_memory_charged(hs_memory_kind kind);
+
+/** Returns the bytes that are charged for all kinds. */
 uint64_t hs_memory_charged_in_all(void);
 
-/** See memory_mark.h; at this moment. */
-hs_memory_mark hs_memory_mark_now(void);
+/** Returns the current level; see hs_memory_level_at. */
+hs_memory_level hs_memory_mark_now(void);
+
+/** Returns the current use by hs_memory_used_percent_at. */
 uint32_t hs_memory_taken_percent(void);
 
 #endif
--- a/src/base/memory_mark.h
+++ b/src/base/memory_mark.h
@@ -1,9 +1,8 @@
 /**
  * @file memory_mark.h
- * What a daemon does with the memory that it keeps for others, by how much of it is taken. Pure.
- *
- * Answers the load of callers and engines that read slowly: what is kept for them grows with their
- * number, and a process that outgrows its machine is killed with all its requests.
+ * Rules for memory that a daemon buffers for callers and engines: levels of use, and what is
+ * refused or dropped at each level, so that slow readers cannot exhaust the machine's memory. Pure
+ * functions: thread-safe, without state.
  */
 #ifndef HS_BASE_MEMORY_MARK_H
 #define HS_BASE_MEMORY_MARK_H
@@ -12,50 +11,53 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** How much of the budget is taken. */
+/** Levels of use of the budget. */
 typedef enum {
-    HS_MEMORY_AMPLE,    /**< All is served. */
-    HS_MEMORY_SHORT,    /**< From three quarters: no new work that may be refused. */
-    HS_MEMORY_CRITICAL, /**< From nine tenths: the slowest reader loses its stream. */
-} hs_memory_mark;
+    HS_MEMORY_AMPLE,    /**< No restrictions. */
+    HS_MEMORY_LOW,      /**< From 75 %: new work is refused. */
+    HS_MEMORY_CRITICAL, /**< From 90 %: streams are dropped, that of the slowest reader first. */
+} hs_memory_level;
 
-/** Who asks for memory. */
+/** The kind of work that requests memory. */
 typedef enum {
-    HS_MEMORY_OF_NEW_WORK,  /**< May be refused: it gets none that would take the rest short. */
-    HS_MEMORY_OF_OPEN_WORK, /**< Is under way: it gets all of the budget. */
-} hs_memory_claim;
+    HS_MEMORY_OF_NEW_WORK,  /**< May use the budget up to HS_MEMORY_LOW. */
+    HS_MEMORY_OF_OPEN_WORK, /**< May use the whole budget. */
+} hs_memory_requester;
 
-/** A caller that has bytes to read. */
+/** A caller that reads a stream. */
 typedef struct {
-    uint64_t held_bytes;  /**< Kept for it. */
-    uint64_t taken_bytes; /**< It has taken so far, */
-    uint64_t open_ms;     /**< in this time. */
+    uint64_t held_bytes;  /**< Bytes that the caller has not read yet. */
+    uint64_t taken_bytes; /**< Bytes that the caller has read. */
+    uint64_t open_ms;     /**< Time since the stream started. */
 } hs_memory_reader;
 
 /**
- * Bytes that may be kept for others on a machine of @p memory_mb; 0: not told, no budget. The rest
- * is the program's own: itself, and threads and buffers of requests that nobody holds up.
+ * Returns the budget in bytes on a machine with @p memory_mb. The rest of the memory is left to the
+ * program, its threads and the buffers that are not charged. Returns 0, no limit, if @p memory_mb
+ * is 0 (unknown).
  */
 uint64_t hs_memory_budget_of_machine(uint32_t memory_mb);
 
-/** Name of a mark, for logs. */
-const char *hs_memory_mark_name(hs_memory_mark mark);
+/** Returns the name of a level for logs; a static string. */
+const char *hs_memory_level_name(hs_memory_level level);
 
-/** The mark at which @p charged bytes of @p budget stand; ample without a budget. */
-hs_memory_mark hs_memory_mark_at(uint64_t budget, uint64_t charged);
+/** Returns the level of @p charged bytes of @p budget; HS_MEMORY_AMPLE if @p budget is 0. */
+hs_memory_level hs_memory_level_at(uint64_t budget, uint64_t charged);
 
-/** Whether @p more bytes may be taken beside @p charged of @p budget (0: always). */
-bool hs_memory_may_take(uint64_t budget, uint64_t charged, uint64_t more, hs_memory_claim claim);
+/** Returns whether @p more bytes may be charged in addition to @p charged of @p budget (0: always).
+ */
+bool hs_memory_can_charge(uint64_t budget, uint64_t charged, uint64_t more,
+                          hs_memory_requester requester);
 
-/** Part in percent of what new work may take that is taken; 0 without a budget. */
-uint32_t hs_memory_taken_percent_at(uint64_t budget, uint64_t charged);
+/** Returns the used percentage (0 to 100) of what new work may use; 0 if @p budget is 0. */
+uint32_t hs_memory_used_percent_at(uint64_t budget, uint64_t charged);
 
-/** Bytes that a growing array of @p length holds: the next power of two. */
+/** Returns the allocation size of a growing array of @p length bytes: the next power of two. */
 size_t hs_memory_block_bytes(size_t length);
 
 /**
- * The reader that is slowest for what is held for it: the one that would need the longest to take
- * it. @p count where nothing is held for any.
+ * Returns the index of the reader that needs the longest for the bytes it has not read yet, at its
+ * mean speed so far. Returns @p count if there is nothing to read for any reader.
  */
 size_t hs_memory_slowest_reader(const hs_memory_reader *readers, size_t count);
 
--- a/src/base/peer_watch.c
+++ b/src/base/peer_watch.c
@@ -5,20 +5,20 @@
 
 #include <poll.h>
 
-static bool leaves_within(int descriptor, int milliseconds) {
+static bool poll_for_disconnect(int descriptor, int timeout_ms) {
     struct pollfd polled = {.fd = descriptor, .events = POLLRDHUP};
-    return poll(&polled, 1, milliseconds) > 0;
+    return poll(&polled, 1, timeout_ms) > 0;
 }
 
 bool hs_peer_has_left(int descriptor) {
-    return leaves_within(descriptor, 0);
+    return poll_for_disconnect(descriptor, 0);
 }
 
-bool hs_peer_leaves_within(int descriptor, uint32_t milliseconds) {
-    uint64_t until_ms = hs_clock_monotonic_ms() + milliseconds;
+bool hs_peer_leaves_within(int descriptor, uint32_t timeout_ms) {
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + timeout_ms;
     uint64_t now_ms = hs_clock_monotonic_ms();
-    while (now_ms < until_ms) { /* A signal may end a wait early. */
-        if (leaves_within(descriptor, (int)MIN(until_ms - now_ms, HS_CLOCK_WAKE_MS)))
+    while (now_ms < deadline_ms) { /* A signal can end poll early. */
+        if (poll_for_disconnect(descriptor, (int)MIN(deadline_ms - now_ms, HS_CLOCK_WAKE_MS)))
             return true;
         now_ms = hs_clock_monotonic_ms();
     }
--- a/src/base/peer_watch.h
+++ b/src/base/peer_watch.h
@@ -1,10 +1,9 @@
 /**
  * @file peer_watch.h
- * Whether the other end of a connection has left.
+ * Detection of a disconnect by the peer of a socket. Thread-safe.
  *
- * A peer that closed its connection and one that ended only its sending side look the same until
- * something is written to it. Both count as having left: to look away from an end costs an engine's
- * work each time, and the documented interfaces name no caller that ends one side alone.
+ * A peer that shut down only its sending side cannot be told from one that closed the connection,
+ * so both count as disconnected.
  */
 #ifndef HS_BASE_PEER_WATCH_H
 #define HS_BASE_PEER_WATCH_H
@@ -12,10 +11,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Whether the peer of @p descriptor has left, as far as the kernel knows; -1: it has not. */
+/** Returns whether the kernel has seen the peer disconnect; false if @p descriptor is -1. */
 bool hs_peer_has_left(int descriptor);
 
-/** Sleep for @p milliseconds, or until the peer has left. True: it has. */
-bool hs_peer_leaves_within(int descriptor, uint32_t milliseconds);
+/** Waits up to @p timeout_ms for the peer to disconnect. Returns whether the peer did. */
+bool hs_peer_leaves_within(int descriptor, uint32_t timeout_ms);
 
 #endif
--- a/src/base/ring.c
+++ b/src/base/ring.c
@@ -1,7 +1,9 @@
 /**
- * @file ring.c  Bounded ring; see ring.h. Takers need the mutex only to sleep. Putters go through
- * it one by one: without it each waits, spinning, for putters before it to finish, and with
- * hundreds of worker threads one that lost its core makes all others burn theirs.
+ * @file ring.c  See ring.h.
+ *
+ * Consumers lock the mutex only to wait. Producers hold the mutex to enqueue: libck's lock-free
+ * enqueue spins until producers before it finish, which wastes CPU time if one of many producers is
+ * descheduled.
  */
 #include "base/ring.h"
 
@@ -13,7 +15,7 @@
 struct hs_ring {
     ck_ring_t indexes;
     ck_ring_buffer_t *slots;
-    GMutex sleep_lock;
+    GMutex lock;
     GCond entry_added;
 };
 
@@ -29,7 +31,7 @@
     uint32_t size = next_power_of_two(capacity);
     ring->slots = g_new0(ck_ring_buffer_t, size);
     ck_ring_init(&ring->indexes, size);
-    g_mutex_init(&ring->sleep_lock);
+    g_mutex_init(&ring->lock);
     g_cond_init(&ring->entry_added);
     return ring;
 }
@@ -37,18 +39,18 @@
 void hs_ring_free(hs_ring *ring) {
     if (ring == NULL)
         return;
-    g_mutex_clear(&ring->sleep_lock);
+    g_mutex_clear(&ring->lock);
     g_cond_clear(&ring->entry_added);
     g_free(ring->slots);
     g_free(ring);
 }
 
 bool hs_ring_put(hs_ring *ring, void *entry) {
-    g_mutex_lock(&ring->sleep_lock);
+    g_mutex_lock(&ring->lock);
     bool added = ck_ring_enqueue_mpmc(&ring->indexes, ring->slots, entry);
     if (added)
         g_cond_signal(&ring->entry_added);
-    g_mutex_unlock(&ring->sleep_lock);
+    g_mutex_unlock(&ring->lock);
     return added;
 }
 
@@ -59,11 +61,11 @@
     if (wait_ms == 0)
         return NULL;
     hs_pause pause = hs_clock_pause_begin(wait_ms);
-    g_mutex_lock(&ring->sleep_lock);
+    g_mutex_lock(&ring->lock);
     while (!ck_ring_dequeue_mpmc(&ring->indexes, ring->slots, &entry))
-        if (!hs_clock_pause_wait(&pause, &ring->entry_added, &ring->sleep_lock))
+        if (!hs_clock_pause_wait(&pause, &ring->entry_added, &ring->lock))
             break;
-    g_mutex_unlock(&ring->sleep_lock);
+    g_mutex_unlock(&ring->lock);
     return entry;
 }
 
--- a/src/base/ring.h
+++ b/src/base/ring.h
@@ -1,9 +1,8 @@
 /**
  * @file ring.h
- * A bounded ring of pointers between duties (libck), with a blocking take.
+ * A bounded queue of pointers for many producers and many consumers, based on libck. Thread-safe.
  *
- * Many producers, many consumers. A full ring is back pressure: the producer is told at once and
- * decides, it never waits.
+ * A put into a full queue fails at once and leaves the decision to the producer; a take can wait.
  */
 #ifndef HS_BASE_RING_H
 #define HS_BASE_RING_H
@@ -13,19 +12,19 @@
 
 typedef struct hs_ring hs_ring;
 
-/** Make a ring of at least @p capacity entries. The caller frees it with hs_ring_free. */
+/** Returns a ring for at least @p capacity entries. Free with hs_ring_free. */
 hs_ring *hs_ring_new(uint32_t capacity);
 
-/** Free the ring, not the entries left in it. */
+/** Frees the ring but not the entries left in it. @p ring may be NULL; no thread may use it. */
 void hs_ring_free(hs_ring *ring);
 
-/** Put @p entry; false when the ring is full. */
+/** Appends @p entry, which must not be NULL. Returns false if the ring is full. */
 bool hs_ring_put(hs_ring *ring, void *entry);
 
-/** Take an entry, waiting at most @p wait_ms; NULL when none came. */
+/** Removes the oldest entry, waiting up to @p wait_ms for one. Returns NULL if there is none. */
 void *hs_ring_take(hs_ring *ring, uint32_t wait_ms);
 
-/** Entries now in the ring; a snapshot, for metrics. */
+/** Returns the current number of entries; approximate while other threads use the ring. */
 uint32_t hs_ring_size(const hs_ring *ring);
 
 #endif
--- a/src/base/stop_wait.h
+++ b/src/base/stop_wait.h
@@ -1,6 +1,7 @@
 /**
  * @file stop_wait.h
- * A duty's pause between its rounds, which its owner can cut short to end the duty.
+ * An interruptible pause of a periodic thread, which ends early if the thread is to stop.
+ * Thread-safe between hs_stop_wait_init and hs_stop_wait_clear.
  */
 #ifndef HS_BASE_STOP_WAIT_H
 #define HS_BASE_STOP_WAIT_H
@@ -9,20 +10,20 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Shared by the duty's thread and its owner. */
+/** Shared by the periodic thread and the thread that stops it. */
 typedef struct {
     GMutex lock;
-    GCond asked;
+    GCond stop_requested;
     bool stopping;
 } hs_stop_wait;
 
 void hs_stop_wait_init(hs_stop_wait *wait);
 void hs_stop_wait_clear(hs_stop_wait *wait);
 
-/** Ask the duty to end; its pause ends at once. */
+/** Requests the thread to stop. The current pause ends at once; later ones do not wait. */
 void hs_stop_wait_ask(hs_stop_wait *wait);
 
-/** Pause for @p time_ms; false when the duty is to end. */
+/** Pauses for @p time_ms. Returns false if a stop is requested. */
 bool hs_stop_wait_pause(hs_stop_wait *wait, uint64_t time_ms);
 
 #endif
--- a/src/base/thread.h
+++ b/src/base/thread.h
@@ -1,7 +1,7 @@
 /**
  * @file thread.h
- * Threads that a running daemon starts on demand. Where the machine has none left, the work waits
- * or is refused; GLib's own g_thread_new would end the process instead.
+ * Starting of threads in a running daemon. Unlike g_thread_new, which aborts the process, a failure
+ * is returned to the caller. Thread-safe.
  */
 #ifndef HS_BASE_THREAD_H
 #define HS_BASE_THREAD_H
@@ -9,8 +9,8 @@
 #include <glib.h>
 
 /**
- * Start a thread; NULL, with a log line, where none is to be had. @p name: a literal, for logs and
- * debuggers. Join with g_thread_join.
+ * Starts a thread. Returns NULL and logs a warning if the system cannot create one. @p name appears
+ * in logs and debuggers. Join with g_thread_join.
  */
 GThread *hs_thread_try(const char *name, GThreadFunc function, gpointer data);
 
--- a/src/base/visible_text.c
+++ b/src/base/visible_text.c
@@ -3,9 +3,9 @@
 
 #include <glib.h>
 
-bool hs_text_is_visible(const char *text, size_t most) {
+bool hs_text_is_visible(const char *text, size_t max_length) {
     size_t length = 0;
     while (g_ascii_isgraph(text[length]))
         length++;
-    return length > 0 && length <= most && text[length] == '\0';
+    return length > 0 && length <= max_length && text[length] == '\0';
 }
--- a/src/base/wake_watch.c
+++ b/src/base/wake_watch.c
@@ -12,10 +12,10 @@
     g_mutex_clear(&watch->lock);
 }
 
-static guint bucket_of(uint64_t still_ms) {
+static guint find_bucket(uint64_t stall_ms) {
     guint bucket = 0;
-    while (bucket + 1 < HS_WAKE_BUCKETS &&
-           still_ms >= ((uint64_t)HS_STOOD_STILL_LEAST_MS << (bucket + 1)))
+    while (bucket + 1 < HS_STALL_BUCKET_COUNT &&
+           stall_ms >= ((uint64_t)HS_STOOD_STILL_LEAST_MS << (bucket + 1)))
         bucket++;
     return bucket;
 }
@@ -24,20 +24,20 @@
     uint64_t now_ms = hs_clock_monotonic_ms();
     uint64_t suspended_ms = hs_clock_suspended_ms();
     g_mutex_lock(&watch->lock);
-    uint64_t still_ms = watch->looked_ms != 0 ? now_ms - watch->looked_ms : 0;
-    uint64_t asleep_ms = suspended_ms - MIN(watch->suspended_ms, suspended_ms);
-    bool stood_still = still_ms >= HS_STOOD_STILL_LEAST_MS;
-    watch->looked_ms = now_ms;
+    uint64_t stall_ms = watch->last_check_ms != 0 ? now_ms - watch->last_check_ms : 0;
+    uint64_t suspended_delta_ms = suspended_ms - MIN(watch->suspended_ms, suspended_ms);
+    bool is_stall = stall_ms >= HS_STOOD_STILL_LEAST_MS;
+    watch->last_check_ms = now_ms;
     watch->suspended_ms = suspended_ms;
-    if (stood_still) {
+    if (is_stall) {
         watch->woke_ms = now_ms;
-        watch->counts[bucket_of(still_ms)]++;
+        watch->counts[find_bucket(stall_ms)]++;
     }
     g_mutex_unlock(&watch->lock);
-    if (stood_still)
+    if (is_stall)
         hs_log_warning("daemon_stood_still",
                        "for_ms=%" G_GUINT64_FORMAT " machine_suspended_ms=%" G_GUINT64_FORMAT,
-                       (guint64)still_ms, (guint64)asleep_ms);
+                       (guint64)stall_ms, (guint64)suspended_delta_ms);
 }
 
 uint64_t hs_wake_watch_woke_ms(hs_wake_watch *watch) {
@@ -51,9 +51,9 @@
     GString *text = g_string_new(NULL);
     uint64_t total = 0;
     g_mutex_lock(&watch->lock);
-    for (guint bucket = 0; bucket < HS_WAKE_BUCKETS; bucket++) {
+    for (guint bucket = 0; bucket < HS_STALL_BUCKET_COUNT; bucket++) {
         total += watch->counts[bucket];
-        if (bucket + 1 < HS_WAKE_BUCKETS)
+        if (bucket + 1 < HS_STALL_BUCKET_COUNT)
             g_string_append_printf(
                 text, "heathsail_stood_still_ms_bucket{le=\"%u\"} %" G_GUINT64_FORMAT "\n",
                 (guint)HS_STOOD_STILL_LEAST_MS << (bucket + 1), (guint64)total);
--- a/src/base/wake_watch.h
+++ b/src/base/wake_watch.h
@@ -1,7 +1,8 @@
 /**
  * @file wake_watch.h
- * Notices that this process stood still: it was stopped, starved, or the machine was suspended.
- * What it knows is then older than it seems. A duty with short rounds looks at each.
+ * Detects stalls of the process: times for which it was stopped or starved, or the machine was
+ * suspended, after which cached state may be stale. A thread with a short period calls
+ * hs_wake_watch_look in each round. Thread-safe between hs_wake_watch_init and hs_wake_watch_clear.
  */
 #ifndef HS_BASE_WAKE_WATCH_H
 #define HS_BASE_WAKE_WATCH_H
@@ -9,33 +10,33 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** Lengths are counted by powers of two, from HS_STOOD_STILL_LEAST_MS; the last holds the rest. */
-#define HS_WAKE_BUCKETS 6
 /**
- * Between two looks, in ms, before the process counts as having stood still: twelve rounds of the
- * looking duty, and a third of the time for which other daemons think well of a silent one.
+ * Number of buckets in the histogram of stall lengths. The first ends at twice
+ * HS_STOOD_STILL_LEAST_MS, each further one at twice the one before; the last has no upper bound.
  */
+#define HS_STALL_BUCKET_COUNT 6
+/** Time between two checks from which the process counts as stalled. */
 #define HS_STOOD_STILL_LEAST_MS 1000
 
-/** Zero-initialise, then hs_wake_watch_init. Shared by threads. */
+/** Zero-initialise before hs_wake_watch_init. The lock protects the other fields. */
 typedef struct {
     GMutex lock;
-    uint64_t looked_ms;    /**< 0: not yet. */
-    uint64_t suspended_ms; /**< Of the machine, at the last look. */
-    uint64_t woke_ms;      /**< When it was last noticed; 0: never. */
-    uint64_t counts[HS_WAKE_BUCKETS];
+    uint64_t last_check_ms; /**< 0: no check yet. */
+    uint64_t suspended_ms;  /**< hs_clock_suspended_ms at the last check. */
+    uint64_t woke_ms;       /**< Time of the last check that detected a stall; 0: none. */
+    uint64_t counts[HS_STALL_BUCKET_COUNT]; /**< Stalls by length. */
 } hs_wake_watch;
 
 void hs_wake_watch_init(hs_wake_watch *watch);
 void hs_wake_watch_clear(hs_wake_watch *watch);
 
-/** Look once; logs and counts it where the process stood still since the last look. */
+/** Checks the time since the last check; logs and counts a stall. */
 void hs_wake_watch_look(hs_wake_watch *watch);
 
-/** When the process was last found to have stood still; monotonic, 0: never. */
+/** Returns the time of hs_clock_monotonic_ms at which the last stall was detected; 0: none. */
 uint64_t hs_wake_watch_woke_ms(hs_wake_watch *watch);
 
-/** Metrics as text. Free with g_free. */
+/** Returns the metrics in text format. Free with g_free. */
 char *hs_wake_watch_describe(hs_wake_watch *watch);
 
 #endif
--- a/tests/unit/test_ring.c
+++ b/tests/unit/test_ring.c
@@ -1,4 +1,4 @@
-/** @file test_ring.c  The bounded ring under several threads. */
+/** @file test_ring.c  The bounded ring: refusal when full, and concurrent producers. */
 #include "base/ring.h"
 #include "tests/unit/unit_tests.h"
 
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -1,4 +1,4 @@
-/** @file test_settings.c  Settings: defaults, refusals by file, line and key, overrides. */
+/** @file test_settings.c  Settings: defaults, errors with file, line and key, overrides, checks. */
 #include "base/endpoint.h"
 #include "daemon/settings.h"
 #include "tests/unit/unit_tests.h"
@@ -7,7 +7,7 @@
 #include <glib/gstdio.h>
 #include <string.h>
 
-/** Load a settings text; @return the result and the error. */
+/** Loads @p text as a settings file. Returns the result of hs_settings_load. */
 static int load_text(const char *text, hs_settings *settings, hs_error *error) {
     g_autofree char *path = NULL;
     int descriptor = g_file_open_tmp("settings-XXXXXX", &path, NULL);
@@ -18,7 +18,8 @@
     return result;
 }
 
-static void refuses(const char *text, const char *expected) {
+/** Checks that @p text is rejected with a message that contains @p expected. */
+static void check_refused(const char *text, const char *expected) {
     hs_settings *settings = hs_settings_new();
     hs_error error = {0};
     CU_ASSERT_EQUAL(load_text(text, settings, &error), HS_INVALID);
@@ -38,20 +39,20 @@
 }
 
 static void refuses_unknown_key_with_its_line(void) {
-    refuses("[daemon]\nid=a\n\nshoe_size=4\n", ":4: unknown key daemon.shoe_size");
+    check_refused("[daemon]\nid=a\n\nshoe_size=4\n", ":4: unknown key daemon.shoe_size");
 }
 
 static void refuses_unknown_group(void) {
-    refuses("[daemon]\nid=a\n[cellar]\nport=1\n", ":3: unknown group [cellar]");
+    check_refused("[daemon]\nid=a\n[cellar]\nport=1\n", ":3: unknown group [cellar]");
 }
 
 static void refuses_bad_number_with_range(void) {
-    refuses("[caller]\nport=70000\n",
-            ":2: key caller.port: \"70000\" is not a whole number from 1");
-    refuses("[caller]\nport=80x\n", "caller.port");
+    check_refused("[caller]\nport=70000\n",
+                  ":2: key caller.port: \"70000\" is not a whole number from 1");
+    check_refused("[caller]\nport=80x\n", "caller.port");
 }
 
-/** A platform may tell a whole number with a fraction. */
+/** Platforms may set whole numbers with a fraction. */
 static void rounds_a_fraction(void) {
     hs_settings *settings = hs_settings_new();
     hs_error error = {0};
@@ -87,7 +88,7 @@
     hs_settings_free(settings);
 }
 
-static void checks_what_concerns_several_keys(void) {
+static void checks_combinations_of_keys(void) {
     hs_settings *settings = hs_settings_new();
     hs_error error = {0};
     CU_ASSERT_EQUAL(hs_settings_check(settings, &error), HS_INVALID);
@@ -109,5 +110,5 @@
     {"rounds_a_fraction", rounds_a_fraction},
     {"endpoints_are_an_ipv4_number_and_a_port", endpoints_are_an_ipv4_number_and_a_port},
     {"overrides_a_value", overrides_a_value},
-    {"checks_what_concerns_several_keys", checks_what_concerns_several_keys},
+    {"checks_combinations_of_keys", checks_combinations_of_keys},
     {NULL, NULL}};
--- a/tests/unit/test_thread.c
+++ b/tests/unit/test_thread.c
@@ -1,4 +1,4 @@
-/** @file test_thread.c  Threads on a machine that has none left. */
+/** @file test_thread.c  Starting of threads, also if the system cannot create one. */
 #include "base/thread.h"
 #include "tests/unit/unit_tests.h"
 
@@ -9,9 +9,9 @@
 #include <unistd.h>
 
 #define CHILD_WAS_REFUSED 7
-/** Room for two or three more stacks of 8 MB. */
-#define ROOM_BYTES ((rlim_t)20 * 1024 * 1024)
-#define THREADS_MAX 64
+/** Address space for two or three more stacks of 8 MB. */
+#define EXTRA_ADDRESS_SPACE_BYTES ((rlim_t)20 * 1024 * 1024)
+#define MAX_THREADS 64
 
 static gpointer do_nothing(gpointer data) {
     return data;
@@ -24,13 +24,13 @@
     CU_ASSERT_PTR_EQUAL(g_thread_join(thread), &value);
 }
 
-static gpointer wait_for_ever(gpointer data) {
+static gpointer wait_forever(gpointer data) {
     (void)data;
     pause();
     return NULL;
 }
 
-/** The process's address space in bytes. */
+/** Returns the size of the process's address space in bytes. */
 static rlim_t address_space(void) {
     unsigned long pages = 0;
     FILE *file = fopen("/proc/self/statm", "r");
@@ -40,23 +40,23 @@
     return (rlim_t)pages * (rlim_t)sysconf(_SC_PAGESIZE);
 }
 
-/** Start threads until there is no room for one more stack; whether that was told by NULL. */
-static bool starts_until_refused(void) {
-    for (int count = 0; count < THREADS_MAX; count++)
-        if (hs_thread_try("test", wait_for_ever, NULL) == NULL)
+/** Starts threads until one cannot be created. Returns whether NULL reported the failure. */
+static bool start_until_refused(void) {
+    for (int count = 0; count < MAX_THREADS; count++)
+        if (hs_thread_try("test", wait_forever, NULL) == NULL)
             return true;
     return false;
 }
 
-/** The process goes on without the thread, where g_thread_new would have ended it. */
-static void a_thread_that_is_not_to_be_had_ends_nothing(void) {
-    rlim_t limit = address_space() + ROOM_BYTES;
+/** Guards against an abort of the process, as by g_thread_new. */
+static void a_failed_start_does_not_end_the_process(void) {
+    rlim_t limit = address_space() + EXTRA_ADDRESS_SPACE_BYTES;
     pid_t child = fork();
     CU_ASSERT_FATAL(child >= 0);
     if (child == 0) {
-        struct rlimit no_room = {.rlim_cur = limit, .rlim_max = limit};
-        setrlimit(RLIMIT_AS, &no_room);
-        _exit(starts_until_refused() ? CHILD_WAS_REFUSED : 0);
+        struct rlimit address_limit = {.rlim_cur = limit, .rlim_max = limit};
+        setrlimit(RLIMIT_AS, &address_limit);
+        _exit(start_until_refused() ? CHILD_WAS_REFUSED : 0);
     }
     int status = 0;
     CU_ASSERT_EQUAL(waitpid(child, &status, 0), child);
@@ -65,5 +65,5 @@
 
 const test_case thread_tests[] = {
     {"a_thread_runs_and_is_joined", a_thread_runs_and_is_joined},
-    {"a_thread_that_is_not_to_be_had_ends_nothing", a_thread_that_is_not_to_be_had_ends_nothing},
+    {"a_failed_start_does_not_end_the_process", a_failed_start_does_not_end_the_process},
     {NULL, NULL}};
