--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -15,8 +15,7 @@
     return (uint64_t)now.tv_sec * US_PER_S + (uint64_t)now.tv_nsec / NS_PER_US;
 }
 
-/** Uses CLOCK_BOOTTIME since CLOCK_MONOTONIC excludes suspension, by which leases would last too
- * long. */
+/* CLOCK_MONOTONIC excludes the time of suspension, so leases would seem to last longer. */
 uint64_t hs_clock_monotonic_us(void) {
     return read_us(CLOCK_BOOTTIME);
 }
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,7 +1,7 @@
 /**
  * @file clock.h
- * Clocks and timed waits. All other modules read clocks and wait through these functions, which are
- * thread-safe.
+ * Clocks and timed waits. All other modules read clocks and wait on conditions with a time-out
+ * through these functions, which are thread-safe.
  *
  * Ages, deadlines, leases and retention times continue while the machine is suspended; pauses
  * between two steps of one thread do not. Between machines, durations and versions are exchanged,
--- a/src/base/memory_mark.h
+++ b/src/base/memory_mark.h
@@ -44,8 +44,7 @@
 /** Returns the level of @p charged bytes of @p budget; HS_MEMORY_AMPLE if @p budget is 0. */
 hs_memory_level hs_memory_level_at(uint64_t budget, uint64_t charged);
 
-/** Returns whether @p more bytes may be charged in addition to @p charged of @p budget (0: always).
- */
+/** Returns whether @p more bytes may be charged on top of @p charged; true if @p budget is 0. */
 bool hs_memory_can_charge(uint64_t budget, uint64_t charged, uint64_t more,
                           hs_memory_requester requester);
 
--- a/src/base/wake_watch.h
+++ b/src/base/wake_watch.h
@@ -15,7 +15,7 @@
  * HS_STOOD_STILL_LEAST_MS, each further one at twice the one before; the last has no upper bound.
  */
 #define HS_STALL_BUCKET_COUNT 6
-/** Time between two checks from which the process counts as stalled. */
+/** Minimum time between two checks, in ms, that counts as a stall. */
 #define HS_STOOD_STILL_LEAST_MS 1000
 
 /** Zero-initialise before hs_wake_watch_init. The lock protects the other fields. */
