--- a/include/heathsail/settings.h
+++ b/include/heathsail/settings.h
@@ -1,8 +1,8 @@
 /**
  * @file settings.h
- * Settings of one daemon. They are read once at start-up and not changed afterwards, so that
- * threads share them without locking. The table in src/daemon/settings.c defines the type, unit,
- * range, default and meaning of each key.
+ * Settings of one daemon. A struct is not changed after it was read, so threads share it without
+ * locking. The table in src/daemon/settings.c defines the type, unit, range, default and meaning of
+ * each key.
  */
 #ifndef HEATHSAIL_SETTINGS_H
 #define HEATHSAIL_SETTINGS_H
