--- a/src/base/clock.c
+++ b/src/base/clock.c
@@ -1,4 +1,4 @@
-/** @file clock.c  Clocks; see clock.h. */
+/** @file clock.c  See clock.h. */
 #include "base/clock.h"
 
 #include <time.h>
@@ -15,14 +15,14 @@
     return (uint64_t)now.tv_sec * US_PER_S + (uint64_t)now.tv_nsec / NS_PER_US;
 }
 
-/** CLOCK_MONOTONIC stands still while the machine is suspended: leases would seem to last. */
+/* CLOCK_MONOTONIC excludes the time of suspension, so leases would seem to last longer. */
 uint64_t hs_clock_monotonic_us(void) {
     return read_us(CLOCK_BOOTTIME);
 }
 
 uint64_t hs_clock_suspended_ms(void) {
-    uint64_t steady_us = read_us(CLOCK_MONOTONIC);
-    return (read_us(CLOCK_BOOTTIME) - steady_us) / US_PER_MS;
+    uint64_t monotonic_us = read_us(CLOCK_MONOTONIC);
+    return (read_us(CLOCK_BOOTTIME) - monotonic_us) / US_PER_MS;
 }
 
 uint64_t hs_clock_monotonic_ms(void) {
@@ -53,6 +53,6 @@
     uint64_t now_ms = hs_clock_monotonic_ms();
     if (now_ms >= deadline_ms)
         return false;
-    hs_pause pause = hs_clock_pause_begin(MIN(deadline_ms - now_ms, HS_CLOCK_WAKE_MS));
+    hs_pause pause = hs_clock_pause_begin(MIN(deadline_ms - now_ms, HS_CLOCK_MAX_WAIT_MS));
     return hs_clock_pause_wait(&pause, condition, lock) || hs_clock_monotonic_ms() < deadline_ms;
 }
--- a/src/base/thread.c
+++ b/src/base/thread.c
@@ -3,7 +3,7 @@
 
 #include "base/log.h"
 
-GThread *hs_thread_try(const char *name, GThreadFunc function, gpointer data) {
+GThread *hs_thread_try_start(const char *name, GThreadFunc function, gpointer data) {
     g_autoptr(GError) error = NULL;
     GThread *thread = g_thread_try_new(name, function, data, &error);
     if (thread == NULL)
--- a/src/commands/online_request.c
+++ b/src/commands/online_request.c
@@ -63,7 +63,7 @@
 /** Wait for a change; false once the deadline has passed or the caller has left. */
 static bool wait_for_change(hs_online_request *request) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    if (now_ms >= request->deadline_ms || hs_peer_has_left(request->caller_descriptor))
+    if (now_ms >= request->deadline_ms || hs_peer_has_disconnected(request->caller_descriptor))
         return false;
     uint64_t until_ms = MIN(request->deadline_ms, now_ms + CALLER_CHECK_MS);
     hs_clock_wait_until(until_ms, &request->changed, &request->lock);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -76,7 +76,7 @@
     hs_member self = {.id = settings->daemon_id,
                       .zone = settings->zone,
                       .incarnation = hs_clock_wall_ms(),
-                      .address = hs_endpoint_address(settings->address),
+                      .address = hs_endpoint_parse_address(settings->address),
                       .peer_port = (uint16_t)settings->peer_port,
                       .admin_port = (uint16_t)settings->admin_port};
     hs_membership_service_settings service_settings = {
@@ -141,7 +141,7 @@
 static void watch_callers(hs_daemon *daemon) {
     const hs_settings *settings = daemon->node.settings;
     hs_front_watch_settings watch = {
-        .probe = {.address = hs_endpoint_address(settings->address),
+        .probe = {.address = hs_endpoint_parse_address(settings->address),
                   .port = (uint16_t)settings->caller_port,
                   .target = "/healthz"},
         .connections = {hs_http_server_connections(daemon->caller_server),
--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -49,7 +49,7 @@
     hs_online online;
     hs_fleet_surface *surface;
     hs_reload_counts reloads;
-    hs_wake_watch wakes;
+    hs_stall_detector wakes;
 };
 
 /** The settings were checked before. */
@@ -79,9 +79,9 @@
  * change that has long been in force everywhere else.
  */
 static bool is_awake(hs_fleet_daemon *daemon) {
-    uint64_t woke_ms = hs_wake_watch_woke_ms(&daemon->wakes);
-    return hs_config_source_as_of_ms(daemon->config) >= woke_ms &&
-           hs_engine_source_as_of_ms(daemon->engine_source) >= woke_ms;
+    uint64_t last_stall_ms = hs_stall_detector_get_last_stall_ms(&daemon->wakes);
+    return hs_config_source_as_of_ms(daemon->config) >= last_stall_ms &&
+           hs_engine_source_as_of_ms(daemon->engine_source) >= last_stall_ms;
 }
 
 /** Whether requests could be served: a configuration and the engines are known. */
@@ -156,7 +156,7 @@
                                         ? (uint64_t)daemon->settings->fleet_revoke_ms
                                         : 0;
     daemon->online.ages = hs_caller_ages_new();
-    hs_memory_budget_set(hs_memory_budget_of_machine((uint32_t)daemon->settings->fleet_memory_mb));
+    hs_memory_budget_set(hs_memory_budget_for_machine((uint32_t)daemon->settings->fleet_memory_mb));
     if (hs_memory_budget_get() > 0)
         daemon->online.read_ahead = hs_read_ahead_new();
     daemon->online.levels = hs_fair_shares_new();
@@ -197,7 +197,7 @@
     hs_crash_watch_free(daemon->crash_watch);
     hs_store_client_free(daemon->store);
     hs_settings_free(daemon->reloaded);
-    hs_wake_watch_clear(&daemon->wakes);
+    hs_stall_detector_clear(&daemon->wakes);
     g_free(daemon);
 }
 
@@ -232,7 +232,7 @@
 hs_fleet_daemon *hs_fleet_daemon_start(const hs_settings *settings, hs_error *error) {
     hs_fleet_daemon *daemon = g_new0(hs_fleet_daemon, 1);
     daemon->settings = settings;
-    hs_wake_watch_init(&daemon->wakes);
+    hs_stall_detector_init(&daemon->wakes);
     bound_connections(settings);
     hs_endpoint store = endpoint_of(settings->fleet_store);
     daemon->store = hs_store_client_new(store.address, store.port);
@@ -343,7 +343,7 @@
                 hs_job_owner_running_count(daemon->owner));
     hs_fleet_surface_leave(daemon->surface);
     hs_daemon_directory_leave(daemon->directory);
-    GThread *handover = hs_thread_try("handover", hand_over_jobs, daemon);
+    GThread *handover = hs_thread_try_start("handover", hand_over_jobs, daemon);
     finish_requests(daemon, stopped_ms);
     if (handover != NULL)
         g_thread_join(handover);
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -412,7 +412,7 @@
 int hs_settings_check(const hs_settings *settings, hs_error *error) {
     if (*settings->daemon_id == '\0')
         return invalid(error, "key daemon.id: must be given");
-    if (hs_endpoint_address(settings->address) == 0)
+    if (hs_endpoint_parse_address(settings->address) == 0)
         return invalid(error, "key daemon.address: not an IPv4 number");
     if (!g_str_has_prefix(settings->platform_url, "http://"))
         return invalid(error, "key platform.url: must start with http://");
--- a/src/directory/daemon_directory.c
+++ b/src/directory/daemon_directory.c
@@ -127,7 +127,7 @@
     hs_member self = {.id = (char *)settings->id,
                       .zone = (char *)settings->zone,
                       .incarnation = hs_clock_wall_ms(),
-                      .address = hs_endpoint_address(settings->address),
+                      .address = hs_endpoint_parse_address(settings->address),
                       .peer_port = settings->peer_port,
                       .admin_port = settings->front_port,
                       .size = settings->size};
@@ -149,7 +149,7 @@
 static void propose(hs_daemon_directory *directory, const char *name, const char *address) {
     hs_endpoint peer;
     if (!hs_endpoint_parse(address, &peer) ||
-        (peer.address == hs_endpoint_address(directory->settings.address) &&
+        (peer.address == hs_endpoint_parse_address(directory->settings.address) &&
          peer.port == directory->settings.peer_port))
         return;
     hs_membership *membership = hs_membership_service_lock(directory->membership);
@@ -343,7 +343,7 @@
 
 /** Announces the utilisation of this machine if it has changed by a step. */
 static void announce_utilisation(hs_daemon_directory *directory, uint64_t now_ms) {
-    directory->load.memory_percent = hs_memory_taken_percent();
+    directory->load.memory_percent = hs_memory_used_percent();
     uint32_t utilisation = hs_machine_load_taken_percent(&directory->load, now_ms);
     if ((gint)utilisation == g_atomic_int_get(&directory->taken_percent))
         return;
@@ -358,11 +358,11 @@
 
 static gpointer run_ticker(gpointer data) {
     hs_daemon_directory *directory = data;
-    hs_wake_watch_look(directory->settings.wakes);
+    hs_stall_detector_check(directory->settings.wakes);
     while (!directory->settings.may_join(directory->settings.user_data)) {
         if (!hs_stop_wait_pause(&directory->pause, TICK_MS))
             return NULL;
-        hs_wake_watch_look(directory->settings.wakes);
+        hs_stall_detector_check(directory->settings.wakes);
     }
     hs_peer_socket_start(directory->socket, handle_message, directory);
     directory->started_ms = hs_clock_monotonic_ms();
@@ -371,7 +371,7 @@
     while (pause_round(directory)) {
         uint64_t now_ms = hs_clock_monotonic_ms();
         announce_utilisation(directory, now_ms);
-        hs_wake_watch_look(directory->settings.wakes);
+        hs_stall_detector_check(directory->settings.wakes);
         hs_membership_service_tick(directory->membership, now_ms);
         hs_crash_exchange_tick(directory->crashes, now_ms);
         hs_tenant_limiter_tick(directory->limiter);
@@ -398,7 +398,7 @@
 void hs_daemon_directory_free(hs_daemon_directory *directory) {
     if (directory == NULL)
         return;
-    hs_stop_wait_ask(&directory->pause);
+    hs_stop_wait_request_stop(&directory->pause);
     if (directory->ticker != NULL) {
         g_thread_join(directory->ticker);
         g_thread_join(directory->registry_thread);
--- a/src/directory/tenant_limiter.c
+++ b/src/directory/tenant_limiter.c
@@ -162,7 +162,7 @@
  */
 static void discard_stale_buckets(hs_tenant_limiter *limiter, uint64_t reached_hash,
                                   uint64_t now_ms) {
-    if (now_ms > limiter->last_tick_ms + HS_STOOD_STILL_LEAST_MS) {
+    if (now_ms > limiter->last_tick_ms + HS_MIN_STALL_MS) {
         limiter->last_tick_ms = now_ms;
         hs_limit_book_note_reach_change(limiter->book, is_never_owned, NULL, now_ms);
     } else if (reached_hash != limiter->reached_hash) {
--- a/src/fleet/crash_probe.c
+++ b/src/fleet/crash_probe.c
@@ -147,7 +147,7 @@
     probe->callback = callback;
     probe->user_data = user_data;
     probe->queue = hs_ring_new(MAX_QUEUED_RUNS);
-    probe->thread = hs_thread_try("crash-probe", check_engines, probe);
+    probe->thread = hs_thread_try_start("crash-probe", check_engines, probe);
     return probe;
 }
 
--- a/src/fleet/engine_pace.c
+++ b/src/fleet/engine_pace.c
@@ -79,8 +79,8 @@
 
 void hs_engine_pace_note_slowdown(hs_engine_pace *pace, uint32_t slowdown_percent, uint64_t age_ms,
                                   uint64_t now_ms) {
-    if (slowdown_percent < HS_SLOWDOWN_LEAST_PERCENT ||
-        slowdown_percent > HS_SLOWDOWN_MOST_PERCENT || age_ms > now_ms)
+    if (slowdown_percent < HS_MIN_SLOWDOWN_PERCENT || slowdown_percent > HS_MAX_SLOWDOWN_PERCENT ||
+        age_ms > now_ms)
         return;
     uint64_t reported_ms = now_ms - age_ms;
     bool is_same = slowdown_percent == pace->slowdown_percent;
--- a/src/fleet/engine_source.c
+++ b/src/fleet/engine_source.c
@@ -72,7 +72,7 @@
 /** Counts a faulty entry, and logs the entry if its fault changed. */
 static void record_fault(hs_engine_source *source, const char *id, hs_entry_fault fault) {
     gpointer previous_fault = g_hash_table_lookup(source->fault_by_id, id);
-    if (fault == HS_ENTRY_SOUND) {
+    if (fault == HS_ENTRY_VALID) {
         g_hash_table_remove(source->fault_by_id, id);
         return;
     }
@@ -99,11 +99,11 @@
     hs_engine_entry entry = {0};
     hs_entry_fault fault = hs_platform_read_engine(id, value, length, &entry);
     record_fault(source, id, fault);
-    if (fault == HS_ENTRY_SOUND)
+    if (fault == HS_ENTRY_VALID)
         hs_fleet_engines_put(source->engines, &entry, hs_clock_monotonic_ms());
     else
         hs_fleet_engines_drop(source->engines, id);
-    return fault == HS_ENTRY_SOUND;
+    return fault == HS_ENTRY_VALID;
 }
 
 /**
@@ -212,7 +212,7 @@
 void hs_engine_source_free(hs_engine_source *source) {
     if (source == NULL)
         return;
-    hs_stop_wait_ask(&source->stop_wait);
+    hs_stop_wait_request_stop(&source->stop_wait);
     if (source->thread != NULL)
         g_thread_join(source->thread);
     hs_stop_wait_clear(&source->stop_wait);
--- a/src/fleet/engine_uses.c
+++ b/src/fleet/engine_uses.c
@@ -213,7 +213,7 @@
     uint32_t preempted = 0;
     while (preempted < wanted) {
         hs_engine_lease *lease = next_to_preempt(engine);
-        if (lease == NULL || !hs_interrupt_raise(lease->preemption_flag, HS_INTERRUPT_YIELD))
+        if (lease == NULL || !hs_interrupt_raise(lease->preemption_flag, HS_INTERRUPT_PREEMPT))
             break;
         preempted++;
     }
--- a/src/fleet/fleet_config.c
+++ b/src/fleet/fleet_config.c
@@ -36,7 +36,7 @@
     config->routes = g_ptr_array_new_with_free_func(free_route);
     config->services = g_ptr_array_new_with_free_func(free_service);
     config->tenants = g_ptr_array_new_with_free_func(free_tenant);
-    config->tenants_highest = UINT32_MAX;
+    config->highest_tenant_priority = UINT32_MAX;
     config->has_unranked_callers = true;
     config->tenant_by_key = g_hash_table_new(g_str_hash, g_str_equal);
     return config;
@@ -76,7 +76,7 @@
 /** Returns the highest rank (lowest number) that an online request on @p route may have. */
 static uint32_t highest_rank(const hs_fleet_config *config, const hs_fleet_route *route) {
     uint32_t route_rank = config->has_unranked_callers ? route->priority : UINT32_MAX;
-    return MIN(route_rank, config->tenants_highest);
+    return MIN(route_rank, config->highest_tenant_priority);
 }
 
 bool hs_fleet_config_is_less_urgent(const hs_fleet_config *config, uint32_t rank,
--- a/src/fleet/fleet_engines.c
+++ b/src/fleet/fleet_engines.c
@@ -108,8 +108,8 @@
  */
 static uint64_t start_identity(const hs_engine_entry *entry) {
     uint64_t id = hs_hash_bytes(entry->id, strlen(entry->id));
-    uint64_t start[2] = {id, entry->born_ms};
-    return entry->born_ms == 0 ? id : hs_hash_bytes(start, sizeof start);
+    uint64_t start[2] = {id, entry->started_at_ms};
+    return entry->started_at_ms == 0 ? id : hs_hash_bytes(start, sizeof start);
 }
 
 static hs_fleet_engine *add_engine(hs_fleet_engines *engines, const hs_engine_entry *entry) {
@@ -131,8 +131,8 @@
     hs_log_info("engine_reborn",
                 "engine=%s born_ms=%" G_GUINT64_FORMAT " before_ms=%" G_GUINT64_FORMAT
                 " online=%u batch=%u",
-                entry->id, (guint64)entry->born_ms, (guint64)engine->entry.born_ms, engine->online,
-                engine->batch);
+                entry->id, (guint64)entry->started_at_ms, (guint64)engine->entry.started_at_ms,
+                engine->online, engine->batch);
     engine->listed = false;
     engine->has_restarted = true;
     g_queue_clear_full(&engine->idle, hs_idle_connection_free);
@@ -142,7 +142,7 @@
 
 /** Whether an entry belongs to another start than the known engine of the same id. */
 static bool is_another_start(const hs_fleet_engine *engine, const hs_engine_entry *entry) {
-    return entry->born_ms != 0 && entry->born_ms != engine->entry.born_ms;
+    return entry->started_at_ms != 0 && entry->started_at_ms != engine->entry.started_at_ms;
 }
 
 void hs_fleet_engines_put(hs_fleet_engines *engines, hs_engine_entry *entry, uint64_t now_ms) {
@@ -164,8 +164,8 @@
         g_queue_clear_full(&engine->idle, hs_idle_connection_free);
         engine->has_address_mismatch = false;
     }
-    if (entry->born_ms == 0)
-        entry->born_ms = engine->entry.born_ms;
+    if (entry->started_at_ms == 0)
+        entry->started_at_ms = engine->entry.started_at_ms;
     hs_engine_entry_clear(&engine->entry);
     engine->entry = *entry;
     engine->listed = true;
--- a/src/http/client_connection.c
+++ b/src/http/client_connection.c
@@ -185,7 +185,7 @@
 
 /** Returns the timeout of one poll call in ms. */
 static int poll_timeout_ms(const hs_wait *wait, uint64_t now_ms, int interrupt_descriptor) {
-    uint64_t left = MIN(wait->deadline - now_ms, HS_CLOCK_WAKE_MS);
+    uint64_t left = MIN(wait->deadline - now_ms, HS_CLOCK_MAX_WAIT_MS);
     if (wait->interrupt != NULL && interrupt_descriptor < 0)
         left = MIN(left, INTERRUPT_CHECK_MS);
     return (int)left;
--- a/src/http/http_server.c
+++ b/src/http/http_server.c
@@ -69,7 +69,7 @@
 }
 
 bool hs_http_caller_has_left(void) {
-    return hs_peer_has_left(thread_descriptor);
+    return hs_peer_has_disconnected(thread_descriptor);
 }
 
 static int reply_not_found(const struct _u_request *request, struct _u_response *response,
--- a/src/http/listener.c
+++ b/src/http/listener.c
@@ -147,7 +147,7 @@
     uint64_t held = hs_memory_block_bytes(inbound->body->len + length);
     if (held <= inbound->charged)
         return true;
-    if (!hs_memory_try_charge(HS_MEMORY_BODIES, held - inbound->charged, HS_MEMORY_OF_NEW_WORK))
+    if (!hs_memory_try_charge(HS_MEMORY_BODIES, held - inbound->charged, HS_MEMORY_FOR_NEW_WORK))
         return false;
     inbound->charged = held;
     return true;
--- a/src/jobs/item_run.c
+++ b/src/jobs/item_run.c
@@ -99,8 +99,8 @@
 
 /** Returns why an attempt was interrupted, and clears a preemption request. */
 static hs_item_attempt_end resolve_interruption(hs_item_run *run) {
-    return hs_interrupt_withdraw(&run->interrupt, HS_INTERRUPT_YIELD) ? HS_ITEM_ATTEMPT_PREEMPTED
-                                                                      : HS_ITEM_ATTEMPT_ABANDONED;
+    return hs_interrupt_withdraw(&run->interrupt, HS_INTERRUPT_PREEMPT) ? HS_ITEM_ATTEMPT_PREEMPTED
+                                                                        : HS_ITEM_ATTEMPT_ABANDONED;
 }
 
 /** Reads the event stream until it ends, breaks or the run is interrupted. */
@@ -288,7 +288,7 @@
         .may_repeat = true,
     };
     hs_item_attempt_end end = send_and_read(run, terms, &order);
-    hs_interrupt_release(&run->interrupt);
+    hs_interrupt_close_descriptor(&run->interrupt);
     hs_http_fields_free(fields);
     return end;
 }
--- a/src/jobs/job_owner.c
+++ b/src/jobs/job_owner.c
@@ -151,7 +151,7 @@
         g_thread_join(owned->tail);
     }
     owned->is_tail_stopped = false;
-    owned->tail = hs_thread_try("job-tail", run_tail, owned);
+    owned->tail = hs_thread_try_start("job-tail", run_tail, owned);
     owned->is_owned = owned->tail != NULL;
     owned->owner->tail_count += owned->is_owned;
     return owned->is_owned;
--- a/src/jobs/job_quota.c
+++ b/src/jobs/job_quota.c
@@ -167,10 +167,10 @@
     decision->drain = hs_quota_fold_drain(quota->fold, route, hs_clock_monotonic_ms());
     g_mutex_unlock(&quota->lock);
     uint64_t all = decision->unfinished + decision->reserved + request->tokens;
-    uint64_t excess = all - MIN(all, request->route->waiting_tokens_most);
+    uint64_t excess = all - MIN(all, request->route->max_queued_tokens);
     decision->available_in_ms = hs_retry_after_drain_ms(
         excess, decision->drain.tokens, decision->drain.observed_ms, LEVEL_INTERVAL_MS);
-    return all <= request->route->waiting_tokens_most ? HS_QUOTA_FITS : HS_QUOTA_FULL;
+    return all <= request->route->max_queued_tokens ? HS_QUOTA_FITS : HS_QUOTA_FULL;
 }
 
 static void count_verdict(hs_job_quota *quota, hs_quota_verdict verdict) {
@@ -192,7 +192,7 @@
                 request->job_id, request->route->name, request->tenant,
                 (guint64)request->config->version, hs_quota_verdict_name(verdict),
                 (guint64)request->tokens, (guint64)decision->unfinished,
-                (guint64)decision->reserved, (guint64)request->route->waiting_tokens_most,
+                (guint64)decision->reserved, (guint64)request->route->max_queued_tokens,
                 (guint64)decision->offset, (guint64)decision->drain.tokens,
                 (guint64)decision->drain.observed_ms, (guint64)decision->available_in_ms);
 }
@@ -200,7 +200,7 @@
 hs_quota_verdict hs_job_quota_reserve(hs_job_quota *quota, const hs_quota_request *request,
                                       hs_quota_decision *decision) {
     *decision = (hs_quota_decision){0};
-    if (request->route->waiting_tokens_most == 0)
+    if (request->route->max_queued_tokens == 0)
         return HS_QUOTA_FITS;
     decision->submission = ((uint64_t)g_random_int() << 32) | g_random_int();
     hs_quota_verdict verdict = HS_QUOTA_UNKNOWN;
@@ -237,7 +237,7 @@
 static Hs__QuotaJob *make_entry(const hs_job *job, const hs_fleet_config *config) {
     const hs_fleet_route *route =
         hs_job_is_open(job) ? hs_fleet_config_find_route(config, job->host, job->target) : NULL;
-    if (route == NULL || route->waiting_tokens_most == 0)
+    if (route == NULL || route->max_queued_tokens == 0)
         return NULL;
     Hs__QuotaJob *entry = g_new(Hs__QuotaJob, 1);
     hs__quota_job__init(entry);
@@ -256,7 +256,7 @@
 
 static bool has_limit(const hs_fleet_config *config) {
     for (guint index = 0; index < config->routes->len; index++)
-        if (((const hs_fleet_route *)config->routes->pdata[index])->waiting_tokens_most > 0)
+        if (((const hs_fleet_route *)config->routes->pdata[index])->max_queued_tokens > 0)
             return true;
     return false;
 }
--- a/src/online/held_requests.c
+++ b/src/online/held_requests.c
@@ -125,7 +125,7 @@
 /** Releases the lock during the check. */
 static bool has_caller_left(hs_held_requests *held, int watched) {
     g_mutex_unlock(&held->lock);
-    bool has_left = hs_peer_has_left(watched);
+    bool has_left = hs_peer_has_disconnected(watched);
     g_mutex_lock(&held->lock);
     return has_left;
 }
--- a/src/online/online_attempts.c
+++ b/src/online/online_attempts.c
@@ -213,7 +213,7 @@
     while (action == HS_NEXT_RETRY) {
         if (!hs_online_is_still_authorized(request, reason) || is_quarantined(request, reason))
             return false;
-        if (hs_peer_has_left(request->inbound->descriptor)) {
+        if (hs_peer_has_disconnected(request->inbound->descriptor)) {
             *reason = HS_END_CALLER_GONE;
             return false;
         }
--- a/src/online/online_stream.c
+++ b/src/online/online_stream.c
@@ -136,7 +136,7 @@
         return true;
     if (held > MAX_READ_AHEAD_BYTES ||
         !hs_memory_try_charge(HS_MEMORY_STREAMS, held - stream->charged_bytes,
-                              HS_MEMORY_OF_OPEN_WORK))
+                              HS_MEMORY_FOR_STARTED_WORK))
         return false;
     stream->charged_bytes = held;
     return true;
@@ -200,7 +200,7 @@
                    request->request_id, hs_end_reason_name(HS_END_READER_SLOW), request->ready->len,
                    (guint64)stream->charged_bytes, (guint64)stream->delivered_bytes,
                    (guint64)(hs_clock_monotonic_ms() - stream->started_ms),
-                   (guint64)hs_memory_charged_in_all(), (guint64)hs_memory_budget_get());
+                   (guint64)hs_memory_total_charged(), (guint64)hs_memory_budget_get());
     release_buffer(request);
     request->attempt.step = HS_STEP_CUT;
     if (!request->is_end_recorded)
--- a/src/online/read_ahead.c
+++ b/src/online/read_ahead.c
@@ -65,8 +65,8 @@
         const hs_stream_state *stream = &request->stream;
         if (is_stalled(request, now_ms))
             g_array_index(readers, hs_memory_reader, index) =
-                (hs_memory_reader){.held_bytes = stream->charged_bytes,
-                                   .taken_bytes = stream->delivered_bytes,
+                (hs_memory_reader){.buffered_bytes = stream->charged_bytes,
+                                   .consumed_bytes = stream->delivered_bytes,
                                    .open_ms = now_ms - stream->started_ms};
         g_mutex_unlock(&request->stream.lock);
     }
@@ -77,12 +77,12 @@
 static void drop_slowest(hs_read_ahead *ahead, uint64_t now_ms) {
     GArray *readers = list_stalled_readers(ahead, now_ms);
     hs_memory_reader *first = &g_array_index(readers, hs_memory_reader, 0);
-    while (hs_memory_mark_now() == HS_MEMORY_CRITICAL) {
-        size_t slowest = hs_memory_slowest_reader(first, readers->len);
+    while (hs_memory_get_level() == HS_MEMORY_CRITICAL) {
+        size_t slowest = hs_memory_find_slowest_reader(first, readers->len);
         if (slowest == readers->len)
             break;
         hs_online_request *request = ahead->requests->pdata[slowest];
-        first[slowest].held_bytes = 0;
+        first[slowest].buffered_bytes = 0;
         if (!g_mutex_trylock(&request->stream.lock)) /* The caller reads again. */
             continue;
         ahead->counters.dropped += hs_online_stream_drop(request);
@@ -97,7 +97,7 @@
         uint64_t now_ms = hs_clock_monotonic_ms();
         g_mutex_lock(&ahead->lock);
         read_ahead_of_stalled(ahead, now_ms);
-        if (hs_memory_mark_now() == HS_MEMORY_CRITICAL)
+        if (hs_memory_get_level() == HS_MEMORY_CRITICAL)
             drop_slowest(ahead, now_ms);
         g_mutex_unlock(&ahead->lock);
     }
@@ -109,7 +109,7 @@
     g_mutex_init(&ahead->lock);
     hs_stop_wait_init(&ahead->stop_wait);
     ahead->requests = g_ptr_array_new();
-    ahead->thread = hs_thread_try("read_ahead", run, ahead);
+    ahead->thread = hs_thread_try_start("read_ahead", run, ahead);
     if (ahead->thread != NULL)
         return ahead;
     hs_read_ahead_free(ahead);
@@ -119,7 +119,7 @@
 void hs_read_ahead_free(hs_read_ahead *ahead) {
     if (ahead == NULL)
         return;
-    hs_stop_wait_ask(&ahead->stop_wait);
+    hs_stop_wait_request_stop(&ahead->stop_wait);
     if (ahead->thread != NULL)
         g_thread_join(ahead->thread);
     hs_stop_wait_clear(&ahead->stop_wait);
--- a/src/store/machine_list.c
+++ b/src/store/machine_list.c
@@ -25,7 +25,7 @@
 
 static uint32_t address_of(const json_t *entry) {
     const char *text = json_string_value(json_object_get(entry, "address"));
-    return text != NULL ? hs_endpoint_address(text) : 0;
+    return text != NULL ? hs_endpoint_parse_address(text) : 0;
 }
 
 static hs_machine *parse_machine(const json_t *entry) {
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -71,7 +71,7 @@
 }
 
 static void write_entries(GString *text, hs_engine_source *source) {
-    for (int fault = HS_ENTRY_SOUND + 1; fault < HS_ENTRY_FAULT_COUNT; fault++)
+    for (int fault = HS_ENTRY_VALID + 1; fault < HS_ENTRY_FAULT_COUNT; fault++)
         g_string_append_printf(text, "heathsail_engine_entries_rejected{reason=\"%s\"} %u\n",
                                hs_entry_fault_name((hs_entry_fault)fault),
                                hs_engine_source_rejected_count(source, (hs_entry_fault)fault));
@@ -120,7 +120,7 @@
 }
 
 static void write_memory(GString *text, hs_read_ahead *ahead) {
-    for (int kind = 0; kind < HS_MEMORY_KINDS; kind++)
+    for (int kind = 0; kind < HS_MEMORY_KIND_COUNT; kind++)
         g_string_append_printf(
             text, "heathsail_memory_charged_bytes{kind=\"%s\"} %" G_GUINT64_FORMAT "\n",
             hs_memory_kind_name((hs_memory_kind)kind),
@@ -185,7 +185,7 @@
     g_autofree char *crashes =
         hs_crash_watch_describe(hs_fleet_engines_crash_watch(online->engines));
     g_string_append(text, crashes);
-    g_autofree char *wakes = hs_wake_watch_describe(sources->wakes);
+    g_autofree char *wakes = hs_stall_detector_describe(sources->wakes);
     g_string_append(text, wakes);
     return g_string_free(text, FALSE);
 }
--- a/src/surface/fleet_metrics.h
+++ b/src/surface/fleet_metrics.h
@@ -23,7 +23,7 @@
     hs_daemon_directory *members;
     hs_engine_source *engine_source;
     hs_reload_counts *reloads;
-    hs_wake_watch *wakes;
+    hs_stall_detector *wakes;
     uint32_t open_requests;
 } hs_fleet_metrics_sources;
 
--- a/src/surface/fleet_surface.c
+++ b/src/surface/fleet_surface.c
@@ -141,7 +141,7 @@
 
 /** Whether a request is refused for memory: for its own, or for what is kept for others. */
 static bool is_short_of_memory(const hs_inbound *inbound) {
-    return inbound->lacks_memory || hs_memory_mark_now() != HS_MEMORY_AMPLE;
+    return inbound->lacks_memory || hs_memory_get_level() != HS_MEMORY_NORMAL;
 }
 
 static void serve_routed(hs_fleet_surface *surface, hs_inbound *inbound,
--- a/src/surface/fleet_surface.h
+++ b/src/surface/fleet_surface.h
@@ -27,7 +27,7 @@
     hs_engine_source *engine_source; /**< For its metrics. */
     hs_store_client *store;
     hs_reload_counts *reloads;
-    hs_wake_watch *wakes;
+    hs_stall_detector *wakes;
     bool (*may_serve)(void *user_data); /**< Whether requests could be served. */
     void *user_data;
 } hs_fleet_surface_settings;
--- a/src/tenants/tenant_index.c
+++ b/src/tenants/tenant_index.c
@@ -47,12 +47,13 @@
 
 /** Sets which ranks requests can have apart from those of their routes. */
 static void set_rank_bounds(hs_fleet_config *config) {
-    config->tenants_highest = UINT32_MAX;
+    config->highest_tenant_priority = UINT32_MAX;
     config->has_unranked_callers = !config->needs_keys || has_public_route(config);
     for (guint index = 0; index < config->tenants->len; index++) {
         const hs_fleet_tenant *tenant = config->tenants->pdata[index];
         if (tenant->has_priority)
-            config->tenants_highest = MIN(config->tenants_highest, tenant->priority);
+            config->highest_tenant_priority =
+                MIN(config->highest_tenant_priority, tenant->priority);
         else
             config->has_unranked_callers = true;
     }
--- a/standin/token_engine/token_engine.c
+++ b/standin/token_engine/token_engine.c
@@ -32,7 +32,7 @@
     GArray *call_log;    /**< of token_engine_call, by number. */
     uint32_t total;
     uint32_t sequence;
-    uint64_t born_ms; /**< Wall time of its start. */
+    uint64_t started_at_ms; /**< Wall time of its start. */
 };
 
 /** One stream under way. */
@@ -86,11 +86,12 @@
 /** Wait so long; true at once when the caller leaves or the engine crashes. */
 static bool waits_until_gone(token_engine *engine, int descriptor, uint32_t wait_ms) {
     if (engine->settings.fatal == NULL) /* It does not crash: one wait, since streams are many. */
-        return hs_peer_leaves_within(descriptor, wait_ms);
+        return hs_peer_wait_for_disconnect(descriptor, wait_ms);
     uint64_t until_ms = hs_clock_monotonic_ms() + wait_ms;
     uint64_t now_ms = hs_clock_monotonic_ms();
     while (g_atomic_int_get(&engine->is_crashing) == 0 && now_ms < until_ms) {
-        if (hs_peer_leaves_within(descriptor, (uint32_t)MIN(until_ms - now_ms, CRASH_POLL_MS)))
+        if (hs_peer_wait_for_disconnect(descriptor,
+                                        (uint32_t)MIN(until_ms - now_ms, CRASH_POLL_MS)))
             return true;
         now_ms = hs_clock_monotonic_ms();
     }
@@ -312,7 +313,7 @@
     g_free(engine->id);
     engine->id = g_strdup(id);
     engine->sequence = 0;
-    engine->born_ms = hs_clock_wall_ms();
+    engine->started_at_ms = hs_clock_wall_ms();
     g_atomic_int_set(&engine->is_crashing, 0);
     listen_for_requests(engine);
 }
@@ -332,7 +333,7 @@
     engine->run_log = g_array_new(FALSE, FALSE, sizeof(token_engine_run));
     engine->call_log = g_array_new(FALSE, FALSE, sizeof(token_engine_call));
     engine->port = port_lease_take(1);
-    engine->born_ms = hs_clock_wall_ms();
+    engine->started_at_ms = hs_clock_wall_ms();
     listen_for_requests(engine);
     engine->shown_port = engine->port;
     return engine;
@@ -365,7 +366,7 @@
 void token_engine_announce(token_engine *engine, log_store *store, bool draining) {
     g_autofree char *start =
         engine->settings.tells_start
-            ? g_strdup_printf("\"born\":%" G_GUINT64_FORMAT ",", (guint64)engine->born_ms)
+            ? g_strdup_printf("\"born\":%" G_GUINT64_FORMAT ",", (guint64)engine->started_at_ms)
             : g_strdup("");
     g_autofree char *entry = g_strdup_printf(
         "{%s\"service\":\"%s\",\"address\":\"127.0.0.1:%u\",\"zone\":\"zone-a\",\"version\":\"v1\","
--- a/tests/fuzz/caller.c
+++ b/tests/fuzz/caller.c
@@ -49,7 +49,7 @@
     hs_caller_terms terms;
     read_target(target);
     hs_platform_read_terms(fields, &terms);
-    FUZZ_CHECK(terms.host != NULL && terms.size.part_count <= HS_PROMPT_PARTS_MAX);
+    FUZZ_CHECK(terms.host != NULL && terms.size.part_count <= HS_MAX_PROMPT_PARTS);
     hs_engine_request request = {.method = "POST",
                                  .target = target,
                                  .fields = fields,
--- a/tests/fuzz/config.c
+++ b/tests/fuzz/config.c
@@ -39,7 +39,7 @@
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
     hs_engine_entry entry = {0};
     read_config(data, size);
-    if (hs_platform_read_engine("e", data, size, &entry) == HS_ENTRY_SOUND)
+    if (hs_platform_read_engine("e", data, size, &entry) == HS_ENTRY_VALID)
         FUZZ_CHECK(entry.port != 0 && *entry.service != '\0' && *entry.zone != '\0' &&
                    entry.slots > 0);
     else
--- a/tests/fuzz/engine_answer.c
+++ b/tests/fuzz/engine_answer.c
@@ -19,8 +19,8 @@
 /** A load that is present or not, and a slowdown that an engine can mean or none. */
 static void check_load(const hs_engine_load *load) {
     FUZZ_CHECK(load->slowdown_percent == 0 ||
-               (load->present && load->slowdown_percent >= HS_SLOWDOWN_LEAST_PERCENT &&
-                load->slowdown_percent <= HS_SLOWDOWN_MOST_PERCENT));
+               (load->present && load->slowdown_percent >= HS_MIN_SLOWDOWN_PERCENT &&
+                load->slowdown_percent <= HS_MAX_SLOWDOWN_PERCENT));
     FUZZ_CHECK(!load->is_slowdown_rejected || (load->present && load->slowdown_percent == 0));
 }
 
--- a/tests/unit/test_engines.c
+++ b/tests/unit/test_engines.c
@@ -191,7 +191,7 @@
                                      hs_clock_monotonic_ms());
     CU_ASSERT_EQUAL(hs_fleet_engines_preempt_excess(engines), 2);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[0]), HS_INTERRUPT_NONE);
-    CU_ASSERT_EQUAL(hs_interrupt_get(&flags[3]), HS_INTERRUPT_YIELD);
+    CU_ASSERT_EQUAL(hs_interrupt_get(&flags[3]), HS_INTERRUPT_PREEMPT);
     CU_ASSERT_EQUAL(hs_fleet_engines_preempt_excess(engines),
                     0); /* Until all daemons know of the preemption. */
     for (int index = 0; index < 4; index++)
--- a/tests/unit/test_entries.c
+++ b/tests/unit/test_entries.c
@@ -27,8 +27,8 @@
         const char *text;
         hs_entry_fault fault;
     } cases[] = {
-        {"{" VALID_FIELDS "}", HS_ENTRY_SOUND},
-        {"{" VALID_FIELDS ",\"born\":1768787800801,\"further\":[1]}", HS_ENTRY_SOUND},
+        {"{" VALID_FIELDS "}", HS_ENTRY_VALID},
+        {"{" VALID_FIELDS ",\"born\":1768787800801,\"further\":[1]}", HS_ENTRY_VALID},
         {"", HS_ENTRY_UNREADABLE},
         {"[]", HS_ENTRY_UNREADABLE},
         {"\xff\xfe", HS_ENTRY_UNREADABLE},
@@ -55,24 +55,24 @@
     for (size_t index = 0; index < G_N_ELEMENTS(cases); index++) {
         hs_engine_entry entry = {0};
         CU_ASSERT_EQUAL(read_entry("e", cases[index].text, &entry), cases[index].fault);
-        CU_ASSERT_EQUAL(entry.id != NULL, cases[index].fault == HS_ENTRY_SOUND);
+        CU_ASSERT_EQUAL(entry.id != NULL, cases[index].fault == HS_ENTRY_VALID);
         hs_engine_entry_clear(&entry);
     }
     hs_engine_entry entry = {0};
     CU_ASSERT_EQUAL(read_entry("e\r\nX: y", "{" VALID_FIELDS "}", &entry), HS_ENTRY_BAD_ID);
     CU_ASSERT_EQUAL(read_entry("", "{" VALID_FIELDS "}", &entry), HS_ENTRY_BAD_ID);
-    CU_ASSERT_EQUAL(read_entry("e", "{" VALID_FIELDS ",\"born\":17}", &entry), HS_ENTRY_SOUND);
-    CU_ASSERT_EQUAL(entry.born_ms, 17);
+    CU_ASSERT_EQUAL(read_entry("e", "{" VALID_FIELDS ",\"born\":17}", &entry), HS_ENTRY_VALID);
+    CU_ASSERT_EQUAL(entry.started_at_ms, 17);
     hs_engine_entry_clear(&entry);
 }
 
-static void put(hs_fleet_engines *engines, const char *id, uint64_t born_ms) {
+static void put(hs_fleet_engines *engines, const char *id, uint64_t started_at_ms) {
     g_autofree char *text =
-        born_ms != 0
-            ? g_strdup_printf("{" VALID_FIELDS ",\"born\":%" G_GUINT64_FORMAT "}", (guint64)born_ms)
-            : g_strdup("{" VALID_FIELDS "}");
+        started_at_ms != 0 ? g_strdup_printf("{" VALID_FIELDS ",\"born\":%" G_GUINT64_FORMAT "}",
+                                             (guint64)started_at_ms)
+                           : g_strdup("{" VALID_FIELDS "}");
     hs_engine_entry entry = {0};
-    CU_ASSERT_EQUAL(read_entry(id, text, &entry), HS_ENTRY_SOUND);
+    CU_ASSERT_EQUAL(read_entry(id, text, &entry), HS_ENTRY_VALID);
     hs_fleet_engines_put(engines, &entry, hs_clock_monotonic_ms());
 }
 
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -245,7 +245,7 @@
         GArray *invalid_fields = hs_http_fields_new();
         hs_http_fields_add(invalid_fields, "Heathsail-Prompt-Prefix", invalid[index]);
         hs_platform_read_terms(invalid_fields, &terms);
-        CU_ASSERT(terms.size.part_count <= HS_PROMPT_PARTS_MAX);
+        CU_ASSERT(terms.size.part_count <= HS_MAX_PROMPT_PARTS);
         hs_http_fields_free(invalid_fields);
     }
 }
@@ -337,8 +337,8 @@
     CU_ASSERT(without_slowdown.slowdown_percent == 0 && !without_slowdown.is_slowdown_rejected);
     CU_ASSERT_EQUAL(read_load("3,1,8,250").slowdown_percent, 250);
     CU_ASSERT_EQUAL(read_load("3, 1, 8, 60").slowdown_percent, 60);
-    CU_ASSERT_EQUAL(read_load("3,1,8,10").slowdown_percent, HS_SLOWDOWN_LEAST_PERCENT);
-    CU_ASSERT_EQUAL(read_load("3,1,8,10000").slowdown_percent, HS_SLOWDOWN_MOST_PERCENT);
+    CU_ASSERT_EQUAL(read_load("3,1,8,10").slowdown_percent, HS_MIN_SLOWDOWN_PERCENT);
+    CU_ASSERT_EQUAL(read_load("3,1,8,10000").slowdown_percent, HS_MAX_SLOWDOWN_PERCENT);
     static const char *const invalid[] = {"3,1,8,",    "3,1,8,0",     "3,1,8,-250",
                                           "3,1,8,9",   "3,1,8,10001", "3,1,8,18446744073709551716",
                                           "3,1,8,1e3", "3,1,8,250%",  "3,1,8,nan"};
--- a/tests/unit/test_interrupt.c
+++ b/tests/unit/test_interrupt.c
@@ -15,11 +15,11 @@
 static void cause_of_higher_priority_prevails(void) {
     hs_interrupt interrupt;
     hs_interrupt_init(&interrupt);
-    CU_ASSERT_TRUE(hs_interrupt_raise(&interrupt, HS_INTERRUPT_YIELD));
-    CU_ASSERT_FALSE(hs_interrupt_raise(&interrupt, HS_INTERRUPT_YIELD));
+    CU_ASSERT_TRUE(hs_interrupt_raise(&interrupt, HS_INTERRUPT_PREEMPT));
+    CU_ASSERT_FALSE(hs_interrupt_raise(&interrupt, HS_INTERRUPT_PREEMPT));
     CU_ASSERT_TRUE(hs_interrupt_raise(&interrupt, HS_INTERRUPT_STOP));
-    CU_ASSERT_FALSE(hs_interrupt_raise(&interrupt, HS_INTERRUPT_YIELD));
-    CU_ASSERT_FALSE(hs_interrupt_withdraw(&interrupt, HS_INTERRUPT_YIELD));
+    CU_ASSERT_FALSE(hs_interrupt_raise(&interrupt, HS_INTERRUPT_PREEMPT));
+    CU_ASSERT_FALSE(hs_interrupt_withdraw(&interrupt, HS_INTERRUPT_PREEMPT));
     CU_ASSERT_EQUAL(hs_interrupt_get(&interrupt), HS_INTERRUPT_STOP);
     hs_interrupt_clear(&interrupt);
 }
@@ -28,14 +28,14 @@
 static void cause_raised_before_a_wait_ends_it(void) {
     hs_interrupt interrupt;
     hs_interrupt_init(&interrupt);
-    CU_ASSERT_FALSE(hs_interrupt_pause(&interrupt, 1));
-    hs_interrupt_release(&interrupt);
-    hs_interrupt_raise(&interrupt, HS_INTERRUPT_YIELD);
+    CU_ASSERT_FALSE(hs_interrupt_wait(&interrupt, 1));
+    hs_interrupt_close_descriptor(&interrupt);
+    hs_interrupt_raise(&interrupt, HS_INTERRUPT_PREEMPT);
     uint64_t started_ms = hs_clock_monotonic_ms();
-    CU_ASSERT_TRUE(hs_interrupt_pause(&interrupt, LONG_MS));
+    CU_ASSERT_TRUE(hs_interrupt_wait(&interrupt, LONG_MS));
     CU_ASSERT(hs_clock_monotonic_ms() - started_ms < SOON_MS);
-    CU_ASSERT_TRUE(hs_interrupt_withdraw(&interrupt, HS_INTERRUPT_YIELD));
-    CU_ASSERT_FALSE(hs_interrupt_pause(&interrupt, 1));
+    CU_ASSERT_TRUE(hs_interrupt_withdraw(&interrupt, HS_INTERRUPT_PREEMPT));
+    CU_ASSERT_FALSE(hs_interrupt_wait(&interrupt, 1));
     hs_interrupt_clear(&interrupt);
 }
 
@@ -72,7 +72,7 @@
 
 static gpointer request_stop_later(gpointer data) {
     hs_clock_sleep_ms(DELAY_MS);
-    hs_stop_wait_ask(data);
+    hs_stop_wait_request_stop(data);
     return NULL;
 }
 
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -203,7 +203,7 @@
     CU_ASSERT_EQUAL(observed.last.engine_hash, hash);
     CU_ASSERT_EQUAL(hs_fleet_engines_preempt_items(engines, hash, 1), 1);
     CU_ASSERT_EQUAL(hs_interrupt_get(&flags[0]), HS_INTERRUPT_NONE);
-    CU_ASSERT_EQUAL(hs_interrupt_get(&flags[1]), HS_INTERRUPT_YIELD);
+    CU_ASSERT_EQUAL(hs_interrupt_get(&flags[1]), HS_INTERRUPT_PREEMPT);
     CU_ASSERT_EQUAL(hs_fleet_engines_preempt_items(engines, 12345, 1), 0);
     hs_engine_load_report total = {.engine_hash = hash, .online = 6, .batch = 2};
     hs_fleet_engines_put_report(engines, &total); /* Six online requests of other daemons. */
