--- a/src/batch/batch_id.c
+++ b/src/batch/batch_id.c
@@ -10,25 +10,26 @@
 #define JOB_PREFIX "batch_"
 #define PARTITION_DIGITS 4
 
-static char *with_prefix(const char *prefix, uint32_t partition, const char *digest) {
+static char *format_id(const char *prefix, uint32_t partition, const char *digest) {
     return g_strdup_printf("%s%0*x_%s", prefix, PARTITION_DIGITS, partition, digest);
 }
 
 char *hs_file_id(const char *tenant, const char *content, size_t length, uint32_t chunk_items,
                  uint32_t partition_count) {
     g_autofree char *content_digest = hs_hash_hex128(content, length);
-    g_autofree char *named = g_strdup_printf("%s\n%u\n%s", tenant, chunk_items, content_digest);
-    g_autofree char *digest = hs_hash_hex128(named, strlen(named));
+    g_autofree char *hash_input =
+        g_strdup_printf("%s\n%u\n%s", tenant, chunk_items, content_digest);
+    g_autofree char *digest = hs_hash_hex128(hash_input, strlen(hash_input));
     uint32_t partition = (uint32_t)(hs_hash_bytes(digest, strlen(digest)) % partition_count);
-    return with_prefix("file_", partition, digest);
+    return format_id("file_", partition, digest);
 }
 
 char *hs_job_id(const char *tenant, const char *key, const char *file_id) {
     uint32_t partition = 0;
     hs_id_partition(file_id, &partition);
-    g_autofree char *named = g_strdup_printf("%s\n%s", tenant, key);
-    g_autofree char *digest = hs_hash_hex128(named, strlen(named));
-    return with_prefix(JOB_PREFIX, partition, digest);
+    g_autofree char *hash_input = g_strdup_printf("%s\n%s", tenant, key);
+    g_autofree char *digest = hs_hash_hex128(hash_input, strlen(hash_input));
+    return format_id(JOB_PREFIX, partition, digest);
 }
 
 char *hs_output_id(const char *job_id) {
@@ -46,12 +47,12 @@
 }
 
 bool hs_id_partition(const char *id, uint32_t *partition) {
-    const char *first = strchr(id, '_');
-    if (first == NULL)
+    const char *separator = strchr(id, '_');
+    if (separator == NULL)
         return false;
     char *end = NULL;
-    guint64 number = g_ascii_strtoull(first + 1, &end, 16);
-    if (end != first + 1 + PARTITION_DIGITS || *end != '_')
+    guint64 number = g_ascii_strtoull(separator + 1, &end, 16);
+    if (end != separator + 1 + PARTITION_DIGITS || *end != '_')
         return false;
     *partition = (uint32_t)number;
     return true;
--- a/src/batch/batch_id.h
+++ b/src/batch/batch_id.h
@@ -1,10 +1,10 @@
 /**
  * @file batch_id.h
- * Identities of files and jobs. Pure.
+ * Ids of input files, jobs and output files. Pure functions.
  *
- * They are digests of what they name, so that a resent file or job is the same one, and they carry
- * their partition, so that any daemon finds it: "file_PPPP_HASH", "batch_PPPP_HASH" and
- * "output_PPPP_HASH", with PPPP the partition in hexadecimal.
+ * An id is derived from a digest, so that resubmitting the same file or job yields the same id, and
+ * contains the partition number: "file_PPPP_HASH", "batch_PPPP_HASH" or "output_PPPP_HASH" with the
+ * partition PPPP in hexadecimal.
  */
 #ifndef HS_BATCH_BATCH_ID_H
 #define HS_BATCH_BATCH_ID_H
@@ -13,20 +13,28 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Identity of a file by tenant, content and chunking. Free with g_free. */
+/**
+ * Returns the id of a file with this tenant, content and chunk size. The id also selects one of
+ * @p partition_count partitions. Free with g_free.
+ */
 char *hs_file_id(const char *tenant, const char *content, size_t length, uint32_t chunk_items,
                  uint32_t partition_count);
 
-/** Identity of a job over @p file_id by tenant and @p key. Free with g_free. */
+/**
+ * Returns the id of the job that @p tenant submits with idempotency key @p key. The job is in the
+ * partition of @p file_id. Free with g_free.
+ */
 char *hs_job_id(const char *tenant, const char *key, const char *file_id);
 
-/** Identity of a job's output file, and back. Free with g_free; NULL when it is none. */
+/** Returns the id of the job's output file. Free with g_free. */
 char *hs_output_id(const char *job_id);
+
+/** Returns the id of the job with this output file, or NULL for any other id. Free with g_free. */
 char *hs_output_job_id(const char *output_id);
 
 bool hs_id_is_output(const char *id);
 
-/** The partition an identity names; false when malformed. */
+/** Reads the partition number from an id. Returns false if the id is malformed. */
 bool hs_id_partition(const char *id, uint32_t *partition);
 
 #endif
--- a/src/batch/chunk_reader.c
+++ b/src/batch/chunk_reader.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define CHUNKS_KEPT 16
+#define MAX_CACHED_CHUNKS 16
 
 typedef struct {
     char *stream;
@@ -16,7 +16,7 @@
 struct hs_chunk_reader {
     const hs_log_client *log;
     GMutex lock;
-    GPtrArray *chunks; /**< of cached_chunk*, most recently read last */
+    GPtrArray *chunks; /**< of cached_chunk*, most recently read last; guarded by lock */
 };
 
 static void free_chunk(gpointer data) {
@@ -40,7 +40,7 @@
     g_free(reader);
 }
 
-/** Lines of the record at @p offset, or NULL when it is no chunk. */
+/** Reads a chunk from the log. Returns NULL and an error if there is no chunk at @p offset. */
 static char *read_lines(hs_chunk_reader *reader, const char *stream, uint64_t offset,
                         hs_error *error) {
     hs_log_slice slice;
@@ -62,8 +62,8 @@
     return lines;
 }
 
-/** Copy of a kept chunk's text, or NULL. */
-static char *find_kept(hs_chunk_reader *reader, const char *stream, uint64_t offset) {
+/** Returns a copy of the cached text, or NULL. */
+static char *find_cached_text(hs_chunk_reader *reader, const char *stream, uint64_t offset) {
     char *text = NULL;
     g_mutex_lock(&reader->lock);
     for (guint index = 0; index < reader->chunks->len && text == NULL; index++) {
@@ -75,32 +75,33 @@
     return text;
 }
 
-static void keep(hs_chunk_reader *reader, const char *stream, uint64_t offset, const char *text) {
+static void cache_text(hs_chunk_reader *reader, const char *stream, uint64_t offset,
+                       const char *text) {
     cached_chunk *chunk = g_new0(cached_chunk, 1);
     chunk->stream = g_strdup(stream);
     chunk->offset = offset;
     chunk->text = g_strdup(text);
     g_mutex_lock(&reader->lock);
     g_ptr_array_add(reader->chunks, chunk);
-    if (reader->chunks->len > CHUNKS_KEPT)
+    if (reader->chunks->len > MAX_CACHED_CHUNKS)
         g_ptr_array_remove_index(reader->chunks, 0);
     g_mutex_unlock(&reader->lock);
 }
 
-char *hs_chunk_reader_text(hs_chunk_reader *reader, const char *stream, uint64_t offset,
-                           hs_error *error) {
-    char *text = find_kept(reader, stream, offset);
+char *hs_chunk_reader_read_text(hs_chunk_reader *reader, const char *stream, uint64_t offset,
+                                hs_error *error) {
+    char *text = find_cached_text(reader, stream, offset);
     if (text != NULL)
         return text;
     text = read_lines(reader, stream, offset, error);
     if (text != NULL)
-        keep(reader, stream, offset, text);
+        cache_text(reader, stream, offset, text);
     return text;
 }
 
-json_t *hs_chunk_reader_item(hs_chunk_reader *reader, const char *stream, uint64_t offset,
-                             uint32_t index, hs_error *error) {
-    g_autofree char *text = hs_chunk_reader_text(reader, stream, offset, error);
+json_t *hs_chunk_reader_read_item(hs_chunk_reader *reader, const char *stream, uint64_t offset,
+                                  uint32_t index, hs_error *error) {
+    g_autofree char *text = hs_chunk_reader_read_text(reader, stream, offset, error);
     if (text == NULL)
         return NULL;
     const char *line = text;
--- a/src/batch/chunk_reader.h
+++ b/src/batch/chunk_reader.h
@@ -1,7 +1,7 @@
 /**
  * @file chunk_reader.h
- * Items of uploaded files, read back from the log by the offset of their chunk. Keeps the last
- * few chunks, so that the items of one grant cost one read.
+ * Reads items of uploaded files from the log by the offset of their chunk. Caches the most recently
+ * read chunks, because the items of a grant are in the same chunk. Thread-safe.
  */
 #ifndef HS_BATCH_CHUNK_READER_H
 #define HS_BATCH_CHUNK_READER_H
@@ -12,16 +12,22 @@
 
 typedef struct hs_chunk_reader hs_chunk_reader;
 
-/** @p log is borrowed. */
+/** @p log is borrowed and must outlive the reader. */
 hs_chunk_reader *hs_chunk_reader_new(const hs_log_client *log);
 void hs_chunk_reader_free(hs_chunk_reader *reader);
 
-/** Item @p index within the chunk at @p offset, parsed; NULL when it cannot be read. Owned. */
-json_t *hs_chunk_reader_item(hs_chunk_reader *reader, const char *stream, uint64_t offset,
-                             uint32_t index, hs_error *error);
+/**
+ * Returns the parsed item @p index of the chunk at @p offset, or NULL and an error. The caller owns
+ * the reference.
+ */
+json_t *hs_chunk_reader_read_item(hs_chunk_reader *reader, const char *stream, uint64_t offset,
+                                  uint32_t index, hs_error *error);
 
-/** All lines of the chunk, each closed by a newline. Free with g_free; NULL on failure. */
-char *hs_chunk_reader_text(hs_chunk_reader *reader, const char *stream, uint64_t offset,
-                           hs_error *error);
+/**
+ * Returns all lines of the chunk at @p offset, each terminated by a newline, or NULL and an error.
+ * Free with g_free.
+ */
+char *hs_chunk_reader_read_text(hs_chunk_reader *reader, const char *stream, uint64_t offset,
+                                hs_error *error);
 
 #endif
--- a/src/batch/coordinator.c
+++ b/src/batch/coordinator.c
@@ -1,4 +1,4 @@
-/** @file coordinator.c  Claiming and handing over partitions; see coordinator.h. */
+/** @file coordinator.c  See coordinator.h. */
 #include "batch/coordinator.h"
 
 #include "base/clock.h"
@@ -12,20 +12,20 @@
 #include <string.h>
 
 #define TICK_MS 100
-#define CLAIM_PATIENCE_MS 2000
-#define RELEASE_PATIENCE_MS 3000
+#define CLAIM_APPEND_TIMEOUT_MS 2000
+#define RELEASE_APPEND_TIMEOUT_MS 3000
 
 struct hs_coordinator {
     hs_coordinator_context context;
     uint32_t partition_count;
     GMutex lock;
-    hs_partition_owner **owners; /**< By partition; NULL: not ours. */
+    hs_partition_owner **owners; /**< By partition; NULL if not owned. Guarded by lock. */
     hs_ownership_history *histories;
-    bool release_failed;     /**< The last release could not be appended. */
-    bool *self_is_first;     /**< By partition, for ranked_version. */
-    bool *owner_is_known;    /**< By partition: another member says it owns it. */
-    uint64_t ranked_version; /**< Of the live set the ranks were worked out for. */
-    bool ranked;
+    bool release_failed;     /**< The last release record was not appended. */
+    bool *self_is_first;     /**< By partition, as of ranked_version. */
+    bool *owner_is_known;    /**< By partition: another member announces ownership. */
+    uint64_t ranked_version; /**< Version of the live set that the ranks are for. */
+    bool has_ranks;
     bool self_is_leaving;
     gint stopping;
     GThread *thread;
@@ -52,16 +52,15 @@
     g_free(coordinator);
 }
 
-/** The partition's key for the rendezvous hash. */
+/** Writes the partition's key for rendezvous hashing. */
 static void partition_key(uint32_t partition, char key[32]) {
     g_snprintf(key, 32, "partition-%u", partition);
 }
 
-/** Work out the ranks anew when the live set has changed: partitions times members, so not often.
- */
+/** Recomputes the ranks if the live set has changed, at a cost of partitions times members. */
 static void refresh_ranks(hs_coordinator *coordinator, const hs_membership *membership) {
     uint64_t version = hs_membership_live_version(membership);
-    if (coordinator->ranked && coordinator->ranked_version == version)
+    if (coordinator->has_ranks && coordinator->ranked_version == version)
         return;
     const hs_member *self = hs_membership_self(membership);
     for (uint32_t partition = 0; partition < coordinator->partition_count; partition++) {
@@ -70,11 +69,11 @@
         coordinator->self_is_first[partition] =
             hs_membership_rank_first(membership, key, NULL) == self;
     }
-    coordinator->ranked = true;
+    coordinator->has_ranks = true;
     coordinator->ranked_version = version;
 }
 
-static void note_owned_by(hs_coordinator *coordinator, const hs_member *member) {
+static void mark_owned_partitions(hs_coordinator *coordinator, const hs_member *member) {
     if (!hs_member_is_live(member) && member->state != HS_MEMBER_LEAVING)
         return;
     for (guint index = 0; index < member->owned->len; index++) {
@@ -84,7 +83,7 @@
     }
 }
 
-/** What membership says of all partitions, read once a tick. */
+/** Reads ranks and announced owners of all partitions from the membership. */
 static void read_membership(hs_coordinator *coordinator) {
     memset(coordinator->owner_is_known, 0, coordinator->partition_count * sizeof(bool));
     g_autoptr(GPtrArray) members = g_ptr_array_new();
@@ -93,7 +92,7 @@
     hs_membership_list(membership, members);
     for (guint index = 0; index < members->len; index++)
         if (members->pdata[index] != hs_membership_self(membership))
-            note_owned_by(coordinator, members->pdata[index]);
+            mark_owned_partitions(coordinator, members->pdata[index]);
     coordinator->self_is_leaving = hs_membership_self(membership)->state == HS_MEMBER_LEAVING;
     hs_membership_service_unlock(coordinator->context.membership);
 }
@@ -105,21 +104,21 @@
                                .owner_is_known = coordinator->owner_is_known[partition]};
 }
 
-/** Whether the folded owner is a live member under the same incarnation, so that we must wait. */
-static bool folded_owner_lives(hs_coordinator *coordinator, const hs_partition *state) {
+/** Whether the owner recorded in the stream is another member that is alive in that incarnation. */
+static bool is_recorded_owner_alive(hs_coordinator *coordinator, const hs_partition *state) {
     if (state->owner_id == NULL || state->owner_released)
         return false;
     hs_membership *membership = hs_membership_service_lock(coordinator->context.membership);
     const hs_member *owner = hs_membership_find(membership, state->owner_id);
-    bool lives = owner != NULL && owner != hs_membership_self(membership) &&
+    bool alive = owner != NULL && owner != hs_membership_self(membership) &&
                  hs_member_is_live(owner) && owner->incarnation == state->owner_incarnation;
     hs_membership_service_unlock(coordinator->context.membership);
-    return lives;
+    return alive;
 }
 
-/** Whether the fold shows us as owner under @p epoch. */
-static bool claim_won(hs_coordinator *coordinator, hs_replica *replica, uint32_t epoch,
-                      uint64_t incarnation) {
+/** Whether the stream records this daemon as the owner in @p epoch. */
+static bool is_claim_won(hs_coordinator *coordinator, hs_replica *replica, uint32_t epoch,
+                         uint64_t incarnation) {
     hs_partition *state = hs_replica_lock(replica);
     bool won = state->epoch == epoch && state->owner_id != NULL &&
                strcmp(state->owner_id, coordinator->context.settings->daemon_id) == 0 &&
@@ -128,34 +127,34 @@
     return won;
 }
 
-/** Read the stream, append a claim, read it back. @return the epoch won, or 0. */
+/** Appends a claim and reads it back from the stream. Returns the epoch won, or 0. */
 static uint32_t try_claim(hs_coordinator *coordinator, uint32_t partition) {
     hs_replica *replica = hs_replica_set_get(coordinator->context.replicas, partition);
     hs_error error = {0};
     if (hs_replica_refresh(replica, &error) != 0)
         return 0;
     hs_partition *state = hs_replica_lock(replica);
-    bool must_wait = folded_owner_lives(coordinator, state);
+    bool owner_is_alive = is_recorded_owner_alive(coordinator, state);
     uint32_t epoch = state->epoch + 1;
     hs_replica_unlock(replica);
-    if (must_wait)
+    if (owner_is_alive)
         return 0;
     uint64_t incarnation = hs_membership_service_incarnation(coordinator->context.membership);
     g_autoptr(GByteArray) record =
-        hs_record_claim(epoch, coordinator->context.settings->daemon_id, incarnation);
+        hs_record_pack_claim(epoch, coordinator->context.settings->daemon_id, incarnation);
     uint64_t offset = 0;
     HS_FAULT_POINT("claim_before");
     hs_appender_append(coordinator->context.appender, hs_replica_stream(replica), record->data,
-                       record->len, CLAIM_PATIENCE_MS, &offset, &error);
+                       record->len, CLAIM_APPEND_TIMEOUT_MS, &offset, &error);
     HS_FAULT_POINT("claim_after");
     if (hs_replica_refresh(replica, &error) != 0)
         return 0;
-    return claim_won(coordinator, replica, epoch, incarnation) ? epoch : 0;
+    return is_claim_won(coordinator, replica, epoch, incarnation) ? epoch : 0;
 }
 
-static void claim(hs_coordinator *coordinator, uint32_t partition) {
+static void claim_partition(hs_coordinator *coordinator, uint32_t partition) {
     uint32_t epoch = try_claim(coordinator, partition);
-    coordinator->histories[partition].first_since_ms = 0;
+    coordinator->histories[partition].claimable_since_ms = 0;
     if (epoch == 0)
         return;
     hs_partition_owner *owner = hs_partition_owner_start(&coordinator->context, partition, epoch);
@@ -165,7 +164,7 @@
     hs_log_info("partition_claimed", "partition=%u epoch=%u", partition, epoch);
 }
 
-static void drop_owner(hs_coordinator *coordinator, uint32_t partition) {
+static void stop_partition_owner(hs_coordinator *coordinator, uint32_t partition) {
     g_mutex_lock(&coordinator->lock);
     hs_partition_owner *owner = coordinator->owners[partition];
     coordinator->owners[partition] = NULL;
@@ -174,38 +173,38 @@
         hs_partition_owner_stop(owner);
 }
 
-/** Hand the partition over: stop granting first, then say so in the stream. */
-static void release(hs_coordinator *coordinator, uint32_t partition) {
+/** Stops granting items, then appends the release, so that no grant is made after the release. */
+static void hand_over_partition(hs_coordinator *coordinator, uint32_t partition) {
     hs_replica *replica = hs_replica_set_get(coordinator->context.replicas, partition);
     hs_partition_owner *owner = coordinator->owners[partition];
-    uint32_t epoch = hs_partition_owner_epoch(owner);
-    hs_partition_owner_close(owner);
+    uint32_t epoch = hs_partition_owner_get_epoch(owner);
+    hs_partition_owner_stop_granting(owner);
     g_autoptr(GByteArray) record =
-        hs_record_release(epoch, coordinator->context.settings->daemon_id);
+        hs_record_pack_release(epoch, coordinator->context.settings->daemon_id);
     uint64_t offset = 0;
     hs_error error = {0};
     HS_FAULT_POINT("release");
-    /* While the log is out of reach one try is enough: the others claim once we are gone. */
-    uint32_t patience_ms = coordinator->release_failed ? 0 : RELEASE_PATIENCE_MS;
+    /* If the log is unavailable, members claim the partition after this daemon has left. */
+    uint32_t append_timeout_ms = coordinator->release_failed ? 0 : RELEASE_APPEND_TIMEOUT_MS;
     int result = hs_appender_append(coordinator->context.appender, hs_replica_stream(replica),
-                                    record->data, record->len, patience_ms, &offset, &error);
+                                    record->data, record->len, append_timeout_ms, &offset, &error);
     coordinator->release_failed = result != 0;
-    drop_owner(coordinator, partition);
+    stop_partition_owner(coordinator, partition);
     hs_log_info("partition_released", "partition=%u epoch=%u", partition, epoch);
 }
 
-/** End an ownership that another's claim, or our own new incarnation, has overtaken. */
-static void drop_if_lost(hs_coordinator *coordinator, uint32_t partition) {
+/** Stops an owner whose epoch was ended by a later claim. */
+static void stop_owner_if_lost(hs_coordinator *coordinator, uint32_t partition) {
     hs_partition_owner *owner = coordinator->owners[partition];
     if (owner == NULL || hs_partition_owner_is_valid(owner))
         return;
     hs_ownership_note_loss(&coordinator->histories[partition], hs_clock_monotonic_ms());
     hs_log_warning("partition_lost", "partition=%u epoch=%u", partition,
-                   hs_partition_owner_epoch(owner));
-    drop_owner(coordinator, partition);
+                   hs_partition_owner_get_epoch(owner));
+    stop_partition_owner(coordinator, partition);
 }
 
-/** Tell the others, by gossip, what we own. */
+/** Announces the owned partitions by gossip. */
 static void publish_owned(hs_coordinator *coordinator) {
     g_autoptr(GArray) owned = g_array_new(FALSE, FALSE, sizeof(hs_owned_partition));
     for (uint32_t partition = 0; partition < coordinator->partition_count; partition++) {
@@ -213,8 +212,8 @@
         if (owner == NULL)
             continue;
         hs_owned_partition entry = {.partition = partition,
-                                    .epoch = hs_partition_owner_epoch(owner),
-                                    .has_ready_items = hs_partition_owner_has_ready(owner)};
+                                    .epoch = hs_partition_owner_get_epoch(owner),
+                                    .has_ready_items = hs_partition_owner_has_ready_items(owner)};
         g_array_append_val(owned, entry);
     }
     uint64_t offset = coordinator->context.config_offset(coordinator->context.gossip_user_data);
@@ -225,19 +224,19 @@
     hs_membership_service_unlock(coordinator->context.membership);
 }
 
-static void act_on_partition(hs_coordinator *coordinator, uint32_t partition) {
+static void update_ownership(hs_coordinator *coordinator, uint32_t partition) {
     hs_ownership_settings settings = {
         .settle_ms = (uint32_t)coordinator->context.settings->claim_settle_ms,
         .handover_ms = (uint32_t)coordinator->context.settings->handover_ms};
-    drop_if_lost(coordinator, partition);
+    stop_owner_if_lost(coordinator, partition);
     hs_ownership_view view = view_partition(coordinator, partition);
     switch (hs_ownership_decide(&settings, &view, &coordinator->histories[partition],
                                 hs_clock_monotonic_ms())) {
     case HS_OWNERSHIP_CLAIM:
-        claim(coordinator, partition);
+        claim_partition(coordinator, partition);
         break;
     case HS_OWNERSHIP_RELEASE:
-        release(coordinator, partition);
+        hand_over_partition(coordinator, partition);
         break;
     case HS_OWNERSHIP_KEEP:
         break;
@@ -250,12 +249,12 @@
         read_membership(coordinator);
         if (hs_membership_service_has_probed(coordinator->context.membership))
             for (uint32_t partition = 0; partition < coordinator->partition_count; partition++)
-                act_on_partition(coordinator, partition);
+                update_ownership(coordinator, partition);
         publish_owned(coordinator);
         hs_clock_sleep_ms(TICK_MS);
     }
     for (uint32_t partition = 0; partition < coordinator->partition_count; partition++)
-        drop_owner(coordinator, partition);
+        stop_partition_owner(coordinator, partition);
     return NULL;
 }
 
@@ -264,7 +263,7 @@
 }
 
 void hs_coordinator_release_all(hs_coordinator *coordinator) {
-    /* The leaving state makes the coordinator's thread release each partition. */
+    /* The coordinator's thread releases each partition because this member is leaving. */
     while (hs_coordinator_owned_count(coordinator) > 0)
         hs_clock_sleep_ms(TICK_MS / 10);
 }
@@ -282,7 +281,7 @@
     g_mutex_lock(&coordinator->lock);
     hs_partition_owner *owner = coordinator->owners[partition];
     if (owner != NULL)
-        hs_partition_owner_pull(owner, message, from);
+        hs_partition_owner_handle_pull(owner, message, from);
     g_mutex_unlock(&coordinator->lock);
 }
 
@@ -297,11 +296,11 @@
     hs_membership_service_reply(coordinator->context.membership, to, &message);
 }
 
-/** Renew what stands; answer with what does not, if we own the partition and so can tell. */
+/** Renews valid grants and answers with the invalid ones. Ignores partitions of other owners. */
 static void handle_renew(hs_coordinator *coordinator, const Hs__PeerMessage *message,
                          const struct sockaddr_in *from) {
     const Hs__GrantRenew *renew = message->grant_renew;
-    g_autoptr(GPtrArray) fallen = g_ptr_array_new();
+    g_autoptr(GPtrArray) revoked_refs = g_ptr_array_new();
     g_mutex_lock(&coordinator->lock);
     for (size_t index = 0; index < renew->n_grants; index++) {
         Hs__GrantRef *ref = renew->grants[index];
@@ -309,11 +308,11 @@
                                         ? coordinator->owners[ref->partition]
                                         : NULL;
         if (owner != NULL && !hs_partition_owner_renew(owner, ref, message->sender_id))
-            g_ptr_array_add(fallen, ref);
+            g_ptr_array_add(revoked_refs, ref);
     }
     g_mutex_unlock(&coordinator->lock);
-    if (fallen->len > 0)
-        send_revocation(coordinator, fallen, from);
+    if (revoked_refs->len > 0)
+        send_revocation(coordinator, revoked_refs, from);
 }
 
 bool hs_coordinator_handle(hs_coordinator *coordinator, const Hs__PeerMessage *message,
@@ -334,8 +333,8 @@
     g_mutex_lock(&coordinator->lock);
     const hs_partition_owner *owner =
         partition < coordinator->partition_count ? coordinator->owners[partition] : NULL;
-    bool ours = owner != NULL && hs_partition_owner_is_valid(owner);
-    uint32_t epoch = ours ? hs_partition_owner_epoch(owner) : 0;
+    bool is_owner = owner != NULL && hs_partition_owner_is_valid(owner);
+    uint32_t epoch = is_owner ? hs_partition_owner_get_epoch(owner) : 0;
     g_mutex_unlock(&coordinator->lock);
     return epoch;
 }
--- a/src/batch/coordinator.h
+++ b/src/batch/coordinator.h
@@ -1,10 +1,10 @@
 /**
  * @file coordinator.h
- * Owns partitions: claims them by record, follows their streams, hands out their items.
+ * Claims and releases partitions on behalf of this daemon and answers schedulers' grant requests.
  *
- * A thread decides which partitions to claim or hand over; each owned partition has a thread that
- * follows its stream, settles grants, recovers run-once attempts whose scheduler is gone and
- * writes snapshots. Losing a claim is learned from the stream, before anything else is appended.
+ * One thread decides which partitions to claim or to hand over. Each owned partition has a thread
+ * of its own (see partition_owner.h) that reads the partition's stream and detects there that
+ * another daemon has claimed the partition.
  */
 #ifndef HS_BATCH_COORDINATOR_H
 #define HS_BATCH_COORDINATOR_H
@@ -15,36 +15,39 @@
 
 typedef struct hs_coordinator hs_coordinator;
 
-/** What the coordinator works with; all borrowed. */
+/** Collaborators of the coordinator. All are borrowed and must outlive it. */
 typedef struct {
     const hs_settings *settings;
     hs_membership_service *membership;
     hs_replica_set *replicas;
     hs_appender *appender;
     hs_item_runner *runner;
-    /** What to say of ourselves in gossip besides partitions. */
+    /** Next configuration offset, announced by gossip together with the owned partitions. */
     uint64_t (*config_offset)(void *user_data);
-    GPtrArray *(*leaving_engines)(void *user_data); /**< of char*; freed by the coordinator */
+    GPtrArray *(*leaving_engines)(void *user_data); /**< of char*; the coordinator frees it */
     void *gossip_user_data;
 } hs_coordinator_context;
 
 hs_coordinator *hs_coordinator_new(const hs_coordinator_context *context);
 void hs_coordinator_start(hs_coordinator *coordinator);
 
-/** Release every partition by record and claim no more. Blocks until the records are appended. */
+/**
+ * Waits until the coordinator has released every partition. The daemon must have announced before
+ * that it is leaving, else this function does not return.
+ */
 void hs_coordinator_release_all(hs_coordinator *coordinator);
 
 void hs_coordinator_stop(hs_coordinator *coordinator);
 void hs_coordinator_free(hs_coordinator *coordinator);
 
-/** True when the message was for the coordinator and was handled. Any thread. */
+/** Handles grant requests and renewals; returns false for other messages. Thread-safe. */
 bool hs_coordinator_handle(hs_coordinator *coordinator, const Hs__PeerMessage *message,
                            const struct sockaddr_in *from);
 
-/** Our epoch of the partition, 0 when it is not ours. Any thread. */
+/** Returns the epoch of an owned partition, or 0 if this daemon does not own it. Thread-safe. */
 uint32_t hs_coordinator_epoch(hs_coordinator *coordinator, uint32_t partition);
 
-/** Partitions owned now. */
+/** Thread-safe. */
 uint32_t hs_coordinator_owned_count(hs_coordinator *coordinator);
 
 #endif
--- a/src/batch/grant_table.c
+++ b/src/batch/grant_table.c
@@ -1,16 +1,16 @@
-/** @file grant_table.c  Handing out items; see grant_table.h. */
+/** @file grant_table.c  See grant_table.h. */
 #include "batch/grant_table.h"
 
 #include <string.h>
 
 #define BITS_PER_BYTE 8U
 
-/** What is out of one job. */
+/** Granted items of one job. */
 typedef struct {
-    uint8_t *granted; /**< One bit an item. */
-    uint32_t cursor;  /**< No item below it can be handed out. */
+    uint8_t *granted; /**< Bitmap by item. */
+    uint32_t cursor;  /**< No item below the cursor is ready. */
     uint32_t item_count;
-    uint32_t out_count;
+    uint32_t granted_count;
 } job_grants;
 
 struct hs_grant_table {
@@ -49,19 +49,19 @@
     g_free(table);
 }
 
-static bool bit_is_set(const job_grants *out, uint32_t item) {
+static bool is_item_granted(const job_grants *out, uint32_t item) {
     return (out->granted[item / BITS_PER_BYTE] >> (item % BITS_PER_BYTE)) & 1U;
 }
 
-static void set_bit(job_grants *out, uint32_t item, bool value) {
+static void set_item_granted(job_grants *out, uint32_t item, bool value) {
     uint8_t mask = (uint8_t)(1U << (item % BITS_PER_BYTE));
-    if (value == bit_is_set(out, item))
+    if (value == is_item_granted(out, item))
         return;
     out->granted[item / BITS_PER_BYTE] ^= mask;
-    out->out_count += value ? 1U : -1U;
+    out->granted_count += value ? 1U : -1U;
 }
 
-static job_grants *grants_of_job(hs_grant_table *table, const hs_job *job) {
+static job_grants *get_job_grants(hs_grant_table *table, const hs_job *job) {
     job_grants *out = g_hash_table_lookup(table->jobs, job->id);
     if (out != NULL)
         return out;
@@ -72,15 +72,14 @@
     return out;
 }
 
-/** Whether the item may be handed out now. */
-static bool item_is_ready(const hs_job *job, const job_grants *out, uint32_t item) {
-    return job->result_offsets[item] == 0 && !bit_is_set(out, item) &&
+static bool is_item_ready(const hs_job *job, const job_grants *out, uint32_t item) {
+    return job->result_offsets[item] == 0 && !is_item_granted(out, item) &&
            !g_hash_table_contains(job->intents, GUINT_TO_POINTER(item));
 }
 
-/** First item that may be handed out, or the job's item count. Moves the cursor past the done. */
+/** Advances the cursor to the first ready item. Returns that item, or the item count if none. */
 static uint32_t next_ready_item(const hs_job *job, job_grants *out) {
-    while (out->cursor < job->item_count && !item_is_ready(job, out, out->cursor))
+    while (out->cursor < job->item_count && !is_item_ready(job, out, out->cursor))
         out->cursor++;
     return out->cursor;
 }
@@ -92,9 +91,9 @@
     return false;
 }
 
-/** Items out of all of the tenant's jobs in the partition. */
-static uint32_t tenant_out_count(hs_grant_table *table, const hs_partition *partition,
-                                 const char *tenant) {
+/** Counts the granted items of all of the tenant's jobs in the partition. */
+static uint32_t count_tenant_items(hs_grant_table *table, const hs_partition *partition,
+                                   const char *tenant) {
     uint32_t count = 0;
     GHashTableIter iterator;
     gpointer key;
@@ -103,16 +102,16 @@
     while (g_hash_table_iter_next(&iterator, &key, &value)) {
         const hs_job *job = hs_partition_job(partition, key);
         if (job != NULL && strcmp(job->tenant, tenant) == 0)
-            count += ((job_grants *)value)->out_count;
+            count += ((job_grants *)value)->granted_count;
     }
     return count;
 }
 
-/** The running job to hand items of next: fair across tenants, then earliest deadline first. */
+/** Returns the running job to grant items of next, or NULL. A NULL request matches any model. */
 static hs_job *choose_job(hs_grant_table *table, const hs_partition *partition,
                           const hs_grant_request *request) {
     hs_job *best = NULL;
-    uint32_t best_out = 0;
+    uint32_t best_item_count = 0;
     GHashTableIter iterator;
     gpointer data;
     g_hash_table_iter_init(&iterator, partition->jobs);
@@ -123,37 +122,37 @@
         const hs_file *file = hs_partition_file(partition, job->file_id);
         if (request != NULL && !serves_model(request, file->model))
             continue;
-        if (next_ready_item(job, grants_of_job(table, job)) >= job->item_count)
+        if (next_ready_item(job, get_job_grants(table, job)) >= job->item_count)
             continue;
-        uint32_t out = tenant_out_count(table, partition, job->tenant);
-        bool better = best == NULL || out < best_out ||
-                      (out == best_out && job->deadline_ms < best->deadline_ms) ||
-                      (out == best_out && job->deadline_ms == best->deadline_ms &&
-                       strcmp(job->id, best->id) < 0);
-        if (!better)
+        uint32_t out = count_tenant_items(table, partition, job->tenant);
+        bool is_better = best == NULL || out < best_item_count ||
+                         (out == best_item_count && job->deadline_ms < best->deadline_ms) ||
+                         (out == best_item_count && job->deadline_ms == best->deadline_ms &&
+                          strcmp(job->id, best->id) < 0);
+        if (!is_better)
             continue;
         best = job;
-        best_out = out;
+        best_item_count = out;
     }
     return best;
 }
 
-/** Length of the run of ready items from @p first on, within its chunk and of one kind. */
-static uint32_t run_length(const hs_job *job, const hs_file *file, const job_grants *out,
-                           uint32_t first, uint32_t want) {
+/** Counts consecutive ready items from @p first on. A run-once item is always granted alone. */
+static uint32_t count_ready_run(const hs_job *job, const hs_file *file, const job_grants *out,
+                                uint32_t first, uint32_t want) {
     if (hs_file_item_is_run_once(file, first))
         return 1;
-    const hs_chunk_ref *chunk = hs_file_chunk_of(file, first);
+    const hs_chunk_ref *chunk = hs_file_find_chunk(file, first);
     uint32_t end = MIN(chunk->first_item + chunk->item_count, first + want);
     uint32_t item = first + 1;
-    while (item < end && item_is_ready(job, out, item) && !hs_file_item_is_run_once(file, item))
+    while (item < end && is_item_ready(job, out, item) && !hs_file_item_is_run_once(file, item))
         item++;
     return item - first;
 }
 
-static hs_grant *grant_run(hs_grant_table *table, const hs_partition *partition, const hs_job *job,
+static hs_grant *add_grant(hs_grant_table *table, const hs_partition *partition, const hs_job *job,
                            const hs_grant_request *request, uint32_t want, uint64_t now_ms) {
-    job_grants *out = grants_of_job(table, job);
+    job_grants *out = get_job_grants(table, job);
     const hs_file *file = hs_partition_file(partition, job->file_id);
     hs_grant *grant = g_new0(hs_grant, 1);
     grant->id = table->next_id++;
@@ -161,11 +160,11 @@
     grant->scheduler_id = g_strdup(request->scheduler_id);
     grant->scheduler_incarnation = request->incarnation;
     grant->first_item = out->cursor;
-    grant->item_count = run_length(job, file, out, out->cursor, want);
+    grant->item_count = count_ready_run(job, file, out, out->cursor, want);
     grant->run_once = hs_file_item_is_run_once(file, grant->first_item);
     grant->expires_ms = now_ms + table->lease_ms;
     for (uint32_t index = 0; index < grant->item_count; index++)
-        set_bit(out, grant->first_item + index, true);
+        set_item_granted(out, grant->first_item + index, true);
     g_hash_table_insert(table->grants, &grant->id, grant);
     return grant;
 }
@@ -173,16 +172,16 @@
 uint32_t hs_grant_table_take(hs_grant_table *table, const hs_partition *partition,
                              const hs_grant_request *request, uint32_t want, uint64_t now_ms,
                              GPtrArray *grants) {
-    uint32_t taken = 0;
-    while (taken < want) {
+    uint32_t item_count = 0;
+    while (item_count < want) {
         const hs_job *job = choose_job(table, partition, request);
         if (job == NULL)
             break;
-        hs_grant *grant = grant_run(table, partition, job, request, want - taken, now_ms);
-        taken += grant->item_count;
+        hs_grant *grant = add_grant(table, partition, job, request, want - item_count, now_ms);
+        item_count += grant->item_count;
         g_ptr_array_add(grants, grant);
     }
-    return taken;
+    return item_count;
 }
 
 bool hs_grant_table_renew(hs_grant_table *table, uint64_t grant_id, const char *scheduler_id,
@@ -194,13 +193,13 @@
     return true;
 }
 
-/** Make the grant's items without a result ready again. */
+/** Marks the grant's items as not granted. */
 static void release_items(hs_grant_table *table, const hs_grant *grant) {
     job_grants *out = g_hash_table_lookup(table->jobs, grant->job_id);
     if (out == NULL)
         return;
     for (uint32_t index = 0; index < grant->item_count; index++)
-        set_bit(out, grant->first_item + index, false);
+        set_item_granted(out, grant->first_item + index, false);
     out->cursor = MIN(out->cursor, grant->first_item);
 }
 
@@ -218,9 +217,9 @@
     while (g_hash_table_iter_next(&iterator, NULL, &data)) {
         const hs_grant *grant = data;
         const hs_job *job = hs_partition_job(partition, grant->job_id);
-        bool over = job == NULL || hs_job_state_of(job) != HS_JOB_RUNNING ||
-                    all_items_done(job, grant) || now_ms >= grant->expires_ms;
-        if (!over)
+        bool has_ended = job == NULL || hs_job_state_of(job) != HS_JOB_RUNNING ||
+                         all_items_done(job, grant) || now_ms >= grant->expires_ms;
+        if (!has_ended)
             continue;
         release_items(table, grant);
         g_hash_table_iter_remove(&iterator);
--- a/src/batch/grant_table.h
+++ b/src/batch/grant_table.h
@@ -1,11 +1,13 @@
 /**
  * @file grant_table.h
- * Which items of an owned partition are handed out to which scheduler. Pure; lives as long as one
- * ownership: it is soft state that a new owner starts anew, at the cost of running items twice.
+ * Leases the items of an owned partition to schedulers. Not thread-safe; does no I/O.
  *
- * Items go to the tenant with the fewest items out, then to the earliest deadline. A grant is a
- * run of items within one chunk. A silent scheduler's grants expire and go out again; an item
- * with an intent never does.
+ * The table is not persistent: a new owner of the partition starts with an empty table, so that
+ * items granted by the previous owner may run twice.
+ *
+ * A grant is a range of items within one chunk. The tenant with the fewest granted items is served
+ * first, then the job with the earliest deadline. Items of an expired grant are granted again,
+ * except for items with an intent, which are never granted again.
  */
 #ifndef HS_BATCH_GRANT_TABLE_H
 #define HS_BATCH_GRANT_TABLE_H
@@ -28,7 +30,7 @@
 hs_grant_table *hs_grant_table_new(uint32_t lease_ms);
 void hs_grant_table_free(hs_grant_table *table);
 
-/** Who asks for items, and which models its engines serve. */
+/** The requesting scheduler and the models that its engines serve. Strings are borrowed. */
 typedef struct {
     const char *scheduler_id;
     uint64_t incarnation;
@@ -37,31 +39,34 @@
 } hs_grant_request;
 
 /**
- * Hand out at most @p want items. @p grants: borrowed hs_grant*, appended.
- * @return items handed out.
+ * Grants at most @p want items and appends the new grants to @p grants as hs_grant* owned by the
+ * table. Returns the number of items granted.
  */
 uint32_t hs_grant_table_take(hs_grant_table *table, const hs_partition *partition,
                              const hs_grant_request *request, uint32_t want, uint64_t now_ms,
                              GPtrArray *grants);
 
-/** Keep a grant alive; false when it no longer stands. */
+/** Extends the lease of a grant; returns false if the scheduler does not hold this grant. */
 bool hs_grant_table_renew(hs_grant_table *table, uint64_t grant_id, const char *scheduler_id,
                           uint64_t now_ms);
 
-/** Drop grants whose items all have results or whose job has ended; free those that expired. */
+/** Removes expired grants and those whose items all have results or whose job is not running. */
 void hs_grant_table_settle(hs_grant_table *table, const hs_partition *partition, uint64_t now_ms);
 
-/** Take back every grant of a scheduler that died or came back under another incarnation. */
+/**
+ * Removes the scheduler's grants of incarnations other than @p live_incarnation. UINT64_MAX removes
+ * all of them.
+ */
 void hs_grant_table_drop_scheduler(hs_grant_table *table, const char *scheduler_id,
                                    uint64_t live_incarnation);
 
-/** True when some item may be handed out. */
+/** Returns whether an item can be granted. */
 bool hs_grant_table_has_ready(hs_grant_table *table, const hs_partition *partition);
 
-/** True when an unexpired grant covers the item. */
+/** Returns whether a grant in the table covers the item. */
 bool hs_grant_table_covers(const hs_grant_table *table, const char *job_id, uint32_t item);
 
-/** Grants out now. */
+/** Returns the number of grants. */
 uint32_t hs_grant_table_size(const hs_grant_table *table);
 
 #endif
--- a/src/batch/item_runner.c
+++ b/src/batch/item_runner.c
@@ -1,4 +1,4 @@
-/** @file item_runner.c  Running one batch item; see item_runner.h. */
+/** @file item_runner.c  See item_runner.h. */
 #include "batch/item_runner.h"
 
 #include "base/clock.h"
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define APPEND_PATIENCE_MS 5000
+#define APPEND_TIMEOUT_MS 5000
 #define RECORD_RETRY_MS 100
 #define RESUME_RETRY_MS 200
 #define MS_PER_S 1000
@@ -25,11 +25,11 @@
     *progress = (hs_item_progress){0};
 }
 
-/** An item on its way through the engine. */
+/** State of a run. */
 typedef struct {
     const hs_item_work *work;
-    json_t *line;            /**< The JSONL line: custom_id, url, body. */
-    hs_whole_answer *answer; /**< Of the work's progress. */
+    json_t *line;            /**< The item's input line: custom_id, url, body. */
+    hs_whole_answer *answer; /**< Owned by the work's progress. */
 } item_run;
 
 static bool collect_token(uint32_t token_index, json_t *event, void *user_data) {
@@ -40,8 +40,8 @@
     return g_atomic_int_get(run->work->revoked) == 0;
 }
 
-/** The engine's request: the line's body as a batch stream under the attempt's id. Owned (free). */
-static char *engine_body(const item_run *run) {
+/** Returns the request body for the engine: the input body as a stream. Free with free. */
+static char *build_engine_body(const item_run *run) {
     json_t *body = json_deep_copy(json_object_get(run->line, "body"));
     json_object_set_new(body, "stream", json_true());
     json_object_set_new(body, "request_id", json_string(run->work->attempt_id));
@@ -51,8 +51,9 @@
     return text;
 }
 
-/** The output line for @p body, which is taken over. Owned (free). */
-static char *output_line(const item_run *run, int status, json_t *body, const char *error_code) {
+/** Returns the line of the output file and consumes @p body. Free with free. */
+static char *build_output_line(const item_run *run, int status, json_t *body,
+                               const char *error_code) {
     json_t *error = error_code != NULL ? json_pack("{s:s}", "code", error_code) : json_null();
     json_t *line =
         json_pack("{s:s,s:O?,s:{s:i,s:s,s:o},s:o}", "id", run->work->attempt_id, "custom_id",
@@ -63,7 +64,7 @@
     return text;
 }
 
-/** Append the outcome until the log has it; false only when the process stops. */
+/** Appends the outcome, retrying until the log confirms it. Returns false if the process stops. */
 static bool record_outcome(hs_item_runner *runner, const hs_item_work *work, int status,
                            const char *line, bool indeterminate) {
     hs_item_outcome outcome = {.job_id = work->job_id,
@@ -73,14 +74,14 @@
                                .status_code = (uint32_t)status,
                                .body = line,
                                .indeterminate = indeterminate};
-    g_autoptr(GByteArray) record = hs_record_completion(&outcome, hs_clock_wall_ms());
+    g_autoptr(GByteArray) record = hs_record_pack_completion(&outcome, hs_clock_wall_ms());
     hs_replica *replica = hs_replica_set_get(runner->replicas, work->partition);
     HS_FAULT_POINT("complete_before");
     while (g_atomic_int_get(&runner->stopping) == 0) {
         uint64_t offset = 0;
         hs_error error = {0};
         if (hs_appender_append(runner->appender, hs_replica_stream(replica), record->data,
-                               record->len, APPEND_PATIENCE_MS, &offset, &error) == 0) {
+                               record->len, APPEND_TIMEOUT_MS, &offset, &error) == 0) {
             HS_FAULT_POINT("complete_after");
             hs_log_debug("item_recorded", "job=%s item=%u attempt=%s status=%d", work->job_id,
                          work->item, work->attempt_id, status);
@@ -91,12 +92,12 @@
     return false;
 }
 
-static hs_item_end record_answer(hs_item_runner *runner, item_run *run) {
+static hs_item_end record_response(hs_item_runner *runner, item_run *run) {
     const char *model =
         json_string_value(json_object_get(json_object_get(run->line, "body"), "model"));
     json_t *body = hs_whole_answer_body(run->answer, run->work->attempt_id, model,
                                         hs_clock_wall_ms() / MS_PER_S);
-    char *line = output_line(run, HTTP_OK, body, NULL);
+    char *line = build_output_line(run, HTTP_OK, body, NULL);
     bool recorded = record_outcome(runner, run->work, HTTP_OK, line, false);
     free(line);
     return recorded ? HS_ITEM_RECORDED : HS_ITEM_DROPPED;
@@ -104,49 +105,49 @@
 
 static hs_item_end record_failure(hs_item_runner *runner, item_run *run, int status,
                                   const char *code, bool indeterminate) {
-    char *line = output_line(run, status, json_null(), code);
+    char *line = build_output_line(run, status, json_null(), code);
     bool recorded = record_outcome(runner, run->work, status, line, indeterminate);
     free(line);
     return recorded ? HS_ITEM_RECORDED : HS_ITEM_DROPPED;
 }
 
-/** Whether the log shows our attempt's intent, at our engine, as the valid one. */
-static bool intent_is_ours(hs_replica *replica, const hs_item_work *work) {
+/** Whether the valid intent in the log is of this attempt and engine. */
+static bool is_intent_valid(hs_replica *replica, const hs_item_work *work) {
     hs_partition *state = hs_replica_lock(replica);
     const hs_job *job = hs_partition_job(state, work->job_id);
     const hs_intent *intent =
         job != NULL ? g_hash_table_lookup(job->intents, GUINT_TO_POINTER(work->item)) : NULL;
-    bool ours = intent != NULL && strcmp(intent->attempt_id, work->attempt_id) == 0 &&
-                strcmp(intent->engine_url, work->engine_url) == 0;
+    bool valid = intent != NULL && strcmp(intent->attempt_id, work->attempt_id) == 0 &&
+                 strcmp(intent->engine_url, work->engine_url) == 0;
     hs_replica_unlock(replica);
-    return ours;
+    return valid;
 }
 
-/** Write the intent and read it back. RECORDED here means: go on and dispatch. */
+/** Appends the intent and reads it back. Returns HS_ITEM_RECORDED if the item may be sent. */
 static hs_item_end obtain_intent(hs_item_runner *runner, const hs_item_work *work) {
     hs_replica *replica = hs_replica_set_get(runner->replicas, work->partition);
-    g_autoptr(GByteArray) record =
-        hs_record_intent(work->job_id, work->item, work->attempt_id, work->epoch, work->engine_url);
+    g_autoptr(GByteArray) record = hs_record_pack_intent(work->job_id, work->item, work->attempt_id,
+                                                         work->epoch, work->engine_url);
     uint64_t offset = 0;
     hs_error error = {0};
     HS_FAULT_POINT("intent_before");
     int appended = hs_appender_append(runner->appender, hs_replica_stream(replica), record->data,
-                                      record->len, APPEND_PATIENCE_MS, &offset, &error);
+                                      record->len, APPEND_TIMEOUT_MS, &offset, &error);
     HS_FAULT_POINT("intent_after");
-    /* Whatever the append's answer was, only the log tells whether the intent stands. */
+    /* A failed append may still have reached the log, so the result is ignored until read back. */
     if (hs_replica_refresh(replica, &error) != 0)
-        return HS_ITEM_MOVE;
-    if (intent_is_ours(replica, work))
+        return HS_ITEM_OTHER_ENGINE;
+    if (is_intent_valid(replica, work))
         return HS_ITEM_RECORDED;
-    return appended == 0 ? HS_ITEM_DROPPED : HS_ITEM_MOVE;
+    return appended == 0 ? HS_ITEM_DROPPED : HS_ITEM_OTHER_ENGINE;
 }
 
-/** Resume a cut run-once attempt at its engine until its outcome is known or time is up. */
+/** Retries to resume an interrupted run until the outcome is known or the recovery time is over. */
 static hs_run_result resume_until_known(hs_item_runner *runner, item_run *run,
                                         const hs_engine_call *call, hs_run_result result) {
-    uint64_t give_up_ms = hs_clock_monotonic_ms() + runner->run_once_recovery_ms;
+    uint64_t recovery_end_ms = hs_clock_monotonic_ms() + runner->run_once_recovery_ms;
     while (result.end == HS_RUN_CUT && g_atomic_int_get(&runner->stopping) == 0 &&
-           hs_clock_monotonic_ms() < give_up_ms) {
+           hs_clock_monotonic_ms() < recovery_end_ms) {
         hs_clock_sleep_ms(RESUME_RETRY_MS);
         result = hs_engine_resume(call, result.next_token, collect_token, run);
     }
@@ -156,17 +157,17 @@
 static hs_item_end finish_run_once(hs_item_runner *runner, item_run *run,
                                    const hs_engine_call *call, hs_run_result result) {
     if (result.end == HS_RUN_REFUSED)
-        return HS_ITEM_MOVE;
+        return HS_ITEM_OTHER_ENGINE;
     if (result.end == HS_RUN_INVALID)
         return record_failure(runner, run, HTTP_BAD_REQUEST, "invalid_request", false);
     result = resume_until_known(runner, run, call, result);
     if (result.end == HS_RUN_WHOLE)
-        return record_answer(runner, run);
+        return record_response(runner, run);
     return record_failure(runner, run, HTTP_BAD_GATEWAY, "indeterminate", true);
 }
 
-/** Go on where the item stopped, if this engine has its tokens; else begin. */
-static hs_run_result start_or_continue(item_run *run, const hs_engine_call *call) {
+/** Resumes a preempted item if this engine ran the item before, else starts a new run. */
+static hs_run_result start_or_resume(item_run *run, const hs_engine_call *call) {
     hs_item_progress *progress = run->work->progress;
     bool resumable = progress->resumable && strcmp(progress->engine_url, call->engine_url) == 0;
     progress->resumable = false;
@@ -178,8 +179,8 @@
     return hs_engine_run(call, collect_token, run);
 }
 
-/** Keep the tokens of an item that stepped aside. */
-static void keep_progress(const item_run *run, const hs_run_result *result) {
+/** Stores where a preempted item stopped. */
+static void save_progress(const item_run *run, const hs_run_result *result) {
     hs_item_progress *progress = run->work->progress;
     progress->resumable = true;
     progress->next_token = result->next_token;
@@ -191,11 +192,11 @@
     if (result.end == HS_RUN_CUT && result.next_token > 0)
         result = hs_engine_resume(call, result.next_token, collect_token, run);
     if (result.end == HS_RUN_WHOLE)
-        return record_answer(runner, run);
+        return record_response(runner, run);
     if (result.end == HS_RUN_INVALID)
         return record_failure(runner, run, HTTP_BAD_REQUEST, "invalid_request", false);
     if (result.end == HS_RUN_CANCELLED)
-        keep_progress(run, &result);
+        save_progress(run, &result);
     if (result.end == HS_RUN_ABORTED) {
         hs_engine_cancel(call->engine_url, call->request_id);
         return HS_ITEM_DROPPED;
@@ -206,14 +207,14 @@
 static hs_item_end run_on_engine(hs_item_runner *runner, item_run *run,
                                  void (*on_engine_free)(void *), void *user_data) {
     const hs_item_work *work = run->work;
-    char *body = engine_body(run);
+    char *body = build_engine_body(run);
     hs_engine_call call = {.engine_url = work->engine_url,
                            .path = work->endpoint,
                            .request_id = work->attempt_id,
                            .body = body,
                            .timeout_s = runner->item_timeout_s};
     HS_FAULT_POINT("dispatch");
-    hs_run_result result = start_or_continue(run, &call);
+    hs_run_result result = start_or_resume(run, &call);
     on_engine_free(user_data);
     hs_item_end end = work->run_once ? finish_run_once(runner, run, &call, result)
                                      : finish_ordinary(runner, run, &call, result);
@@ -221,12 +222,12 @@
     return end;
 }
 
-static bool item_run_open(hs_item_runner *runner, const hs_item_work *work, item_run *run) {
+static bool open_item_run(hs_item_runner *runner, const hs_item_work *work, item_run *run) {
     hs_replica *replica = hs_replica_set_get(runner->replicas, work->partition);
     hs_error error = {0};
     *run = (item_run){.work = work};
-    run->line = hs_chunk_reader_item(runner->chunks, hs_replica_stream(replica), work->chunk_offset,
-                                     work->index_in_chunk, &error);
+    run->line = hs_chunk_reader_read_item(runner->chunks, hs_replica_stream(replica),
+                                          work->chunk_offset, work->index_in_chunk, &error);
     if (run->line == NULL)
         return false;
     hs_item_progress *progress = work->progress;
@@ -238,14 +239,14 @@
     return true;
 }
 
-static void item_run_close(item_run *run) {
+static void close_item_run(item_run *run) {
     json_decref(run->line);
 }
 
 hs_item_end hs_item_run(hs_item_runner *runner, const hs_item_work *work,
                         void (*on_engine_free)(void *user_data), void *user_data) {
     item_run run;
-    if (!item_run_open(runner, work, &run)) {
+    if (!open_item_run(runner, work, &run)) {
         on_engine_free(user_data);
         return HS_ITEM_AGAIN;
     }
@@ -254,13 +255,13 @@
         end = run_on_engine(runner, &run, on_engine_free, user_data);
     else
         on_engine_free(user_data);
-    item_run_close(&run);
+    close_item_run(&run);
     return end;
 }
 
 bool hs_item_recover(hs_item_runner *runner, const hs_item_work *work, bool may_be_lost) {
     item_run run;
-    if (!item_run_open(runner, work, &run))
+    if (!open_item_run(runner, work, &run))
         return false;
     hs_engine_call call = {.engine_url = work->engine_url,
                            .path = work->endpoint,
@@ -269,9 +270,9 @@
     hs_run_result result = hs_engine_resume(&call, 0, collect_token, &run);
     hs_item_end end = HS_ITEM_AGAIN;
     if (result.end == HS_RUN_WHOLE)
-        end = record_answer(runner, &run);
+        end = record_response(runner, &run);
     else if (may_be_lost || result.end == HS_RUN_CANCELLED)
         end = record_failure(runner, &run, HTTP_BAD_GATEWAY, "indeterminate", true);
-    item_run_close(&run);
+    close_item_run(&run);
     return end == HS_ITEM_RECORDED;
 }
--- a/src/batch/item_runner.h
+++ b/src/batch/item_runner.h
@@ -1,11 +1,12 @@
 /**
  * @file item_runner.h
- * Runs one batch item on one engine and records its result. Blocks; runs on a worker thread.
+ * Runs a batch item on an engine and records the result in the log. The functions block and may be
+ * called by several threads at once.
  *
- * An ordinary item may run again after a failure: only its result is single. A run-once item is
- * dispatched only after its intent was read back from the log as the valid one, and never again
- * once a byte may have reached an engine; its outcome is then recovered by resuming the attempt,
- * or recorded as indeterminate.
+ * An ordinary item may run several times, but only one result counts. A run-once item is sent only
+ * after its intent has been read back from the log as the valid one, and is not sent again once an
+ * engine may have received the request. The outcome is then recovered by resuming the attempt, or
+ * recorded as indeterminate.
  */
 #ifndef HS_BATCH_ITEM_RUNNER_H
 #define HS_BATCH_ITEM_RUNNER_H
@@ -15,31 +16,32 @@
 #include "engine/whole_answer.h"
 #include "store/appender.h"
 
+/** Priority of batch items in requests to engines. */
 #define HS_BATCH_PRIORITY 10
 
-/** What the runner works with; borrowed for its lifetime. */
+/** Context of the runner. All pointers are borrowed and must outlive it. */
 typedef struct {
     hs_appender *appender;
     hs_replica_set *replicas;
     hs_chunk_reader *chunks;
     uint32_t run_once_recovery_ms;
     uint32_t item_timeout_s; /**< Limit of one exchange with an engine. */
-    gint stopping;           /**< Not 0: give up waiting, the process ends. */
+    gint stopping; /**< Atomic. Not 0 if the process stops: waiting ends without a result. */
 } hs_item_runner;
 
-/** Tokens of an item that stepped aside, so that its engine can go on where it stopped. */
+/** Tokens received of a preempted item, so that the run can be resumed on the same engine. */
 typedef struct {
-    bool started; /**< The answer is initialised. */
-    bool resumable;
+    bool started;   /**< @c answer is initialised. */
+    bool resumable; /**< The item was preempted at @c next_token on @c engine_url. */
     char engine_url[64];
     uint32_t next_token;
     hs_whole_answer answer;
 } hs_item_progress;
 
-/** Free what the progress holds. */
+/** Frees the content and resets the progress. */
 void hs_item_progress_clear(hs_item_progress *progress);
 
-/** One item to run, and where. */
+/** An attempt to run an item on an engine. Strings are borrowed. */
 typedef struct {
     uint32_t partition;
     uint32_t epoch;
@@ -51,29 +53,29 @@
     bool run_once;
     const char *attempt_id;
     const char *engine_url;
-    const gint *revoked;        /**< Not 0: the grant no longer stands. */
-    hs_item_progress *progress; /**< In and out; kept by the caller between runs. */
+    const gint *revoked;        /**< Atomic. Not 0 if the grant was revoked. */
+    hs_item_progress *progress; /**< In and out; owned by the caller, passed to the next run. */
 } hs_item_work;
 
 typedef enum {
-    HS_ITEM_RECORDED, /**< Its result is in the log (or somebody else's was first). */
-    HS_ITEM_AGAIN,    /**< To be run again, under a new attempt. */
-    HS_ITEM_MOVE,     /**< Run-once, refused as not run: the same attempt goes elsewhere. */
-    HS_ITEM_DROPPED,  /**< Not ours to run. */
+    HS_ITEM_RECORDED,     /**< The item has a result in the log. */
+    HS_ITEM_AGAIN,        /**< Run the item again, with a new attempt. */
+    HS_ITEM_OTHER_ENGINE, /**< Run-once item not sent or refused: retry the attempt elsewhere. */
+    HS_ITEM_DROPPED, /**< Grant revoked, another intent valid or process stopping: do not retry. */
 } hs_item_end;
 
 /**
- * Run the item. @p on_engine_free runs once the engine no longer works on it, before the result
- * is recorded.
+ * Runs the item. Calls @p on_engine_free exactly once, before the result is recorded, when the
+ * engine's slot can be reused.
  */
 hs_item_end hs_item_run(hs_item_runner *runner, const hs_item_work *work,
                         void (*on_engine_free)(void *user_data), void *user_data);
 
 /**
- * Find out how a run-once attempt ended, by resuming it at its engine, and record it. Used by a
- * partition's owner for attempts whose scheduler is gone. @p may_be_lost: its engine was silent
- * for too long, so that an unknown outcome is recorded as indeterminate.
- * @return true when a result was recorded.
+ * Resumes a run-once attempt at its engine and records the outcome. A partition's owner calls this
+ * function for attempts without a live scheduler. Records an unknown outcome as indeterminate if
+ * @p may_be_lost is set or the run was cancelled, else leaves the attempt open. Returns whether an
+ * outcome was recorded.
  */
 bool hs_item_recover(hs_item_runner *runner, const hs_item_work *work, bool may_be_lost);
 
--- a/src/batch/job_json.h
+++ b/src/batch/job_json.h
@@ -1,4 +1,4 @@
-/** @file job_json.h  A job in the form of the batches API. Pure. */
+/** @file job_json.h  JSON representation of a job in the batches API. Pure function. */
 #ifndef HS_BATCH_JOB_JSON_H
 #define HS_BATCH_JOB_JSON_H
 
@@ -6,7 +6,7 @@
 
 #include <jansson.h>
 
-/** The caller owns it. */
+/** Returns the batch object of the job. The caller owns the reference. */
 json_t *hs_job_json(const hs_job *job);
 
 #endif
--- a/src/batch/jsonl.h
+++ b/src/batch/jsonl.h
@@ -1,6 +1,6 @@
 /**
  * @file jsonl.h
- * Checking of an uploaded JSONL file and its cutting into chunks. Pure.
+ * Validates an uploaded JSONL file and splits the file into chunks. Does no I/O.
  */
 #ifndef HS_BATCH_JSONL_H
 #define HS_BATCH_JSONL_H
@@ -12,33 +12,34 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/** Limits and rules for a file. */
 typedef struct {
     size_t max_line_bytes;
     uint32_t max_items;
     uint32_t chunk_items;
     size_t chunk_bytes;
-    /** Rules of a line's body; returns 0 when it keeps them. */
+    /** Validates a line's body; returns 0 if valid, else sets the error. */
     int (*check_body)(const json_t *body, const char *url, void *user_data, hs_error *error);
     void *user_data;
 } hs_jsonl_rules;
 
-/** A run of lines; @c begin points into the checked text. */
+/** A range of consecutive lines. */
 typedef struct {
-    size_t begin;
-    size_t length;
+    size_t begin;  /**< Offset in the file, in bytes. */
+    size_t length; /**< In bytes, with the newline of the last line. */
     uint32_t first_item;
     uint32_t item_count;
-    GArray *run_once_items; /**< of uint32_t */
+    GArray *run_once_items; /**< of uint32_t: indexes in the file */
 } hs_jsonl_chunk;
 
 typedef struct {
     GArray *chunks; /**< of hs_jsonl_chunk */
     uint32_t item_count;
-    char *model;
-    char *endpoint;
+    char *model;    /**< The same in every line. */
+    char *endpoint; /**< The same in every line. */
 } hs_jsonl_file;
 
-/** Check the whole text; the error names the line. Clear @p file in any case. */
+/** Validates the whole text. An error contains the line number. Clear @p file in any case. */
 int hs_jsonl_read(const char *text, size_t length, const hs_jsonl_rules *rules, hs_jsonl_file *file,
                   hs_error *error);
 
--- a/src/batch/partition_owner.c
+++ b/src/batch/partition_owner.c
@@ -1,4 +1,4 @@
-/** @file partition_owner.c  Following an owned partition; see partition_owner.h. */
+/** @file partition_owner.c  See partition_owner.h. */
 #include "batch/partition_owner.h"
 
 #include "base/clock.h"
@@ -8,9 +8,9 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-#define BUSY_WAIT_MS 200   /* While jobs run, grants expire and attempts are recovered. */
-#define QUIET_WAIT_MS 5000 /* Else only a record can change anything, and ends the wait. */
-#define FAILED_READ_MS 100
+#define ACTIVE_READ_WAIT_MS 200 /* With open jobs: grants expire, attempts need recovery. */
+#define IDLE_READ_WAIT_MS 5000  /* Without open jobs: a new record ends the wait. */
+#define READ_RETRY_MS 100
 #define RECOVERY_INTERVAL_MS 500
 #define MAX_GRANTS_IN_REPLY 32
 
@@ -20,16 +20,16 @@
     uint32_t partition;
     uint32_t epoch;
     hs_grant_table *grants; /**< Guarded by the replica's lock. */
-    GHashTable *orphans;    /**< attempt id -> ms since when it has no scheduler; thread only */
+    GHashTable *orphans;    /**< attempt id -> time first seen without a scheduler; thread only */
     uint64_t next_recovery_ms;
-    uint32_t wait_ms; /**< Of the next read of the stream; of the thread alone. */
+    uint32_t wait_ms; /**< Maximum wait of the next read of the stream; thread only */
     gint valid;
     gint has_ready;
     gint stopping;
     GThread *thread;
 };
 
-/** A run-once attempt without a scheduler, as values. */
+/** A run-once attempt without a scheduler. Owns copies of the strings. */
 typedef struct {
     char *job_id;
     char *endpoint;
@@ -49,13 +49,13 @@
     g_free(orphan);
 }
 
-/** Learn from the stream whether we still own it. The caller holds the replica's lock. */
-static bool still_owns(const hs_partition_owner *owner, const hs_partition *state) {
+/** Whether the stream records this daemon as the owner. The caller holds the replica's lock. */
+static bool is_still_owner(const hs_partition_owner *owner, const hs_partition *state) {
     return state->epoch == owner->epoch && state->owner_id != NULL && !state->owner_released &&
            strcmp(state->owner_id, owner->context->settings->daemon_id) == 0;
 }
 
-/** Drop the grants of schedulers that died or came back as another incarnation. */
+/** Removes the grants of schedulers that are dead or have restarted. */
 static void drop_dead_schedulers(hs_partition_owner *owner) {
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     hs_membership *membership = hs_membership_service_lock(owner->context->membership);
@@ -81,18 +81,18 @@
     return false;
 }
 
-static void settle(hs_partition_owner *owner) {
+static void update_grants(hs_partition_owner *owner) {
     hs_partition *state = hs_replica_lock(owner->replica);
-    if (!still_owns(owner, state))
+    if (!is_still_owner(owner, state))
         g_atomic_int_set(&owner->valid, 0);
     hs_grant_table_settle(owner->grants, state, hs_clock_monotonic_ms());
     drop_dead_schedulers(owner);
     g_atomic_int_set(&owner->has_ready, hs_grant_table_has_ready(owner->grants, state));
-    owner->wait_ms = has_open_jobs(state) ? BUSY_WAIT_MS : QUIET_WAIT_MS;
+    owner->wait_ms = has_open_jobs(state) ? ACTIVE_READ_WAIT_MS : IDLE_READ_WAIT_MS;
     hs_replica_unlock(owner->replica);
 }
 
-/** Run-once attempts with an intent, no result and no standing grant. */
+/** Returns the run-once attempts with an intent but neither a result nor a grant. */
 static GPtrArray *find_orphans(hs_partition_owner *owner) {
     GPtrArray *orphans = g_ptr_array_new_with_free_func(free_orphan);
     hs_partition *state = hs_replica_lock(owner->replica);
@@ -109,7 +109,7 @@
             const hs_intent *intent = value;
             if (hs_grant_table_covers(owner->grants, job->id, intent->item))
                 continue;
-            const hs_chunk_ref *chunk = hs_file_chunk_of(file, intent->item);
+            const hs_chunk_ref *chunk = hs_file_find_chunk(file, intent->item);
             orphan_attempt *orphan = g_new0(orphan_attempt, 1);
             orphan->job_id = g_strdup(job->id);
             orphan->endpoint = g_strdup(job->endpoint);
@@ -125,9 +125,9 @@
     return orphans;
 }
 
-/** Since when the attempt is an orphan. */
-static uint64_t orphan_since_ms(hs_partition_owner *owner, const char *attempt_id,
-                                uint64_t now_ms) {
+/** Returns when the attempt was first seen without a scheduler. */
+static uint64_t get_orphaned_since_ms(hs_partition_owner *owner, const char *attempt_id,
+                                      uint64_t now_ms) {
     uint64_t *since = g_hash_table_lookup(owner->orphans, attempt_id);
     if (since == NULL) {
         since = g_new(uint64_t, 1);
@@ -146,7 +146,7 @@
     g_autoptr(GPtrArray) orphans = find_orphans(owner);
     for (guint index = 0; index < orphans->len; index++) {
         const orphan_attempt *orphan = orphans->pdata[index];
-        uint64_t waited_ms = now_ms - orphan_since_ms(owner, orphan->attempt_id, now_ms);
+        uint64_t waited_ms = now_ms - get_orphaned_since_ms(owner, orphan->attempt_id, now_ms);
         hs_item_progress progress = {0};
         hs_item_work work = {.partition = owner->partition,
                              .epoch = owner->epoch,
@@ -173,9 +173,9 @@
     while (g_atomic_int_get(&owner->stopping) == 0 && hs_partition_owner_is_valid(owner)) {
         hs_error error = {0};
         uint32_t applied = 0;
-        if (hs_replica_follow(owner->replica, owner->wait_ms, &applied, &error) != 0)
-            hs_clock_sleep_ms(FAILED_READ_MS);
-        settle(owner);
+        if (hs_replica_poll(owner->replica, owner->wait_ms, &applied, &error) != 0)
+            hs_clock_sleep_ms(READ_RETRY_MS);
+        update_grants(owner);
         if (!hs_partition_owner_is_valid(owner))
             break;
         recover_orphans(owner);
@@ -195,12 +195,12 @@
     owner->grants = hs_grant_table_new((uint32_t)context->settings->grant_lease_ms);
     owner->orphans = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     owner->valid = 1;
-    owner->wait_ms = BUSY_WAIT_MS;
+    owner->wait_ms = ACTIVE_READ_WAIT_MS;
     owner->thread = g_thread_new("partition-owner", follow_partition, owner);
     return owner;
 }
 
-void hs_partition_owner_close(hs_partition_owner *owner) {
+void hs_partition_owner_stop_granting(hs_partition_owner *owner) {
     g_atomic_int_set(&owner->valid, 0);
 }
 
@@ -212,7 +212,7 @@
     g_free(owner);
 }
 
-uint32_t hs_partition_owner_epoch(const hs_partition_owner *owner) {
+uint32_t hs_partition_owner_get_epoch(const hs_partition_owner *owner) {
     return owner->epoch;
 }
 
@@ -220,16 +220,16 @@
     return g_atomic_int_get(&owner->valid) != 0;
 }
 
-bool hs_partition_owner_has_ready(const hs_partition_owner *owner) {
+bool hs_partition_owner_has_ready_items(const hs_partition_owner *owner) {
     return g_atomic_int_get(&owner->has_ready) != 0;
 }
 
-/** The grant as a message that borrows the state's strings. */
-static Hs__Grant describe_grant(const hs_partition_owner *owner, const hs_partition *state,
-                                const hs_grant *grant) {
+/** Returns a message that borrows the strings of @p state. */
+static Hs__Grant build_grant_message(const hs_partition_owner *owner, const hs_partition *state,
+                                     const hs_grant *grant) {
     const hs_job *job = hs_partition_job(state, grant->job_id);
     const hs_file *file = hs_partition_file(state, job->file_id);
-    const hs_chunk_ref *chunk = hs_file_chunk_of(file, grant->first_item);
+    const hs_chunk_ref *chunk = hs_file_find_chunk(file, grant->first_item);
     Hs__Grant message = HS__GRANT__INIT;
     message.partition = owner->partition;
     message.epoch = owner->epoch;
@@ -253,7 +253,7 @@
     Hs__Grant *pointers[MAX_GRANTS_IN_REPLY];
     guint count = MIN(grants->len, MAX_GRANTS_IN_REPLY);
     for (guint index = 0; index < count; index++) {
-        messages[index] = describe_grant(owner, state, grants->pdata[index]);
+        messages[index] = build_grant_message(owner, state, grants->pdata[index]);
         pointers[index] = &messages[index];
     }
     Hs__GrantReply reply = HS__GRANT_REPLY__INIT;
@@ -267,8 +267,8 @@
     hs_membership_service_reply(owner->context->membership, to, &message);
 }
 
-void hs_partition_owner_pull(hs_partition_owner *owner, const Hs__PeerMessage *message,
-                             const struct sockaddr_in *from) {
+void hs_partition_owner_handle_pull(hs_partition_owner *owner, const Hs__PeerMessage *message,
+                                    const struct sockaddr_in *from) {
     const Hs__PullRequest *pull = message->pull_request;
     hs_grant_request request = {.scheduler_id = message->sender_id,
                                 .incarnation = message->sender_incarnation,
@@ -276,7 +276,7 @@
                                 .model_count = pull->n_models};
     g_autoptr(GPtrArray) grants = g_ptr_array_new();
     hs_partition *state = hs_replica_lock(owner->replica);
-    if (hs_partition_owner_is_valid(owner) && still_owns(owner, state)) {
+    if (hs_partition_owner_is_valid(owner) && is_still_owner(owner, state)) {
         uint32_t want = MIN(pull->want, MAX_GRANTS_IN_REPLY);
         hs_grant_table_take(owner->grants, state, &request, want, hs_clock_monotonic_ms(), grants);
         send_grants(owner, state, grants, pull->sequence, from);
@@ -288,9 +288,9 @@
 bool hs_partition_owner_renew(hs_partition_owner *owner, const Hs__GrantRef *ref,
                               const char *scheduler_id) {
     hs_replica_lock(owner->replica);
-    bool stands =
+    bool is_renewed =
         ref->epoch == owner->epoch &&
         hs_grant_table_renew(owner->grants, ref->grant_id, scheduler_id, hs_clock_monotonic_ms());
     hs_replica_unlock(owner->replica);
-    return stands;
+    return is_renewed;
 }
--- a/src/batch/partition_owner.h
+++ b/src/batch/partition_owner.h
@@ -1,6 +1,8 @@
 /**
  * @file partition_owner.h
- * One owned partition: its grants, and the thread that follows its stream.
+ * A partition owned by this daemon: the grants of items and a thread that reads the partition's
+ * stream, removes ended grants, recovers run-once attempts without a scheduler and writes
+ * snapshots. The functions are thread-safe, but for hs_partition_owner_stop().
  */
 #ifndef HS_BATCH_PARTITION_OWNER_H
 #define HS_BATCH_PARTITION_OWNER_H
@@ -10,28 +12,29 @@
 
 typedef struct hs_partition_owner hs_partition_owner;
 
-/** Start following @p partition under @p epoch. @p context is borrowed. */
+/** Starts the thread for @p partition in @p epoch. @p context is borrowed. */
 hs_partition_owner *hs_partition_owner_start(const hs_coordinator_context *context,
                                              uint32_t partition, uint32_t epoch);
 
-/** Grant nothing more; a record that follows ends the thread's wait. */
-void hs_partition_owner_close(hs_partition_owner *owner);
+/** Stops granting items. The thread ends after the current read of the stream. */
+void hs_partition_owner_stop_granting(hs_partition_owner *owner);
 
-/** Stop the thread and free; waits for its read of the stream to end. */
+/** Joins the thread, which may wait for the current read of the stream, and frees the owner. */
 void hs_partition_owner_stop(hs_partition_owner *owner);
 
-uint32_t hs_partition_owner_epoch(const hs_partition_owner *owner);
+uint32_t hs_partition_owner_get_epoch(const hs_partition_owner *owner);
 
-/** False once another's claim was read. */
+/** Returns false after a later claim or a release was read, or granting was stopped. */
 bool hs_partition_owner_is_valid(const hs_partition_owner *owner);
 
-bool hs_partition_owner_has_ready(const hs_partition_owner *owner);
+/** Returns whether an item can be granted, as of the last update. */
+bool hs_partition_owner_has_ready_items(const hs_partition_owner *owner);
 
-/** Hand out items to a scheduler and send it the grants. */
-void hs_partition_owner_pull(hs_partition_owner *owner, const Hs__PeerMessage *message,
-                             const struct sockaddr_in *from);
+/** Grants items to the requesting scheduler and sends the reply to @p from. */
+void hs_partition_owner_handle_pull(hs_partition_owner *owner, const Hs__PeerMessage *message,
+                                    const struct sockaddr_in *from);
 
-/** Keep a grant alive; false when it no longer stands. */
+/** Extends the lease of a grant; returns false if the grant is not valid. */
 bool hs_partition_owner_renew(hs_partition_owner *owner, const Hs__GrantRef *ref,
                               const char *scheduler_id);
 
--- a/src/batch/partition_record.c
+++ b/src/batch/partition_record.c
@@ -10,7 +10,7 @@
     return bytes;
 }
 
-GByteArray *hs_record_claim(uint32_t epoch, const char *daemon_id, uint64_t incarnation) {
+GByteArray *hs_record_pack_claim(uint32_t epoch, const char *daemon_id, uint64_t incarnation) {
     Hs__OwnerClaim claim = HS__OWNER_CLAIM__INIT;
     claim.epoch = epoch;
     claim.daemon_id = (char *)daemon_id;
@@ -21,7 +21,7 @@
     return hs_record_pack(&record);
 }
 
-GByteArray *hs_record_release(uint32_t epoch, const char *daemon_id) {
+GByteArray *hs_record_pack_release(uint32_t epoch, const char *daemon_id) {
     Hs__OwnerRelease release = HS__OWNER_RELEASE__INIT;
     release.epoch = epoch;
     release.daemon_id = (char *)daemon_id;
@@ -41,8 +41,8 @@
     return hs_record_pack(&record);
 }
 
-GByteArray *hs_record_intent(const char *job_id, uint32_t item, const char *attempt_id,
-                             uint32_t epoch, const char *engine_url) {
+GByteArray *hs_record_pack_intent(const char *job_id, uint32_t item, const char *attempt_id,
+                                  uint32_t epoch, const char *engine_url) {
     Hs__ItemIntent intent = HS__ITEM_INTENT__INIT;
     intent.job_id = (char *)job_id;
     intent.item = item;
@@ -78,7 +78,7 @@
     return hs_record_pack(&record);
 }
 
-GByteArray *hs_record_completion(const hs_item_outcome *outcome, uint64_t recorded_ms) {
+GByteArray *hs_record_pack_completion(const hs_item_outcome *outcome, uint64_t recorded_ms) {
     Hs__ItemResult result = HS__ITEM_RESULT__INIT;
     result.item = outcome->item;
     result.attempt_id = (char *)outcome->attempt_id;
--- a/src/batch/partition_state.c
+++ b/src/batch/partition_state.c
@@ -1,4 +1,4 @@
-/** @file partition_state.c  The partition fold; see partition_state.h for the rules. */
+/** @file partition_state.c  See partition_state.h. */
 #include "batch/partition_state.h"
 
 #include <string.h>
@@ -42,9 +42,9 @@
     g_free(intent);
 }
 
-hs_partition *hs_partition_new(uint64_t window_ms) {
+hs_partition *hs_partition_new(uint64_t ended_retention_ms) {
     hs_partition *partition = g_new0(hs_partition, 1);
-    partition->window_ms = window_ms;
+    partition->ended_retention_ms = ended_retention_ms;
     partition->files = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_file);
     partition->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_job);
     partition->online_intents =
@@ -106,7 +106,7 @@
     return false;
 }
 
-const hs_chunk_ref *hs_file_chunk_of(const hs_file *file, uint32_t item) {
+const hs_chunk_ref *hs_file_find_chunk(const hs_file *file, uint32_t item) {
     guint low = 0;
     guint high = file->chunks->len;
     while (high - low > 1) {
@@ -205,7 +205,7 @@
     return (first > second) - (first < second);
 }
 
-static bool chunks_are_whole(const hs_file *file, const Hs__FileSealed *seal) {
+static bool are_chunks_complete(const hs_file *file, const Hs__FileSealed *seal) {
     if (file->chunks->len != seal->chunk_count)
         return false;
     uint32_t next_item = 0;
@@ -225,7 +225,7 @@
         return HS_FOLD_INVALID;
     if (file->sealed)
         return HS_FOLD_REPEATED;
-    if (!chunks_are_whole(file, seal))
+    if (!are_chunks_complete(file, seal))
         return HS_FOLD_INVALID;
     file->tenant = g_strdup(seal->tenant);
     file->filename = g_strdup(seal->filename);
@@ -239,16 +239,17 @@
     return HS_FOLD_APPLIED;
 }
 
-static bool job_is_forgotten(const hs_partition *partition, const hs_job *job) {
+static bool is_job_expired(const hs_partition *partition, const hs_job *job) {
     return job->finished_ms > 0 &&
-           job->finished_ms + partition->window_ms < partition->stream_time_ms;
+           job->finished_ms + partition->ended_retention_ms < partition->stream_time_ms;
 }
 
-static gboolean file_is_unused(gpointer key, gpointer value, gpointer user_data) {
+static gboolean is_file_expired(gpointer key, gpointer value, gpointer user_data) {
     (void)key;
     const hs_file *file = value;
     const hs_partition *partition = user_data;
-    if (!file->sealed || file->created_ms + partition->window_ms >= partition->stream_time_ms)
+    if (!file->sealed ||
+        file->created_ms + partition->ended_retention_ms >= partition->stream_time_ms)
         return FALSE;
     GHashTableIter iterator;
     gpointer job;
@@ -259,23 +260,23 @@
     return TRUE;
 }
 
-static gboolean online_intent_is_old(gpointer key, gpointer value, gpointer user_data) {
+static gboolean is_online_intent_expired(gpointer key, gpointer value, gpointer user_data) {
     (void)key;
     const hs_partition *partition = user_data;
-    return ((hs_online_intent *)value)->created_ms + partition->window_ms <
+    return ((hs_online_intent *)value)->created_ms + partition->ended_retention_ms <
            partition->stream_time_ms;
 }
 
-/** Forget jobs and files past the window; by stream time, so that all readers forget alike. */
-static void forget_old(hs_partition *partition) {
+/** Removes entries past the retention by stream time, so that all readers remove the same ones. */
+static void remove_expired_entries(hs_partition *partition) {
     GHashTableIter iterator;
     gpointer job;
     g_hash_table_iter_init(&iterator, partition->jobs);
     while (g_hash_table_iter_next(&iterator, NULL, &job))
-        if (job_is_forgotten(partition, job))
+        if (is_job_expired(partition, job))
             g_hash_table_iter_remove(&iterator);
-    g_hash_table_foreach_remove(partition->files, file_is_unused, partition);
-    g_hash_table_foreach_remove(partition->online_intents, online_intent_is_old, partition);
+    g_hash_table_foreach_remove(partition->files, is_file_expired, partition);
+    g_hash_table_foreach_remove(partition->online_intents, is_online_intent_expired, partition);
 }
 
 static hs_fold_outcome apply_submission(hs_partition *partition,
@@ -294,11 +295,11 @@
     job->metadata_json = g_strdup(submitted->metadata_json);
     job->created_ms = submitted->created_ms;
     job->deadline_ms = submitted->deadline_ms;
-    forget_old(partition);
+    remove_expired_entries(partition);
     return HS_FOLD_APPLIED;
 }
 
-static void note_if_finished(hs_partition *partition, hs_job *job) {
+static void set_finished_time(hs_partition *partition, hs_job *job) {
     hs_job_state state = hs_job_state_of(job);
     if (state == HS_JOB_COMPLETED || state == HS_JOB_CANCELLED)
         job->finished_ms = MAX(partition->stream_time_ms, 1);
@@ -314,7 +315,7 @@
         return HS_FOLD_REPEATED;
     job->cancelled = true;
     job->cancelled_ms = cancelled->requested_ms;
-    note_if_finished(partition, job);
+    set_finished_time(partition, job);
     return HS_FOLD_APPLIED;
 }
 
@@ -335,14 +336,13 @@
         return HS_FOLD_REPEATED;
     if (same_attempt && strcmp(present->engine_url, intent->engine_url) == 0)
         return HS_FOLD_REPEATED;
-    /* The same attempt may move to another engine after the first refused it as not run. */
+    /* The same attempt may use another engine after the first engine refused the request. */
     hs_job_add_intent(job, intent);
     return HS_FOLD_APPLIED;
 }
 
-/** Whether @p result is the one that counts for its item. */
-static bool result_counts(const hs_partition *partition, const hs_job *job, const hs_file *file,
-                          uint32_t epoch, const Hs__ItemResult *result) {
+static bool is_result_valid(const hs_partition *partition, const hs_job *job, const hs_file *file,
+                            uint32_t epoch, const Hs__ItemResult *result) {
     if (result->item >= job->item_count || job->result_offsets[result->item] != 0)
         return false;
     if (!hs_file_item_is_run_once(file, result->item))
@@ -353,7 +353,7 @@
     return !result->indeterminate || epoch == partition->epoch;
 }
 
-#define FIRST_FAILED_STATUS 400
+#define MIN_FAILED_STATUS 400
 
 static hs_fold_outcome apply_completion(hs_partition *partition, uint64_t offset,
                                         const Hs__ItemsCompleted *completed) {
@@ -362,20 +362,20 @@
     const hs_file *file = job != NULL ? hs_partition_file(partition, job->file_id) : NULL;
     if (file == NULL)
         return HS_FOLD_INVALID;
-    bool counted = false;
+    bool any_applied = false;
     for (size_t index = 0; index < completed->n_results; index++) {
         const Hs__ItemResult *result = completed->results[index];
-        if (!result_counts(partition, job, file, completed->epoch, result))
+        if (!is_result_valid(partition, job, file, completed->epoch, result))
             continue;
         job->result_offsets[result->item] = offset + 1;
         job->completed_count++;
-        job->failed_count += result->indeterminate || result->status_code >= FIRST_FAILED_STATUS;
+        job->failed_count += result->indeterminate || result->status_code >= MIN_FAILED_STATUS;
         g_hash_table_remove(job->intents, GUINT_TO_POINTER(result->item));
-        counted = true;
+        any_applied = true;
     }
-    if (!counted)
+    if (!any_applied)
         return HS_FOLD_REPEATED;
-    note_if_finished(partition, job);
+    set_finished_time(partition, job);
     return HS_FOLD_APPLIED;
 }
 
--- a/src/batch/replica.c
+++ b/src/batch/replica.c
@@ -1,4 +1,4 @@
-/** @file replica.c  Reading a partition's streams; see replica.h. */
+/** @file replica.c  See replica.h. */
 #include "batch/replica.h"
 
 #include "base/clock.h"
@@ -7,30 +7,31 @@
 #include "base/log.h"
 #include "batch/snapshot.h"
 
-#define READ_MAX_BYTES (2U << 20)
-#define SEAL_SEARCH_RECORDS 256U
+#define MAX_READ_BYTES (2U << 20)
+#define MAX_SEAL_SEARCH_RECORDS 256U
 
 struct hs_replica {
     const hs_log_client *log;
     uint32_t partition;
-    uint64_t window_ms;
+    uint64_t ended_retention_ms;
     char *stream;
     char *snapshot_stream;
     GMutex lock;
     hs_partition *state;
-    bool loaded; /**< The newest snapshot was looked for. */
+    bool snapshot_loaded; /**< The newest snapshot was searched for. */
     uint64_t snapshot_offset;
-    uint64_t followed_ms; /**< When it was last read; 0: never. */
+    uint64_t last_read_ms; /**< Monotonic; 0 before the first read. */
 };
 
-hs_replica *hs_replica_new(const hs_log_client *log, uint32_t partition, uint64_t window_ms) {
+hs_replica *hs_replica_new(const hs_log_client *log, uint32_t partition,
+                           uint64_t ended_retention_ms) {
     hs_replica *replica = g_new0(hs_replica, 1);
     replica->log = log;
     replica->partition = partition;
-    replica->window_ms = window_ms;
+    replica->ended_retention_ms = ended_retention_ms;
     replica->stream = g_strdup_printf("partition-%u", partition);
     replica->snapshot_stream = g_strdup_printf("partition-%u-snapshot", partition);
-    replica->state = hs_partition_new(window_ms);
+    replica->state = hs_partition_new(ended_retention_ms);
     g_mutex_init(&replica->lock);
     return replica;
 }
@@ -60,7 +61,7 @@
     g_mutex_unlock(&replica->lock);
 }
 
-/** Read the one snapshot record at @p offset; NULL when there is none. */
+/** Reads the snapshot record at @p offset. Returns NULL if there is none. */
 static Hs__SnapshotRecord *read_snapshot_record(hs_replica *replica, uint64_t offset) {
     hs_log_slice slice;
     if (hs_log_read(replica->log, replica->snapshot_stream, offset, 0, 1, &slice, NULL) != 0)
@@ -74,9 +75,9 @@
     return record;
 }
 
-/** Build the state that @p seal closes; NULL when a part is missing. */
+/** Builds the state of the snapshot closed by @p seal. Returns NULL if a part is missing. */
 static hs_partition *read_snapshot(hs_replica *replica, const Hs__SnapshotSeal *seal) {
-    hs_partition *state = hs_partition_new(replica->window_ms);
+    hs_partition *state = hs_partition_new(replica->ended_retention_ms);
     for (uint32_t index = 0; index < seal->part_count; index++) {
         Hs__SnapshotRecord *record = read_snapshot_record(replica, seal->first_part_offset + index);
         bool usable = record != NULL && record->kind_case == HS__SNAPSHOT_RECORD__KIND_PART &&
@@ -94,10 +95,10 @@
     return state;
 }
 
-/** Look back from the end of the snapshot stream for the newest usable snapshot. */
+/** Searches backwards from the end of the snapshot stream for a complete snapshot. */
 static hs_partition *find_snapshot(hs_replica *replica, uint64_t end_offset) {
     uint64_t searched = 0;
-    while (searched < SEAL_SEARCH_RECORDS && searched < end_offset) {
+    while (searched < MAX_SEAL_SEARCH_RECORDS && searched < end_offset) {
         Hs__SnapshotRecord *record = read_snapshot_record(replica, end_offset - 1 - searched);
         searched++;
         if (record == NULL)
@@ -112,12 +113,12 @@
     return NULL;
 }
 
-/** Start from the newest snapshot; done once. */
+/** Replaces the state by the newest snapshot, unless a snapshot was searched for before. */
 static int load_snapshot(hs_replica *replica, hs_error *error) {
     g_mutex_lock(&replica->lock);
-    bool loaded = replica->loaded;
+    bool snapshot_loaded = replica->snapshot_loaded;
     g_mutex_unlock(&replica->lock);
-    if (loaded)
+    if (snapshot_loaded)
         return 0;
     uint64_t end_offset = 0;
     int result = hs_log_end(replica->log, replica->snapshot_stream, &end_offset, error);
@@ -131,7 +132,7 @@
         replica->snapshot_offset = state->next_offset;
         state = NULL;
     }
-    replica->loaded = true;
+    replica->snapshot_loaded = true;
     g_mutex_unlock(&replica->lock);
     hs_partition_free(state);
     return 0;
@@ -149,17 +150,17 @@
     g_mutex_unlock(&replica->lock);
 }
 
-int hs_replica_follow(hs_replica *replica, uint32_t wait_ms, uint32_t *applied, hs_error *error) {
+int hs_replica_poll(hs_replica *replica, uint32_t wait_ms, uint32_t *applied, hs_error *error) {
     int result = load_snapshot(replica, error);
     if (result != 0)
         return result;
     g_mutex_lock(&replica->lock);
-    replica->followed_ms = hs_clock_monotonic_ms();
+    replica->last_read_ms = hs_clock_monotonic_ms();
     uint64_t offset = replica->state->next_offset;
     g_mutex_unlock(&replica->lock);
     hs_log_slice slice;
     result =
-        hs_log_read(replica->log, replica->stream, offset, wait_ms, READ_MAX_BYTES, &slice, error);
+        hs_log_read(replica->log, replica->stream, offset, wait_ms, MAX_READ_BYTES, &slice, error);
     if (result != 0)
         return result;
     apply_slice(replica, &slice);
@@ -168,13 +169,13 @@
     return 0;
 }
 
-bool hs_replica_trim(hs_replica *replica, uint64_t now_ms, uint64_t idle_ms) {
+bool hs_replica_evict_idle(hs_replica *replica, uint64_t now_ms, uint64_t idle_ms) {
     g_mutex_lock(&replica->lock);
-    bool idle = replica->loaded && now_ms > replica->followed_ms + idle_ms;
+    bool idle = replica->snapshot_loaded && now_ms > replica->last_read_ms + idle_ms;
     if (idle) {
         hs_partition_free(replica->state);
-        replica->state = hs_partition_new(replica->window_ms);
-        replica->loaded = false;
+        replica->state = hs_partition_new(replica->ended_retention_ms);
+        replica->snapshot_loaded = false;
         replica->snapshot_offset = 0;
     }
     g_mutex_unlock(&replica->lock);
@@ -184,18 +185,18 @@
 int hs_replica_refresh(hs_replica *replica, hs_error *error) {
     uint32_t applied = 1;
     while (applied > 0) {
-        int result = hs_replica_follow(replica, 0, &applied, error);
+        int result = hs_replica_poll(replica, 0, &applied, error);
         if (result != 0)
             return result;
     }
     return 0;
 }
 
-int hs_replica_write_snapshot(hs_replica *replica, uint64_t minimum_records, hs_error *error) {
+int hs_replica_write_snapshot(hs_replica *replica, uint64_t min_records, hs_error *error) {
     g_autofree char *snapshot_id = hs_id_random("snapshot");
     g_mutex_lock(&replica->lock);
-    uint64_t covered = replica->state->next_offset;
-    if (covered < replica->snapshot_offset + minimum_records) {
+    uint64_t covered_offset = replica->state->next_offset;
+    if (covered_offset < replica->snapshot_offset + min_records) {
         g_mutex_unlock(&replica->lock);
         return 0;
     }
@@ -205,7 +206,8 @@
         const GByteArray *part = parts->pdata[index];
         hs_log_frame_append(batch, part->data, part->len);
     }
-    /* The seal must be of the same moment as the parts; where they begin is known only later. */
+    /* Seal and parts must be encoded under one lock; the parts' offset is known after the append.
+     */
     g_autoptr(GByteArray) seal = hs_snapshot_encode_seal(replica->state, snapshot_id, parts->len);
     g_mutex_unlock(&replica->lock);
     uint64_t first_offset = 0;
@@ -216,16 +218,16 @@
             return result;
     }
     HS_FAULT_POINT("snapshot");
-    g_autoptr(GByteArray) placed = hs_snapshot_place_seal(seal, first_offset);
+    g_autoptr(GByteArray) complete_seal = hs_snapshot_set_first_part(seal, first_offset);
     g_byte_array_set_size(batch, 0);
-    hs_log_frame_append(batch, placed->data, placed->len);
+    hs_log_frame_append(batch, complete_seal->data, complete_seal->len);
     int result = hs_log_append(replica->log, replica->snapshot_stream, batch, &first_offset, error);
     if (result != 0)
         return result;
     g_mutex_lock(&replica->lock);
-    replica->snapshot_offset = MAX(replica->snapshot_offset, covered);
+    replica->snapshot_offset = MAX(replica->snapshot_offset, covered_offset);
     g_mutex_unlock(&replica->lock);
     hs_log_info("snapshot_written", "partition=%u covered=%" G_GUINT64_FORMAT " parts=%u",
-                replica->partition, covered, parts->len);
+                replica->partition, covered_offset, parts->len);
     return 0;
 }
--- a/src/batch/replica_set.c
+++ b/src/batch/replica_set.c
@@ -4,17 +4,17 @@
 struct hs_replica_set {
     const hs_log_client *log;
     uint32_t count;
-    uint64_t window_ms;
+    uint64_t ended_retention_ms;
     GMutex lock;
     hs_replica **replicas;
 };
 
 hs_replica_set *hs_replica_set_new(const hs_log_client *log, uint32_t partition_count,
-                                   uint64_t window_ms) {
+                                   uint64_t ended_retention_ms) {
     hs_replica_set *set = g_new0(hs_replica_set, 1);
     set->log = log;
     set->count = partition_count;
-    set->window_ms = window_ms;
+    set->ended_retention_ms = ended_retention_ms;
     set->replicas = g_new0(hs_replica *, partition_count);
     g_mutex_init(&set->lock);
     return set;
@@ -34,21 +34,21 @@
         return NULL;
     g_mutex_lock(&set->lock);
     if (set->replicas[partition] == NULL)
-        set->replicas[partition] = hs_replica_new(set->log, partition, set->window_ms);
+        set->replicas[partition] = hs_replica_new(set->log, partition, set->ended_retention_ms);
     hs_replica *replica = set->replicas[partition];
     g_mutex_unlock(&set->lock);
     return replica;
 }
 
 uint32_t hs_replica_set_trim(hs_replica_set *set, uint64_t now_ms, uint64_t idle_ms) {
-    uint32_t trimmed = 0;
+    uint32_t evicted_count = 0;
     for (uint32_t index = 0; index < set->count; index++) {
         g_mutex_lock(&set->lock);
         hs_replica *replica = set->replicas[index];
         g_mutex_unlock(&set->lock);
-        trimmed += replica != NULL && hs_replica_trim(replica, now_ms, idle_ms);
+        evicted_count += replica != NULL && hs_replica_evict_idle(replica, now_ms, idle_ms);
     }
-    return trimmed;
+    return evicted_count;
 }
 
 uint32_t hs_replica_set_count(const hs_replica_set *set) {
--- a/src/batch/replica_set.h
+++ b/src/batch/replica_set.h
@@ -1,4 +1,4 @@
-/** @file replica_set.h  The replicas of all partitions, made when first asked for. */
+/** @file replica_set.h  Replicas of all partitions, created on first use. Thread-safe. */
 #ifndef HS_BATCH_REPLICA_SET_H
 #define HS_BATCH_REPLICA_SET_H
 
@@ -6,17 +6,18 @@
 
 typedef struct hs_replica_set hs_replica_set;
 
-/** @p log is borrowed. */
+/** @p log is borrowed and must outlive the set. */
 hs_replica_set *hs_replica_set_new(const hs_log_client *log, uint32_t partition_count,
-                                   uint64_t window_ms);
+                                   uint64_t ended_retention_ms);
 void hs_replica_set_free(hs_replica_set *set);
 
-/** The partition's replica, borrowed; NULL when there is no such partition. */
+/** Returns the partition's replica, or NULL if the partition does not exist. Borrowed. */
 hs_replica *hs_replica_set_get(hs_replica_set *set, uint32_t partition);
 
-/** Drop the states of replicas that nobody reads any more. @return how many. */
+/** Frees the states of replicas not read for @p idle_ms. Returns the number of states freed. */
 uint32_t hs_replica_set_trim(hs_replica_set *set, uint64_t now_ms, uint64_t idle_ms);
 
+/** Returns the number of partitions. */
 uint32_t hs_replica_set_count(const hs_replica_set *set);
 
 #endif
--- a/src/batch/snapshot.c
+++ b/src/batch/snapshot.c
@@ -1,11 +1,10 @@
-/** @file snapshot.c  Encoding of snapshots; see snapshot.h. */
+/** @file snapshot.c  See snapshot.h. */
 #include "batch/snapshot.h"
 
 #include <string.h>
 
 #define ITEMS_PER_PART 50000U
 
-/** Pack a record into bytes of its own. */
 static GByteArray *pack_record(const Hs__SnapshotRecord *record) {
     GByteArray *bytes = g_byte_array_new();
     g_byte_array_set_size(bytes, (guint)hs__snapshot_record__get_packed_size(record));
@@ -13,7 +12,7 @@
     return bytes;
 }
 
-/** Pack a part that carries at most one of the three. */
+/** Returns a part with one entry; the other two arguments are NULL. */
 static GByteArray *pack_part(const char *snapshot_id, uint32_t part_index, Hs__FileSnapshot *file,
                              Hs__JobSnapshot *job, Hs__OnlineIntent *intent) {
     Hs__SnapshotPart part = HS__SNAPSHOT_PART__INIT;
@@ -68,9 +67,9 @@
     return pack_part(snapshot_id, part_index, &message, NULL, NULL);
 }
 
-/** Intents of @p job as messages that borrow its strings. */
-static GArray *describe_intents(const hs_job *job) {
-    GArray *described = g_array_new(FALSE, FALSE, sizeof(Hs__ItemIntent));
+/** Returns an array of Hs__ItemIntent that borrow the strings of @p job. */
+static GArray *build_intent_messages(const hs_job *job) {
+    GArray *messages = g_array_new(FALSE, FALSE, sizeof(Hs__ItemIntent));
     GHashTableIter iterator;
     gpointer data;
     g_hash_table_iter_init(&iterator, job->intents);
@@ -82,12 +81,12 @@
         message.attempt_id = intent->attempt_id;
         message.epoch = intent->epoch;
         message.engine_url = intent->engine_url;
-        g_array_append_val(described, message);
+        g_array_append_val(messages, message);
     }
-    return described;
+    return messages;
 }
 
-/** Items [first_item, first_item + ITEMS_PER_PART) of a job; the first part carries the intents. */
+/** Encodes up to ITEMS_PER_PART items of a job. The first part also contains the intents. */
 static GByteArray *encode_job(const hs_job *job, uint32_t first_item, const char *snapshot_id,
                               uint32_t part_index) {
     Hs__JobSubmitted submitted = HS__JOB_SUBMITTED__INIT;
@@ -106,7 +105,7 @@
         deltas[index] = (int64_t)(current - previous);
         previous = current;
     }
-    g_autoptr(GArray) intents = describe_intents(job);
+    g_autoptr(GArray) intents = build_intent_messages(job);
     g_autoptr(GPtrArray) intent_list = g_ptr_array_new();
     for (guint index = 0; index < intents->len && first_item == 0; index++)
         g_ptr_array_add(intent_list, &g_array_index(intents, Hs__ItemIntent, index));
@@ -171,12 +170,12 @@
     return pack_record(&record);
 }
 
-GByteArray *hs_snapshot_place_seal(const GByteArray *seal, uint64_t first_part_offset) {
+GByteArray *hs_snapshot_set_first_part(const GByteArray *seal, uint64_t first_part_offset) {
     Hs__SnapshotRecord *record = hs__snapshot_record__unpack(NULL, seal->len, seal->data);
     record->seal->first_part_offset = first_part_offset;
-    GByteArray *placed = pack_record(record);
+    GByteArray *complete_seal = pack_record(record);
     hs__snapshot_record__free_unpacked(record, NULL);
-    return placed;
+    return complete_seal;
 }
 
 static void apply_file(hs_partition *partition, const Hs__FileSnapshot *message) {
@@ -206,7 +205,7 @@
     file->endpoint = g_strdup(message->endpoint);
 }
 
-static hs_job *add_job(hs_partition *partition, const Hs__JobSnapshot *message) {
+static hs_job *add_snapshot_job(hs_partition *partition, const Hs__JobSnapshot *message) {
     const Hs__JobSubmitted *submitted = message->submitted;
     hs_job *job = hs_partition_add_job(partition, submitted->job_id, message->item_count);
     job->tenant = g_strdup(submitted->tenant);
@@ -227,7 +226,7 @@
         return false;
     hs_job *job = hs_partition_job(partition, message->submitted->job_id);
     if (job == NULL)
-        job = add_job(partition, message);
+        job = add_snapshot_job(partition, message);
     if (message->first_item + message->n_result_offset_delta > job->item_count)
         return false;
     uint64_t current = 0;
--- a/tests/unit/partition_builder.c
+++ b/tests/unit/partition_builder.c
@@ -7,7 +7,7 @@
     return hs_partition_apply(partition, partition->next_offset, record);
 }
 
-hs_fold_outcome apply_claim_of(hs_partition *partition, uint32_t epoch, const char *daemon_id) {
+hs_fold_outcome apply_claim_record(hs_partition *partition, uint32_t epoch, const char *daemon_id) {
     Hs__OwnerClaim claim = HS__OWNER_CLAIM__INIT;
     claim.epoch = epoch;
     claim.daemon_id = (char *)daemon_id;
@@ -17,7 +17,8 @@
     return apply(partition, &record);
 }
 
-hs_fold_outcome apply_release_of(hs_partition *partition, uint32_t epoch, const char *daemon_id) {
+hs_fold_outcome apply_release_record(hs_partition *partition, uint32_t epoch,
+                                     const char *daemon_id) {
     Hs__OwnerRelease release = HS__OWNER_RELEASE__INIT;
     release.epoch = epoch;
     release.daemon_id = (char *)daemon_id;
@@ -27,9 +28,9 @@
     return apply(partition, &record);
 }
 
-hs_fold_outcome apply_chunk_of(hs_partition *partition, uint32_t index, uint32_t first_item,
-                               uint32_t item_count, const uint32_t *run_once,
-                               size_t run_once_count) {
+hs_fold_outcome apply_chunk_record(hs_partition *partition, uint32_t index, uint32_t first_item,
+                                   uint32_t item_count, const uint32_t *run_once,
+                                   size_t run_once_count) {
     Hs__FileChunk chunk = HS__FILE_CHUNK__INIT;
     chunk.file_id = (char *)TEST_FILE;
     chunk.chunk_index = index;
@@ -43,7 +44,8 @@
     return apply(partition, &record);
 }
 
-hs_fold_outcome apply_seal_of(hs_partition *partition, uint32_t chunk_count, uint32_t item_count) {
+hs_fold_outcome apply_seal_record(hs_partition *partition, uint32_t chunk_count,
+                                  uint32_t item_count) {
     Hs__FileSealed seal = HS__FILE_SEALED__INIT;
     seal.file_id = (char *)TEST_FILE;
     seal.tenant = (char *)"tenant";
@@ -58,7 +60,7 @@
     return apply(partition, &record);
 }
 
-hs_fold_outcome apply_job_of(hs_partition *partition, const char *job_id, uint64_t created_ms) {
+hs_fold_outcome apply_job_record(hs_partition *partition, const char *job_id, uint64_t created_ms) {
     Hs__JobSubmitted job = HS__JOB_SUBMITTED__INIT;
     job.job_id = (char *)job_id;
     job.tenant = (char *)"tenant";
@@ -97,8 +99,8 @@
     return apply(partition, &record);
 }
 
-hs_fold_outcome apply_result_of(hs_partition *partition, uint32_t item, const char *attempt_id,
-                                uint32_t epoch, bool indeterminate) {
+hs_fold_outcome apply_result_record(hs_partition *partition, uint32_t item, const char *attempt_id,
+                                    uint32_t epoch, bool indeterminate) {
     Hs__ItemResult result = HS__ITEM_RESULT__INIT;
     result.item = item;
     result.attempt_id = (char *)attempt_id;
@@ -119,11 +121,11 @@
 
 hs_partition *partition_with_job(void) {
     static const uint32_t run_once[] = {5};
-    hs_partition *partition = hs_partition_new(TEST_WINDOW_MS);
-    apply_claim_of(partition, 1, "owner");
-    apply_chunk_of(partition, 0, 0, 4, NULL, 0);
-    apply_chunk_of(partition, 1, 4, 4, run_once, 1);
-    apply_seal_of(partition, 2, 8);
-    apply_job_of(partition, TEST_JOB, 2);
+    hs_partition *partition = hs_partition_new(TEST_RETENTION_MS);
+    apply_claim_record(partition, 1, "owner");
+    apply_chunk_record(partition, 0, 0, 4, NULL, 0);
+    apply_chunk_record(partition, 1, 4, 4, run_once, 1);
+    apply_seal_record(partition, 2, 8);
+    apply_job_record(partition, TEST_JOB, 2);
     return partition;
 }
