--- a/src/batch/coordinator.c
+++ b/src/batch/coordinator.c
@@ -97,7 +97,7 @@
     hs_membership_service_unlock(coordinator->context.membership);
 }
 
-static hs_ownership_view view_partition(const hs_coordinator *coordinator, uint32_t partition) {
+static hs_ownership_view get_ownership_view(const hs_coordinator *coordinator, uint32_t partition) {
     return (hs_ownership_view){.self_is_first = coordinator->self_is_first[partition],
                                .self_is_leaving = coordinator->self_is_leaving,
                                .self_owns = coordinator->owners[partition] != NULL,
@@ -184,7 +184,7 @@
     uint64_t offset = 0;
     hs_error error = {0};
     HS_FAULT_POINT("release");
-    /* If the log is unavailable, members claim the partition after this daemon has left. */
+    /* After a failed release do not wait: others claim the partition once this daemon has left. */
     uint32_t append_timeout_ms = coordinator->release_failed ? 0 : RELEASE_APPEND_TIMEOUT_MS;
     int result = hs_appender_append(coordinator->context.appender, hs_replica_stream(replica),
                                     record->data, record->len, append_timeout_ms, &offset, &error);
@@ -229,7 +229,7 @@
         .settle_ms = (uint32_t)coordinator->context.settings->claim_settle_ms,
         .handover_ms = (uint32_t)coordinator->context.settings->handover_ms};
     stop_owner_if_lost(coordinator, partition);
-    hs_ownership_view view = view_partition(coordinator, partition);
+    hs_ownership_view view = get_ownership_view(coordinator, partition);
     switch (hs_ownership_decide(&settings, &view, &coordinator->histories[partition],
                                 hs_clock_monotonic_ms())) {
     case HS_OWNERSHIP_CLAIM:
--- a/src/batch/grant_table.c
+++ b/src/batch/grant_table.c
@@ -7,8 +7,8 @@
 
 /** Granted items of one job. */
 typedef struct {
-    uint8_t *granted; /**< Bitmap by item. */
-    uint32_t cursor;  /**< No item below the cursor is ready. */
+    uint8_t *bitmap; /**< One bit per item: granted. */
+    uint32_t cursor; /**< No item below the cursor is ready. */
     uint32_t item_count;
     uint32_t granted_count;
 } job_grants;
@@ -28,7 +28,7 @@
 }
 
 static void free_job_grants(gpointer data) {
-    g_free(((job_grants *)data)->granted);
+    g_free(((job_grants *)data)->bitmap);
     g_free(data);
 }
 
@@ -49,39 +49,39 @@
     g_free(table);
 }
 
-static bool is_item_granted(const job_grants *out, uint32_t item) {
-    return (out->granted[item / BITS_PER_BYTE] >> (item % BITS_PER_BYTE)) & 1U;
+static bool is_item_granted(const job_grants *granted, uint32_t item) {
+    return (granted->bitmap[item / BITS_PER_BYTE] >> (item % BITS_PER_BYTE)) & 1U;
 }
 
-static void set_item_granted(job_grants *out, uint32_t item, bool value) {
+static void set_item_granted(job_grants *granted, uint32_t item, bool value) {
     uint8_t mask = (uint8_t)(1U << (item % BITS_PER_BYTE));
-    if (value == is_item_granted(out, item))
+    if (value == is_item_granted(granted, item))
         return;
-    out->granted[item / BITS_PER_BYTE] ^= mask;
-    out->granted_count += value ? 1U : -1U;
+    granted->bitmap[item / BITS_PER_BYTE] ^= mask;
+    granted->granted_count += value ? 1U : -1U;
 }
 
 static job_grants *get_job_grants(hs_grant_table *table, const hs_job *job) {
-    job_grants *out = g_hash_table_lookup(table->jobs, job->id);
-    if (out != NULL)
-        return out;
-    out = g_new0(job_grants, 1);
-    out->item_count = job->item_count;
-    out->granted = g_new0(uint8_t, job->item_count / BITS_PER_BYTE + 1);
-    g_hash_table_insert(table->jobs, g_strdup(job->id), out);
-    return out;
+    job_grants *granted = g_hash_table_lookup(table->jobs, job->id);
+    if (granted != NULL)
+        return granted;
+    granted = g_new0(job_grants, 1);
+    granted->item_count = job->item_count;
+    granted->bitmap = g_new0(uint8_t, job->item_count / BITS_PER_BYTE + 1);
+    g_hash_table_insert(table->jobs, g_strdup(job->id), granted);
+    return granted;
 }
 
-static bool is_item_ready(const hs_job *job, const job_grants *out, uint32_t item) {
-    return job->result_offsets[item] == 0 && !is_item_granted(out, item) &&
+static bool is_item_ready(const hs_job *job, const job_grants *granted, uint32_t item) {
+    return job->result_offsets[item] == 0 && !is_item_granted(granted, item) &&
            !g_hash_table_contains(job->intents, GUINT_TO_POINTER(item));
 }
 
 /** Advances the cursor to the first ready item. Returns that item, or the item count if none. */
-static uint32_t next_ready_item(const hs_job *job, job_grants *out) {
-    while (out->cursor < job->item_count && !is_item_ready(job, out, out->cursor))
-        out->cursor++;
-    return out->cursor;
+static uint32_t next_ready_item(const hs_job *job, job_grants *granted) {
+    while (granted->cursor < job->item_count && !is_item_ready(job, granted, granted->cursor))
+        granted->cursor++;
+    return granted->cursor;
 }
 
 static bool serves_model(const hs_grant_request *request, const char *model) {
@@ -111,7 +111,7 @@
 static hs_job *choose_job(hs_grant_table *table, const hs_partition *partition,
                           const hs_grant_request *request) {
     hs_job *best = NULL;
-    uint32_t best_item_count = 0;
+    uint32_t best_tenant_items = 0;
     GHashTableIter iterator;
     gpointer data;
     g_hash_table_iter_init(&iterator, partition->jobs);
@@ -124,47 +124,48 @@
             continue;
         if (next_ready_item(job, get_job_grants(table, job)) >= job->item_count)
             continue;
-        uint32_t out = count_tenant_items(table, partition, job->tenant);
-        bool is_better = best == NULL || out < best_item_count ||
-                         (out == best_item_count && job->deadline_ms < best->deadline_ms) ||
-                         (out == best_item_count && job->deadline_ms == best->deadline_ms &&
-                          strcmp(job->id, best->id) < 0);
+        uint32_t tenant_items = count_tenant_items(table, partition, job->tenant);
+        bool is_better =
+            best == NULL || tenant_items < best_tenant_items ||
+            (tenant_items == best_tenant_items && job->deadline_ms < best->deadline_ms) ||
+            (tenant_items == best_tenant_items && job->deadline_ms == best->deadline_ms &&
+             strcmp(job->id, best->id) < 0);
         if (!is_better)
             continue;
         best = job;
-        best_item_count = out;
+        best_tenant_items = tenant_items;
     }
     return best;
 }
 
 /** Counts consecutive ready items from @p first on. A run-once item is always granted alone. */
-static uint32_t count_ready_run(const hs_job *job, const hs_file *file, const job_grants *out,
+static uint32_t count_ready_run(const hs_job *job, const hs_file *file, const job_grants *granted,
                                 uint32_t first, uint32_t want) {
     if (hs_file_item_is_run_once(file, first))
         return 1;
     const hs_chunk_ref *chunk = hs_file_find_chunk(file, first);
     uint32_t end = MIN(chunk->first_item + chunk->item_count, first + want);
     uint32_t item = first + 1;
-    while (item < end && is_item_ready(job, out, item) && !hs_file_item_is_run_once(file, item))
+    while (item < end && is_item_ready(job, granted, item) && !hs_file_item_is_run_once(file, item))
         item++;
     return item - first;
 }
 
 static hs_grant *add_grant(hs_grant_table *table, const hs_partition *partition, const hs_job *job,
                            const hs_grant_request *request, uint32_t want, uint64_t now_ms) {
-    job_grants *out = get_job_grants(table, job);
+    job_grants *granted = get_job_grants(table, job);
     const hs_file *file = hs_partition_file(partition, job->file_id);
     hs_grant *grant = g_new0(hs_grant, 1);
     grant->id = table->next_id++;
     grant->job_id = g_strdup(job->id);
     grant->scheduler_id = g_strdup(request->scheduler_id);
     grant->scheduler_incarnation = request->incarnation;
-    grant->first_item = out->cursor;
-    grant->item_count = count_ready_run(job, file, out, out->cursor, want);
+    grant->first_item = granted->cursor;
+    grant->item_count = count_ready_run(job, file, granted, granted->cursor, want);
     grant->run_once = hs_file_item_is_run_once(file, grant->first_item);
     grant->expires_ms = now_ms + table->lease_ms;
     for (uint32_t index = 0; index < grant->item_count; index++)
-        set_item_granted(out, grant->first_item + index, true);
+        set_item_granted(granted, grant->first_item + index, true);
     g_hash_table_insert(table->grants, &grant->id, grant);
     return grant;
 }
@@ -195,12 +196,12 @@
 
 /** Marks the grant's items as not granted. */
 static void release_items(hs_grant_table *table, const hs_grant *grant) {
-    job_grants *out = g_hash_table_lookup(table->jobs, grant->job_id);
-    if (out == NULL)
+    job_grants *granted = g_hash_table_lookup(table->jobs, grant->job_id);
+    if (granted == NULL)
         return;
     for (uint32_t index = 0; index < grant->item_count; index++)
-        set_item_granted(out, grant->first_item + index, false);
-    out->cursor = MIN(out->cursor, grant->first_item);
+        set_item_granted(granted, grant->first_item + index, false);
+    granted->cursor = MIN(granted->cursor, grant->first_item);
 }
 
 static bool all_items_done(const hs_job *job, const hs_grant *grant) {
--- a/src/batch/item_runner.c
+++ b/src/batch/item_runner.c
@@ -134,7 +134,7 @@
     int appended = hs_appender_append(runner->appender, hs_replica_stream(replica), record->data,
                                       record->len, APPEND_TIMEOUT_MS, &offset, &error);
     HS_FAULT_POINT("intent_after");
-    /* A failed append may still have reached the log, so the result is ignored until read back. */
+    /* A failed append may still have reached the log: only the intent read back counts. */
     if (hs_replica_refresh(replica, &error) != 0)
         return HS_ITEM_OTHER_ENGINE;
     if (is_intent_valid(replica, work))
--- a/src/batch/partition_state.h
+++ b/src/batch/partition_state.h
@@ -103,7 +103,7 @@
 typedef enum {
     HS_FOLD_APPLIED,
     HS_FOLD_REPEATED, /**< Without effect: already applied, or superseded. */
-    HS_FOLD_STALE,    /**< Wrong epoch. */
+    HS_FOLD_STALE,    /**< Not of the current epoch, or for claims the next one. */
     HS_FOLD_INVALID,  /**< Malformed or inconsistent with the state. */
 } hs_fold_outcome;
 
--- a/src/batch/replica.c
+++ b/src/batch/replica.c
@@ -206,8 +206,7 @@
         const GByteArray *part = parts->pdata[index];
         hs_log_frame_append(batch, part->data, part->len);
     }
-    /* Seal and parts must be encoded under one lock; the parts' offset is known after the append.
-     */
+    /* Encoded under the same lock as the parts, before their offset is known. */
     g_autoptr(GByteArray) seal = hs_snapshot_encode_seal(replica->state, snapshot_id, parts->len);
     g_mutex_unlock(&replica->lock);
     uint64_t first_offset = 0;
--- a/tests/unit/partition_builder.h
+++ b/tests/unit/partition_builder.h
@@ -24,8 +24,7 @@
 hs_fold_outcome apply_result_record(hs_partition *partition, uint32_t item, const char *attempt_id,
                                     uint32_t epoch, bool indeterminate);
 
-/** Returns a claimed partition with a job over a file of two chunks of 4 items; item 5 is run-once.
- */
+/** Returns a claimed partition with a job over two chunks of 4 items; item 5 is run-once. */
 hs_partition *partition_with_job(void);
 
 #endif
