--- a/src/commands/cancel.c
+++ b/src/commands/cancel.c
@@ -25,12 +25,12 @@
     if (hs_replica_refresh(replica, error) != 0)
         return CANCEL_UNREADABLE;
     const hs_partition *state = hs_replica_lock(replica);
-    const hs_job *job = hs_partition_job(state, job_id);
+    const hs_job *job = hs_partition_find_job(state, job_id);
     cancel_reading reading = CANCEL_NO_JOB;
     if (job != NULL && strcmp(job->tenant, tenant) == 0) {
-        reading = hs_job_state_of(job) == HS_JOB_RUNNING ? CANCEL_OPEN : CANCEL_OVER;
+        reading = hs_job_get_state(job) == HS_JOB_RUNNING ? CANCEL_OPEN : CANCEL_OVER;
         json_decref(*document);
-        *document = hs_job_json(job);
+        *document = hs_job_to_json(job);
     }
     hs_replica_unlock(replica);
     return reading;
@@ -43,7 +43,7 @@
     cancel_reading reading = read_job(replica, job_id, tenant, &document, &error);
     int appended = 0;
     if (reading == CANCEL_OPEN) {
-        g_autoptr(GByteArray) record = hs_record_cancel(job_id, hs_clock_wall_ms());
+        g_autoptr(GByteArray) record = hs_record_pack_cancel(job_id, hs_clock_wall_ms());
         uint64_t offset = 0;
         HS_FAULT_POINT("cancel_before");
         appended = hs_appender_append(node->appender, hs_replica_stream(replica), record->data,
--- a/src/commands/online_key.c
+++ b/src/commands/online_key.c
@@ -29,7 +29,8 @@
     *holder = (hs_key_holder){{0}, {0}};
     if (hs_replica_refresh(replica, &error) != 0)
         return false;
-    const hs_online_intent *intent = hs_partition_online_intent(hs_replica_lock(replica), key_hash);
+    const hs_online_intent *intent =
+        hs_partition_find_online_intent(hs_replica_lock(replica), key_hash);
     if (intent != NULL) {
         g_strlcpy(holder->attempt_id, intent->attempt_id, sizeof holder->attempt_id);
         g_strlcpy(holder->engine_url, intent->engine_url, sizeof holder->engine_url);
@@ -46,7 +47,7 @@
     if (holder->attempt_id[0] != '\0' && strcmp(holder->attempt_id, attempt_id) != 0)
         return HS_KEY_TAKEN;
     g_autoptr(GByteArray) record =
-        hs_record_online_intent(key_hash, attempt_id, engine_url, hs_clock_wall_ms());
+        hs_record_pack_online_intent(key_hash, attempt_id, engine_url, hs_clock_wall_ms());
     uint64_t offset = 0;
     hs_error error = {0};
     HS_FAULT_POINT("online_intent_before");
@@ -63,7 +64,7 @@
 
 void hs_online_key_void(hs_node *node, const char *key_hash, const char *attempt_id) {
     hs_replica *replica = replica_of(node, key_hash);
-    g_autoptr(GByteArray) record = hs_record_online_void(key_hash, attempt_id);
+    g_autoptr(GByteArray) record = hs_record_pack_online_intent_void(key_hash, attempt_id);
     uint64_t offset = 0;
     hs_error error = {0};
     if (hs_appender_append(node->appender, hs_replica_stream(replica), record->data, record->len,
--- a/src/commands/submit.c
+++ b/src/commands/submit.c
@@ -77,14 +77,14 @@
     if (hs_replica_refresh(self->replica, error) != 0)
         return JOB_UNREADABLE;
     const hs_partition *state = hs_replica_lock(self->replica);
-    const hs_job *job = hs_partition_job(state, self->job_id);
+    const hs_job *job = hs_partition_find_job(state, self->job_id);
     job_reading reading = JOB_ABSENT;
     if (job != NULL &&
         (strcmp(job->file_id, self->file_id) != 0 || strcmp(job->endpoint, self->endpoint) != 0)) {
         reading = JOB_DIFFERENT;
     } else if (job != NULL) {
         reading = JOB_PRESENT;
-        *document = hs_job_json(job);
+        *document = hs_job_to_json(job);
     }
     hs_replica_unlock(self->replica);
     return reading;
@@ -98,7 +98,7 @@
         return false;
     }
     const hs_partition *state = hs_replica_lock(self->replica);
-    const hs_file *file = hs_partition_file(state, self->file_id);
+    const hs_file *file = hs_partition_find_file(state, self->file_id);
     bool present = file != NULL && file->sealed && strcmp(file->tenant, self->tenant) == 0;
     bool matches = present && strcmp(file->endpoint, self->endpoint) == 0;
     hs_replica_unlock(self->replica);
--- a/src/commands/upload.c
+++ b/src/commands/upload.c
@@ -92,7 +92,7 @@
     if (hs_replica_refresh(self->replica, error) != 0)
         return false;
     const hs_partition *state = hs_replica_lock(self->replica);
-    const hs_file *file = hs_partition_file(state, self->file_id);
+    const hs_file *file = hs_partition_find_file(state, self->file_id);
     bool sealed = file != NULL && file->sealed;
     hs_replica_unlock(self->replica);
     return sealed;
@@ -146,7 +146,7 @@
                             .user_data = node};
     hs_jsonl_file checked;
     hs_error error = {0};
-    if (hs_jsonl_read(part->content, part->length, &rules, &checked, &error) != 0) {
+    if (hs_jsonl_parse(part->content, part->length, &rules, &checked, &error) != 0) {
         hs_jsonl_file_clear(&checked);
         return hs_refuse_invalid(response, 400, "bad_file", error.message);
     }
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -262,7 +262,7 @@
     g_atomic_int_set(&node->state, HS_NODE_DRAINING);
     hs_scheduler_drain(node->scheduler);
     hs_membership_service_leave(node->membership);
-    hs_coordinator_release_all(node->coordinator);
+    hs_coordinator_wait_for_release(node->coordinator);
     /* Callers learn that we are not ready before they are refused. */
     hs_clock_sleep_ms((uint64_t)node->settings->drain_notice_ms);
     g_atomic_int_set(&node->state, HS_NODE_STOPPING);
--- a/src/daemon/listing.c
+++ b/src/daemon/listing.c
@@ -148,8 +148,8 @@
         }
         if (now_ms >= listing->next_trim_ms) {
             listing->next_trim_ms = now_ms + TRIM_INTERVAL_MS;
-            hs_replica_set_trim(node->replicas, now_ms,
-                                (uint64_t)node->settings->replica_idle_s * 1000);
+            hs_replica_set_evict_idle(node->replicas, now_ms,
+                                      (uint64_t)node->settings->replica_idle_s * 1000);
         }
         if (now_ms >= listing->next_renew_ms) {
             listing->next_renew_ms = now_ms + RENEW_NOTICES_MS;
--- a/src/placement/controller.c
+++ b/src/placement/controller.c
@@ -200,8 +200,8 @@
     hs_config_view *view = hs_config_store_view(controller->context.config);
     for (guint index = 0; index < view->groups->len; index++) {
         const hs_engine_group *group = view->groups->pdata[index];
-        uint32_t epoch = hs_coordinator_epoch(controller->context.coordinator,
-                                              group_partition(controller, group->name));
+        uint32_t epoch = hs_coordinator_get_epoch(controller->context.coordinator,
+                                                  group_partition(controller, group->name));
         if (epoch != 0)
             control_group(controller, view, group, epoch);
     }
--- a/src/queries/batch_queries.c
+++ b/src/queries/batch_queries.c
@@ -45,8 +45,8 @@
     if (replica == NULL)
         return U_CALLBACK_COMPLETE;
     const hs_partition *state = hs_replica_lock(replica);
-    const hs_job *job = hs_partition_job(state, hs_http_parameter(request, "id"));
-    json_t *document = job != NULL && strcmp(job->tenant, tenant) == 0 ? hs_job_json(job) : NULL;
+    const hs_job *job = hs_partition_find_job(state, hs_http_parameter(request, "id"));
+    json_t *document = job != NULL && strcmp(job->tenant, tenant) == 0 ? hs_job_to_json(job) : NULL;
     hs_replica_unlock(replica);
     if (document == NULL)
         return hs_refuse_invalid(response, 404, "batch_not_found", "no such batch");
@@ -61,7 +61,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &data)) {
         const hs_job *job = data;
         if (strcmp(job->tenant, tenant) == 0)
-            json_array_append_new(list, hs_job_json(job));
+            json_array_append_new(list, hs_job_to_json(job));
     }
     hs_replica_unlock(replica);
 }
@@ -127,7 +127,7 @@
         return U_CALLBACK_COMPLETE;
     json_t *document = NULL;
     const hs_partition *state = hs_replica_lock(replica);
-    const hs_file *file = hs_partition_file(state, hs_http_parameter(request, "id"));
+    const hs_file *file = hs_partition_find_file(state, hs_http_parameter(request, "id"));
     if (file != NULL && file->sealed && strcmp(file->tenant, tenant) == 0)
         document = json_pack("{s:s,s:s,s:I,s:I,s:s,s:s}", "id", file->id, "object", "file", "bytes",
                              (json_int_t)file->byte_count, "created_at",
--- a/src/queries/file_content.c
+++ b/src/queries/file_content.c
@@ -118,7 +118,7 @@
 
 /** Records with a job's counted results; NULL when there is no such job of the tenant. */
 static GArray *wanted_results(const hs_partition *state, const char *job_id, const char *tenant) {
-    const hs_job *job = hs_partition_job(state, job_id);
+    const hs_job *job = hs_partition_find_job(state, job_id);
     if (job == NULL || strcmp(job->tenant, tenant) != 0)
         return NULL;
     GArray *wanted = g_array_sized_new(FALSE, FALSE, sizeof(wanted_record), job->completed_count);
@@ -134,7 +134,7 @@
 
 /** Records with a file's chunks; NULL when there is no such file of the tenant. */
 static GArray *wanted_chunks(const hs_partition *state, const char *file_id, const char *tenant) {
-    const hs_file *file = hs_partition_file(state, file_id);
+    const hs_file *file = hs_partition_find_file(state, file_id);
     if (file == NULL || !file->sealed || strcmp(file->tenant, tenant) != 0)
         return NULL;
     GArray *wanted = g_array_new(FALSE, FALSE, sizeof(wanted_record));
--- a/src/scheduling/scheduler_items.c
+++ b/src/scheduling/scheduler_items.c
@@ -25,7 +25,7 @@
 
 static void post_engine_free(void *user_data) {
     engine_free_context *context = user_data;
-    post_item_event(context->scheduler, EVENT_ENGINE_FREE, context->item, HS_ITEM_AGAIN);
+    post_item_event(context->scheduler, EVENT_ENGINE_FREE, context->item, HS_ITEM_RETRY);
 }
 
 void hs_scheduler_run_item(gpointer data, gpointer user_data) {
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -16,28 +16,28 @@
                      const hs_grant_request *request, uint32_t want, uint64_t now_ms,
                      uint64_t *first_grant) {
     g_autoptr(GPtrArray) grants = g_ptr_array_new();
-    uint32_t taken = hs_grant_table_take(table, partition, request, want, now_ms, grants);
+    uint32_t taken = hs_grant_table_grant_items(table, partition, request, want, now_ms, grants);
     if (first_grant != NULL && grants->len > 0)
         *first_grant = ((hs_grant *)grants->pdata[0])->id;
     return taken;
 }
 
 static void every_item_is_granted_once(void) {
-    hs_partition *partition = partition_with_job();
+    hs_partition *partition = new_partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     CU_ASSERT_EQUAL(take(table, partition, &request_a, 3, 0, NULL), 3);
     CU_ASSERT_EQUAL(take(table, partition, &request_b, 99, 0, NULL), 5);
     CU_ASSERT_EQUAL(take(table, partition, &request_a, 99, 0, NULL), 0);
-    CU_ASSERT_FALSE(hs_grant_table_has_ready(table, partition));
+    CU_ASSERT_FALSE(hs_grant_table_has_ready_items(table, partition));
     hs_grant_table_free(table);
     hs_partition_free(partition);
 }
 
 static void run_once_item_is_granted_alone(void) {
-    hs_partition *partition = partition_with_job();
+    hs_partition *partition = new_partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     g_autoptr(GPtrArray) grants = g_ptr_array_new();
-    hs_grant_table_take(table, partition, &request_a, 8, 0, grants);
+    hs_grant_table_grant_items(table, partition, &request_a, 8, 0, grants);
     uint32_t alone = 0;
     for (guint index = 0; index < grants->len; index++) {
         const hs_grant *grant = grants->pdata[index];
@@ -49,14 +49,14 @@
 }
 
 static void items_of_an_expired_grant_are_granted_again(void) {
-    hs_partition *partition = partition_with_job();
+    hs_partition *partition = new_partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     uint64_t grant = 0;
     take(table, partition, &request_a, 2, 0, &grant);
     CU_ASSERT_TRUE(hs_grant_table_renew(table, grant, "a", 50));
-    hs_grant_table_settle(table, partition, 120);
+    hs_grant_table_remove_ended(table, partition, 120);
     CU_ASSERT_EQUAL(hs_grant_table_size(table), 1);
-    hs_grant_table_settle(table, partition, 150);
+    hs_grant_table_remove_ended(table, partition, 150);
     CU_ASSERT_EQUAL(hs_grant_table_size(table), 0);
     CU_ASSERT_FALSE(hs_grant_table_renew(table, grant, "a", 151));
     CU_ASSERT_EQUAL(take(table, partition, &request_b, 8, 151, NULL), 8);
@@ -65,19 +65,19 @@
 }
 
 static void item_with_an_intent_is_not_granted_again(void) {
-    hs_partition *partition = partition_with_job();
+    hs_partition *partition = new_partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     take(table, partition, &request_a, 8, 0, NULL);
-    apply_intent_of(partition, 5, "attempt", 1);
-    hs_grant_table_settle(table, partition, LEASE_MS);
+    apply_intent_record(partition, 5, "attempt", 1);
+    hs_grant_table_remove_ended(table, partition, LEASE_MS);
     CU_ASSERT_EQUAL(take(table, partition, &request_b, 99, LEASE_MS, NULL), 7);
-    CU_ASSERT_FALSE(hs_grant_table_covers(table, TEST_JOB, 5));
+    CU_ASSERT_FALSE(hs_grant_table_is_granted(table, TEST_JOB, 5));
     hs_grant_table_free(table);
     hs_partition_free(partition);
 }
 
 static void items_of_a_restarted_scheduler_are_granted_again(void) {
-    hs_partition *partition = partition_with_job();
+    hs_partition *partition = new_partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     take(table, partition, &request_a, 8, 0, NULL);
     hs_grant_table_drop_scheduler(table, "a", 1);
@@ -89,12 +89,12 @@
 }
 
 static void grants_of_a_cancelled_job_are_removed(void) {
-    hs_partition *partition = partition_with_job();
+    hs_partition *partition = new_partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     uint64_t grant = 0;
     take(table, partition, &request_a, 2, 0, &grant);
-    apply_cancel_of(partition, TEST_JOB);
-    hs_grant_table_settle(table, partition, 1);
+    apply_cancel_record(partition, TEST_JOB);
+    hs_grant_table_remove_ended(table, partition, 1);
     CU_ASSERT_FALSE(hs_grant_table_renew(table, grant, "a", 2));
     CU_ASSERT_EQUAL(take(table, partition, &request_a, 8, 2, NULL), 0);
     hs_grant_table_free(table);
@@ -105,7 +105,7 @@
     static const char *const others[] = {"other"};
     hs_grant_request request = request_a;
     request.models = others;
-    hs_partition *partition = partition_with_job();
+    hs_partition *partition = new_partition_with_job();
     hs_grant_table *table = hs_grant_table_new(LEASE_MS);
     CU_ASSERT_EQUAL(take(table, partition, &request, 8, 0, NULL), 0);
     hs_grant_table_free(table);
--- a/tests/unit/test_input.c
+++ b/tests/unit/test_input.c
@@ -55,7 +55,7 @@
 static void check_file_is_refused(const char *text, const char *expected) {
     hs_jsonl_file file;
     hs_error error = {0};
-    CU_ASSERT_EQUAL(hs_jsonl_read(text, strlen(text), &rules, &file, &error), HS_INVALID);
+    CU_ASSERT_EQUAL(hs_jsonl_parse(text, strlen(text), &rules, &file, &error), HS_INVALID);
     CU_ASSERT_PTR_NOT_NULL(strstr(error.message, expected));
     hs_jsonl_file_clear(&file);
 }
@@ -81,7 +81,7 @@
     const char *text = LINE("a", "m") LINE("b", "m") LINE("c", "m");
     hs_jsonl_file file;
     hs_error error = {0};
-    CU_ASSERT_EQUAL(hs_jsonl_read(text, strlen(text), &rules, &file, &error), 0);
+    CU_ASSERT_EQUAL(hs_jsonl_parse(text, strlen(text), &rules, &file, &error), 0);
     CU_ASSERT_EQUAL(file.item_count, 3);
     CU_ASSERT_EQUAL_FATAL(file.chunks->len, 2);
     const hs_jsonl_chunk *last = &g_array_index(file.chunks, hs_jsonl_chunk, 1);
