--- a/src/engine/cancel_queue.c
+++ b/src/engine/cancel_queue.c
@@ -8,30 +8,30 @@
 typedef struct {
     char *engine_url;
     GPtrArray *request_ids;
-} cancel_order;
+} cancel_task;
 
 static void send_cancel(gpointer data, gpointer unused) {
     (void)unused;
-    cancel_order *order = data;
-    hs_engine_cancel_many(order->engine_url, order->request_ids);
-    g_free(order->engine_url);
-    g_ptr_array_free(order->request_ids, TRUE);
-    g_free(order);
+    cancel_task *task = data;
+    hs_engine_cancel_many(task->engine_url, task->request_ids);
+    g_free(task->engine_url);
+    g_ptr_array_free(task->request_ids, TRUE);
+    g_free(task);
 }
 
-/** Made at the first cancel, for the life of the process. */
-static gpointer make_pool(gpointer unused) {
+/** Creates the pool at the first cancellation; the pool lives until the process exits. */
+static gpointer create_pool(gpointer unused) {
     (void)unused;
     return g_thread_pool_new(send_cancel, NULL, CANCEL_THREADS, TRUE, NULL);
 }
 
 void hs_engine_cancel_many_soon(const char *engine_url, GPtrArray *request_ids) {
     static GOnce once = G_ONCE_INIT;
-    GThreadPool *pool = g_once(&once, make_pool, NULL);
-    cancel_order *order = g_new0(cancel_order, 1);
-    order->engine_url = g_strdup(engine_url);
-    order->request_ids = request_ids;
-    g_thread_pool_push(pool, order, NULL);
+    GThreadPool *pool = g_once(&once, create_pool, NULL);
+    cancel_task *task = g_new0(cancel_task, 1);
+    task->engine_url = g_strdup(engine_url);
+    task->request_ids = request_ids;
+    g_thread_pool_push(pool, task, NULL);
 }
 
 void hs_engine_cancel_soon(const char *engine_url, const char *request_id) {
--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -1,4 +1,4 @@
-/** @file engine_client.c  The engines' wire forms; see engine_client.h. */
+/** @file engine_client.c  See engine_client.h. */
 #include "engine/engine_client.h"
 
 #include "base/endpoint.h"
@@ -12,7 +12,7 @@
 #include <unistd.h>
 
 #define DATA_PREFIX "data: "
-#define DONE_MARK "[DONE]"
+#define STREAM_TERMINATOR "[DONE]"
 #define CONTROL_TIMEOUT_S 2
 #define MAX_EVENT_BYTES (1U << 20)
 #define HTTP_OK 200
@@ -21,7 +21,7 @@
 #define HTTP_TOO_MANY 429
 #define HTTP_UNAVAILABLE 503
 
-/** Reads server-sent events out of the body as its bytes come. */
+/** Parses server-sent events incrementally from the response's body. */
 typedef struct {
     GString *line;
     uint32_t next_token;
@@ -39,9 +39,9 @@
     return json_is_string(json_object_get(choice, "finish_reason"));
 }
 
-/** Take one event's JSON. False when reading must stop. */
-static bool take_event(event_reader *reader, const char *text) {
-    if (strcmp(text, DONE_MARK) == 0) {
+/** Processes one event's data. False if reading must stop. */
+static bool process_event(event_reader *reader, const char *text) {
+    if (strcmp(text, STREAM_TERMINATOR) == 0) {
         reader->done_seen = true;
         return true;
     }
@@ -65,7 +65,7 @@
     return !reader->aborted;
 }
 
-/** curl's write callback: a count other than the one given ends the transfer. */
+/** Write callback of curl: a return value other than the length aborts the transfer. */
 static size_t read_events(void *contents, size_t size, size_t count, void *user_data) {
     event_reader *reader = user_data;
     const char *bytes = contents;
@@ -78,14 +78,14 @@
             continue;
         }
         bool is_data = g_str_has_prefix(reader->line->str, DATA_PREFIX);
-        if (is_data && !take_event(reader, reader->line->str + strlen(DATA_PREFIX)))
+        if (is_data && !process_event(reader, reader->line->str + strlen(DATA_PREFIX)))
             return 0;
         g_string_truncate(reader->line, 0);
     }
     return length;
 }
 
-/** Error code of a JSON error body that the reader collected in its line. */
+/** Copies the error code of a JSON error body, which the reader has collected in its line. */
 static void copy_error_code(const event_reader *reader, hs_run_result *result) {
     json_t *body = json_loads(reader->line->str, 0, NULL);
     const char *code = json_string_value(json_object_get(json_object_get(body, "error"), "code"));
@@ -93,7 +93,7 @@
     json_decref(body);
 }
 
-static hs_run_end end_of(const event_reader *reader, bool answered, long status) {
+static hs_run_end classify_end(const event_reader *reader, bool answered, long status) {
     if (reader->aborted)
         return HS_RUN_ABORTED;
     if (answered &&
@@ -118,7 +118,7 @@
     ulfius_init_response(&response);
     bool answered =
         ulfius_send_http_streaming_request(request, &response, read_events, &reader) == U_OK;
-    hs_run_result result = {.end = end_of(&reader, answered, response.status),
+    hs_run_result result = {.end = classify_end(&reader, answered, response.status),
                             .next_token = reader.next_token,
                             .status = answered ? response.status : 0};
     copy_error_code(&reader, &result);
@@ -175,7 +175,7 @@
     return run_exchange(call, &exchange, on_token, user_data);
 }
 
-/** POST @p body, which is taken over. @return HTTP status, 0: no answer. */
+/** Sends @p body, whose reference is consumed. Returns the HTTP status; 0: no response. */
 static long post_json(const char *url, json_t *body) {
     char *text = json_dumps(body, JSON_COMPACT);
     json_decref(body);
@@ -224,18 +224,19 @@
         return false;
     bool open = connect(descriptor, (struct sockaddr *)&address, sizeof address) == 0;
     if (!open && errno == EINPROGRESS) {
-        struct pollfd waiting = {.fd = descriptor, .events = POLLOUT};
-        int failure = 0;
-        socklen_t failure_size = sizeof failure;
-        open = poll(&waiting, 1, (int)timeout_ms) == 1 &&
-               getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &failure, &failure_size) == 0 &&
-               failure == 0;
+        struct pollfd poll_entry = {.fd = descriptor, .events = POLLOUT};
+        int socket_error = 0;
+        socklen_t socket_error_size = sizeof socket_error;
+        open =
+            poll(&poll_entry, 1, (int)timeout_ms) == 1 &&
+            getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &socket_error, &socket_error_size) == 0 &&
+            socket_error == 0;
     }
     close(descriptor);
     return open;
 }
 
-/** GET a JSON document of the engine; NULL on failure. The caller owns it. */
+/** Reads a JSON document from the engine; NULL on socket_error. Owned by the caller. */
 static json_t *read_document(const char *engine_url, const char *path) {
     g_autofree char *url = g_strconcat(engine_url, path, NULL);
     hs_http_request request = {.method = "GET", .url = url, .timeout_s = CONTROL_TIMEOUT_S};
--- a/src/engine/whole_answer.c
+++ b/src/engine/whole_answer.c
@@ -1,45 +1,45 @@
 /** @file whole_answer.c  See whole_answer.h. */
 #include "engine/whole_answer.h"
 
-void hs_whole_answer_init(hs_whole_answer *answer, bool chat) {
-    *answer = (hs_whole_answer){.chat = chat, .text = g_string_new(NULL)};
+void hs_whole_answer_init(hs_whole_answer *builder, bool chat) {
+    *builder = (hs_whole_answer){.chat = chat, .text = g_string_new(NULL)};
 }
 
-void hs_whole_answer_clear(hs_whole_answer *answer) {
-    g_string_free(answer->text, TRUE);
+void hs_whole_answer_clear(hs_whole_answer *builder) {
+    g_string_free(builder->text, TRUE);
 }
 
-static void forget_tokens(hs_whole_answer *answer) {
-    g_string_truncate(answer->text, 0);
-    answer->token_count = 0;
-    answer->finish_reason[0] = '\0';
+static void discard_tokens(hs_whole_answer *builder) {
+    g_string_truncate(builder->text, 0);
+    builder->token_count = 0;
+    builder->finish_reason[0] = '\0';
 }
 
-void hs_whole_answer_add(hs_whole_answer *answer, const json_t *event) {
+void hs_whole_answer_add(hs_whole_answer *builder, const json_t *event) {
     if (json_integer_value(json_object_get(event, "token_index")) == 0)
-        forget_tokens(answer);
+        discard_tokens(builder);
     const json_t *choice = json_array_get(json_object_get(event, "choices"), 0);
-    const json_t *piece = answer->chat
+    const json_t *piece = builder->chat
                               ? json_object_get(json_object_get(choice, "delta"), "content")
                               : json_object_get(choice, "text");
     const char *finish = json_string_value(json_object_get(choice, "finish_reason"));
     if (json_is_string(piece))
-        g_string_append(answer->text, json_string_value(piece));
+        g_string_append(builder->text, json_string_value(piece));
     if (finish != NULL)
-        g_strlcpy(answer->finish_reason, finish, sizeof answer->finish_reason);
-    answer->token_count++;
+        g_strlcpy(builder->finish_reason, finish, sizeof builder->finish_reason);
+    builder->token_count++;
 }
 
-json_t *hs_whole_answer_body(const hs_whole_answer *answer, const char *id, const char *model,
+json_t *hs_whole_answer_body(const hs_whole_answer *builder, const char *id, const char *model,
                              uint64_t created_s) {
     json_t *choice =
-        answer->chat
+        builder->chat
             ? json_pack("{s:i,s:{s:s,s:s},s:s}", "index", 0, "message", "role", "assistant",
-                        "content", answer->text->str, "finish_reason", answer->finish_reason)
-            : json_pack("{s:i,s:s,s:s}", "index", 0, "text", answer->text->str, "finish_reason",
-                        answer->finish_reason);
+                        "content", builder->text->str, "finish_reason", builder->finish_reason)
+            : json_pack("{s:i,s:s,s:s}", "index", 0, "text", builder->text->str, "finish_reason",
+                        builder->finish_reason);
     return json_pack("{s:s,s:s,s:I,s:s,s:[o],s:{s:I}}", "id", id, "object",
-                     answer->chat ? "chat.completion" : "text_completion", "created",
+                     builder->chat ? "chat.completion" : "text_completion", "created",
                      (json_int_t)created_s, "model", model, "choices", choice, "usage",
-                     "completion_tokens", (json_int_t)answer->token_count);
+                     "completion_tokens", (json_int_t)builder->token_count);
 }
--- a/src/engine/whole_answer.h
+++ b/src/engine/whole_answer.h
@@ -1,4 +1,5 @@
-/** @file whole_answer.h  Collects a stream's tokens into the one answer of a plain request. */
+/** @file whole_answer.h  Assembles the response of a non-streaming request from a stream's events.
+ */
 #ifndef HS_ENGINE_WHOLE_ANSWER_H
 #define HS_ENGINE_WHOLE_ANSWER_H
 
@@ -8,20 +9,20 @@
 #include <stdint.h>
 
 typedef struct {
-    bool chat;
+    bool chat; /**< True: chat completion; false: text completion. */
     GString *text;
     uint32_t token_count;
     char finish_reason[24];
 } hs_whole_answer;
 
-void hs_whole_answer_init(hs_whole_answer *answer, bool chat);
-void hs_whole_answer_clear(hs_whole_answer *answer);
+void hs_whole_answer_init(hs_whole_answer *builder, bool chat);
+void hs_whole_answer_clear(hs_whole_answer *builder);
 
-/** Add one event of the stream. Token 0 begins an attempt and drops what another one left. */
-void hs_whole_answer_add(hs_whole_answer *answer, const json_t *event);
+/** Adds one event of the stream. Token 0 discards the tokens of an earlier attempt. */
+void hs_whole_answer_add(hs_whole_answer *builder, const json_t *event);
 
-/** The answer's body under @p id. The caller owns it. */
-json_t *hs_whole_answer_body(const hs_whole_answer *answer, const char *id, const char *model,
+/** Returns the response's body. Owned by the caller. */
+json_t *hs_whole_answer_body(const hs_whole_answer *builder, const char *id, const char *model,
                              uint64_t created_s);
 
 #endif
--- a/src/node/metrics.h
+++ b/src/node/metrics.h
@@ -1,7 +1,6 @@
 /**
  * @file metrics.h
- * Counters and latency histograms of one daemon, printed as Prometheus text.
- * No C client of Prometheus is packaged, so the text form is written here; it is small.
+ * Counters and the latency histogram of one daemon, in the Prometheus text format. Thread-safe.
  */
 #ifndef HS_NODE_METRICS_H
 #define HS_NODE_METRICS_H
@@ -35,13 +34,13 @@
 void hs_metrics_init(hs_metrics *metrics);
 void hs_metrics_add(hs_metrics *metrics, hs_counter counter, uint64_t amount);
 
-/** Note the time to the first token of an online request. */
+/** Records the time to the first token of an online request. */
 void hs_metrics_first_token(hs_metrics *metrics, double seconds);
 
-/** Append all as Prometheus text. */
+/** Appends all metrics to @p text. */
 void hs_metrics_print(hs_metrics *metrics, GString *text);
 
-/** Append one gauge. */
+/** Appends one gauge to @p text. */
 void hs_metrics_print_gauge(GString *text, const char *name, const char *help, double value);
 
 #endif
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -7,7 +7,7 @@
     return (hs_node_state)g_atomic_int_get(&node->state);
 }
 
-bool hs_node_takes_connections(const hs_node *node) {
+bool hs_node_is_accepting_connections(const hs_node *node) {
     return node->front_watch == NULL || hs_front_watch_is_taking(node->front_watch);
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,6 +1,6 @@
 /**
  * @file node.h
- * The parts of one daemon that commands and queries work with. Made by src/daemon, borrowed here.
+ * The components of one daemon that commands and queries use. src/daemon creates and owns them.
  */
 #ifndef HS_NODE_NODE_H
 #define HS_NODE_NODE_H
@@ -20,14 +20,14 @@
 #include "store/appender.h"
 
 /**
- * STARTING -> READY when configuration is known; READY -> STARTING after a sleep;
- * any -> DRAINING by a signal; DRAINING -> STOPPING after the notice time.
+ * STARTING -> READY when the configuration is known; READY -> STARTING after a system suspend;
+ * any state -> DRAINING on a signal; DRAINING -> STOPPING after the notice time.
  */
 typedef enum {
     HS_NODE_STARTING,
     HS_NODE_READY,
-    HS_NODE_DRAINING, /**< Not ready any more, but still takes what comes. */
-    HS_NODE_STOPPING, /**< Refuses new requests; finishes open ones. */
+    HS_NODE_DRAINING, /**< Reports not ready, but still accepts requests. */
+    HS_NODE_STOPPING, /**< Refuses new requests; completes those in progress. */
 } hs_node_state;
 
 typedef struct {
@@ -44,33 +44,33 @@
     hs_coordinator *coordinator;
     hs_scheduler *scheduler;
     hs_tenant_limits *limits;
-    hs_demand *demand; /**< Requests that came in here, by group and model. */
+    hs_demand *demand; /**< Requests received by this daemon, by group and model. */
     GMutex retry_lock;
     hs_retry_budget retry_budget;
     hs_metrics metrics;
     hs_trace_log *traces;
-    GThreadPool *online_workers; /**< Runs online attempts; see commands/online_request.c. */
+    GThreadPool *online_workers; /**< Runs attempts of online requests. */
     gint notice_sequence;
-    gint online_count;           /**< Online requests now open. */
-    gint call_count;             /**< Callers' handlers now running. */
+    gint online_count;           /**< Online requests in progress. */
+    gint call_count;             /**< Callers' handlers in progress. */
     gint state;                  /**< hs_node_state */
-    hs_front_watch *front_watch; /**< NULL: callers are not served here. */
+    hs_front_watch *front_watch; /**< NULL: this daemon does not serve callers. */
 } hs_node;
 
 hs_node_state hs_node_state_of(hs_node *node);
 
-/** Whether new requests are taken. */
+/** Returns whether the daemon accepts new requests. */
 bool hs_node_takes_requests(hs_node *node);
 
-/** Whether callers' connections are taken; true where they are not served here. */
-bool hs_node_takes_connections(const hs_node *node);
+/** Returns whether callers' connections are accepted; true if callers are not served. */
+bool hs_node_is_accepting_connections(const hs_node *node);
 
 const char *hs_node_state_name(hs_node_state state);
 
-/** Live daemons, self included. */
+/** Returns the number of live daemons, including this one. */
 uint32_t hs_node_live_daemons(hs_node *node);
 
-/** Tell the engine's scheduler how many online requests we have on the engine. */
+/** Reports this daemon's number of online requests on the engine to the engine's scheduler. */
 void hs_node_notice_online(hs_node *node, const char *engine_id);
 
 #endif
--- a/src/queries/batch_queries.c
+++ b/src/queries/batch_queries.c
@@ -1,7 +1,7 @@
 /**
  * @file batch_queries.c
- * GET of batches and files. Each answer follows a read of the partition's stream to its end, so
- * that it is true on any daemon, whoever owns the partition.
+ * GET of batches and files. Each handler first reads the partition's stream to its end, so any
+ * daemon returns current data, including those that do not own the partition.
  */
 #include "batch/batch_id.h"
 #include "batch/job_json.h"
@@ -16,7 +16,7 @@
 #define MAX_LIST_LIMIT 100
 #define MS_PER_S 1000
 
-/** Tenant and replica of the id in the path; answers and returns NULL when refused. */
+/** Returns the refreshed replica of the id in the path; NULL: the request was refused. */
 static hs_replica *open_replica(hs_node *node, const struct _u_request *request,
                                 struct _u_response *response, const char **tenant) {
     uint32_t partition = 0;
@@ -77,21 +77,21 @@
                   json_string_value(json_object_get(second, "id")));
 }
 
-/** The page of @p all, newest first, that follows the id @p after. */
-static json_t *page_of(json_t *all, const char *after, size_t limit) {
+/** Returns the page of @p all, newest first, that follows the id @p after. */
+static json_t *make_page(json_t *all, const char *after, size_t limit) {
     size_t count = json_array_size(all);
     g_autofree json_t **sorted = g_new0(json_t *, count + 1);
     for (size_t index = 0; index < count; index++)
         sorted[index] = json_array_get(all, index);
     qsort(sorted, count, sizeof(json_t *), compare_documents);
     json_t *page = json_array();
-    bool begun = after == NULL;
+    bool started = after == NULL;
     size_t index = 0;
     for (; index < count && json_array_size(page) < limit; index++) {
-        if (begun)
+        if (started)
             json_array_append(page, sorted[index]);
         else
-            begun = strcmp(json_string_value(json_object_get(sorted[index], "id")), after) == 0;
+            started = strcmp(json_string_value(json_object_get(sorted[index], "id")), after) == 0;
     }
     return json_pack("{s:s,s:o,s:b}", "object", "list", "data", page, "has_more", index < count);
 }
@@ -115,7 +115,7 @@
         add_jobs(replica, tenant, all);
     }
     uint64_t limit = hs_http_parameter_number(request, "limit", DEFAULT_LIST_LIMIT);
-    json_t *page = page_of(all, hs_http_parameter(request, "after"), MIN(limit, MAX_LIST_LIMIT));
+    json_t *page = make_page(all, hs_http_parameter(request, "after"), MIN(limit, MAX_LIST_LIMIT));
     json_decref(all);
     return hs_http_reply_json(response, 200, page);
 }
--- a/src/queries/file_content.c
+++ b/src/queries/file_content.c
@@ -1,7 +1,7 @@
 /**
  * @file file_content.c
- * GET /v1/files/{id}/content: the lines of an input file, or the results of a job, read from the
- * log slice by slice as they are written out. A job of any size takes a slice's memory.
+ * GET /v1/files/{id}/content: streams the lines of an input file or the results of a job from the
+ * log, one slice at a time, so memory does not grow with the size of the job.
  */
 #include "base/fault_point.h"
 #include "batch/batch_id.h"
@@ -15,20 +15,20 @@
 #define STREAM_BLOCK_SIZE 65536
 #define RETRY_AFTER_S 2
 
-/** One thing to read: a chunk's lines, or the results of one record. */
+/** A record to read: a file chunk, or the results of completed items. */
 typedef struct {
     uint64_t offset;
-    uint32_t item; /**< Of results: the item whose result counted there. */
+    uint32_t item; /**< For results: the item whose accepted result is in the record. */
 } wanted_record;
 
-/** A file being written out; of the connection's thread alone. */
+/** A file that is being sent; used by the connection's thread only. */
 typedef struct {
     hs_node *node;
     hs_replica *replica;
-    char *job_id;   /**< NULL for an input file. */
-    GArray *wanted; /**< of wanted_record, by offset */
-    guint next;     /**< First of @c wanted not yet written. */
-    GString *pending;
+    char *job_id;     /**< NULL for an input file. */
+    GArray *wanted;   /**< of wanted_record, by offset */
+    guint next;       /**< Index of the first of @c wanted that was not read. */
+    GString *pending; /**< Bytes read but not sent. */
 } content_stream;
 
 static void free_content(void *user_data) {
@@ -64,7 +64,7 @@
     stream->next++;
 }
 
-static void take_record(content_stream *stream, const hs_log_record *raw) {
+static void process_record(content_stream *stream, const hs_log_record *raw) {
     const wanted_record *wanted = &g_array_index(stream->wanted, wanted_record, stream->next);
     if (wanted->offset != raw->offset)
         return;
@@ -78,7 +78,7 @@
     hs__partition_record__free_unpacked(record, NULL);
 }
 
-/** Read the next slice that holds something wanted; false when the log cannot be read. */
+/** Reads the slice at the next wanted record; false if the log cannot be read. */
 static bool read_slice(content_stream *stream) {
     uint64_t offset = g_array_index(stream->wanted, wanted_record, stream->next).offset;
     guint before = stream->next;
@@ -88,7 +88,7 @@
                     &slice, NULL) != 0)
         return false;
     for (guint index = 0; index < slice.records->len && stream->next < stream->wanted->len; index++)
-        take_record(stream, &g_array_index(slice.records, hs_log_record, index));
+        process_record(stream, &g_array_index(slice.records, hs_log_record, index));
     hs_log_slice_clear(&slice);
     return stream->next > before;
 }
@@ -116,8 +116,9 @@
     return (first->item > second->item) - (first->item < second->item);
 }
 
-/** Records with a job's counted results; NULL when there is no such job of the tenant. */
-static GArray *wanted_results(const hs_partition *state, const char *job_id, const char *tenant) {
+/** Lists the records with a job's accepted results; NULL if the tenant has no such job. */
+static GArray *list_result_records(const hs_partition *state, const char *job_id,
+                                   const char *tenant) {
     const hs_job *job = hs_partition_job(state, job_id);
     if (job == NULL || strcmp(job->tenant, tenant) != 0)
         return NULL;
@@ -132,8 +133,9 @@
     return wanted;
 }
 
-/** Records with a file's chunks; NULL when there is no such file of the tenant. */
-static GArray *wanted_chunks(const hs_partition *state, const char *file_id, const char *tenant) {
+/** Lists the records with a file's chunks; NULL if the tenant has no such file. */
+static GArray *list_chunk_records(const hs_partition *state, const char *file_id,
+                                  const char *tenant) {
     const hs_file *file = hs_partition_file(state, file_id);
     if (file == NULL || !file->sealed || strcmp(file->tenant, tenant) != 0)
         return NULL;
@@ -177,8 +179,8 @@
                                      RETRY_AFTER_S);
     char *job_id = hs_output_job_id(id);
     const hs_partition *state = hs_replica_lock(replica);
-    GArray *wanted =
-        job_id != NULL ? wanted_results(state, job_id, tenant) : wanted_chunks(state, id, tenant);
+    GArray *wanted = job_id != NULL ? list_result_records(state, job_id, tenant)
+                                    : list_chunk_records(state, id, tenant);
     hs_replica_unlock(replica);
     if (wanted != NULL)
         return reply_content(node, replica, job_id, wanted, response);
--- a/src/queries/query_routes.h
+++ b/src/queries/query_routes.h
@@ -1,6 +1,6 @@
 /**
  * @file query_routes.h
- * The requests that only read: models, files, batches, status, metrics, explain, configuration.
+ * Routes of read-only requests: models, files, batches, status, metrics, explain, configuration.
  */
 #ifndef HS_QUERIES_QUERY_ROUTES_H
 #define HS_QUERIES_QUERY_ROUTES_H
@@ -8,10 +8,10 @@
 #include "http/http_server.h"
 #include "node/node.h"
 
-/** Routes of callers. */
+/** Registers the callers' routes. */
 void hs_query_routes_caller(hs_node *node, hs_http_server *server);
 
-/** Routes of operators and of peers. */
+/** Registers the routes of operators and of other daemons. */
 void hs_query_routes_admin(hs_node *node, hs_http_server *server);
 
 /* Handlers of batch_queries.c and file_content.c. user_data is the hs_node. */
--- a/src/queries/status_queries.c
+++ b/src/queries/status_queries.c
@@ -1,4 +1,4 @@
-/** @file status_queries.c  Models, health, readiness, status, metrics, explain. */
+/** @file status_queries.c  Handlers for models, health, readiness, status, metrics and explain. */
 #include "base/clock.h"
 #include "http/refusal.h"
 #include "queries/query_routes.h"
@@ -38,11 +38,11 @@
     (void)request;
     hs_node *node = user_data;
     hs_node_state state = hs_node_state_of(node);
-    bool takes_connections = hs_node_takes_connections(node);
-    bool is_ready = state == HS_NODE_READY && takes_connections;
+    bool is_accepting = hs_node_is_accepting_connections(node);
+    bool is_ready = state == HS_NODE_READY && is_accepting;
     return hs_http_reply_json(response, is_ready ? 200 : HTTP_UNAVAILABLE,
                               json_pack("{s:s,s:b,s:b}", "status", hs_node_state_name(state),
-                                        "takes_connections", takes_connections,
+                                        "takes_connections", is_accepting,
                                         "configuration_confirmed",
                                         hs_config_store_is_confirmed(node->config)));
 }
@@ -162,7 +162,7 @@
         json_pack("{s:s,s:o}", "request", hs_http_parameter(request, "id"), "attempts", lines));
 }
 
-/** The engines alone, for a peer that cannot read the machine list. */
+/** Lists the engines, for daemons that cannot read the machine list. */
 static int query_engines(const struct _u_request *request, struct _u_response *response,
                          void *user_data) {
     (void)request;
@@ -170,13 +170,13 @@
                               json_pack("{s:o}", "engines", describe_engines(user_data)));
 }
 
-void hs_status_routes_caller(hs_node *node, hs_http_server *server) {
+void hs_status_register_caller_routes(hs_node *node, hs_http_server *server) {
     hs_http_server_route(server, "GET", "/v1/models", query_models, node);
     hs_http_server_route(server, "GET", "/healthz", query_health, node);
     hs_http_server_route(server, "GET", "/readyz", query_ready, node);
 }
 
-void hs_status_routes_admin(hs_node *node, hs_http_server *server) {
+void hs_status_register_admin_routes(hs_node *node, hs_http_server *server) {
     hs_http_server_route(server, "GET", "/healthz", query_health, node);
     hs_http_server_route(server, "GET", "/readyz", query_ready, node);
     hs_http_server_route(server, "GET", "/metrics", query_metrics, node);
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -1,7 +1,4 @@
-/**
- * @file fleet_metrics.c  See fleet_metrics.h. No Prometheus client for C is packaged; the text
- * form is a few lines.
- */
+/** @file fleet_metrics.c  See fleet_metrics.h. */
 #include "surface/fleet_metrics.h"
 
 #include "base/build_info.h"
@@ -28,7 +25,7 @@
     g_mutex_unlock(&counters->lock);
 }
 
-static void write_holds(GString *text, hs_online *online) {
+static void write_held_requests(GString *text, hs_online *online) {
     hs_held_counters held = hs_held_requests_get_counters(online->held);
     g_string_append_printf(text,
                            "heathsail_requests_held %u\n"
@@ -48,8 +45,8 @@
 
 static void write_config(GString *text, hs_config_source *source) {
     hs_fleet_config *config = hs_config_source_get(source);
-    uint64_t heard_ms = hs_config_source_last_received_ms(source);
-    uint64_t age_ms = heard_ms > 0 ? hs_clock_monotonic_ms() - heard_ms : 0;
+    uint64_t last_received_ms = hs_config_source_last_received_ms(source);
+    uint64_t age_ms = last_received_ms > 0 ? hs_clock_monotonic_ms() - last_received_ms : 0;
     g_string_append_printf(text,
                            "heathsail_config_version %" G_GUINT64_FORMAT
                            "\nheathsail_config_heard_age_ms %" G_GUINT64_FORMAT "\n",
@@ -111,7 +108,7 @@
     hs_job_owner_write_metrics(sources->owner, text);
 }
 
-static void write_losses(GString *text) {
+static void write_lost_connections(GString *text) {
     for (int kind = 0; kind < HS_CONNECTION_KINDS; kind++)
         g_string_append_printf(text,
                                "heathsail_connections_lost{kind=\"%s\"} %" G_GUINT64_FORMAT "\n",
@@ -134,7 +131,7 @@
                            (guint64)counters.dropped);
 }
 
-/** Open requests, the machine, and calls to the store and to engines. */
+/** Writes open requests, machine use, and calls to the store and to engines. */
 static void write_calls(GString *text, const hs_fleet_metrics_sources *sources) {
     hs_store_counters calls = hs_store_client_counters(sources->store);
     g_string_append_printf(
@@ -160,19 +157,19 @@
     hs_online *online = sources->online;
     g_string_append_printf(text, "heathsail_build_info{commit=\"%s\"} 1\n", hs_build_commit());
     write_online(text, online);
-    write_holds(text, online);
+    write_held_requests(text, online);
     write_config(text, online->config);
     write_admission(text, sources->jobs);
     write_limits(text, sources->members);
-    g_autofree char *shares =
+    g_autofree char *slot_use =
         hs_tenant_limiter_describe_slot_use(hs_daemon_directory_limiter(sources->members));
-    g_string_append(text, shares);
-    g_autofree char *levels = hs_fair_shares_describe(online->levels);
-    g_string_append(text, levels);
+    g_string_append(text, slot_use);
+    g_autofree char *fair_shares = hs_fair_shares_describe(online->levels);
+    g_string_append(text, fair_shares);
     write_entries(text, sources->engine_source);
     write_job_reads(text, sources->jobs);
     write_partitions(text, sources);
-    write_losses(text);
+    write_lost_connections(text);
     write_memory(text, online->read_ahead);
     g_string_append_printf(text,
                            "heathsail_settings_reloads_total %d\n"
--- a/src/surface/fleet_metrics.h
+++ b/src/surface/fleet_metrics.h
@@ -1,4 +1,4 @@
-/** @file fleet_metrics.h  Metrics of the fleet surface in Prometheus' text form. */
+/** @file fleet_metrics.h  Writes the metrics of the fleet surface in the Prometheus text format. */
 #ifndef HS_SURFACE_FLEET_METRICS_H
 #define HS_SURFACE_FLEET_METRICS_H
 
@@ -8,13 +8,13 @@
 #include "jobs/job_service.h"
 #include "online/online_request.h"
 
-/** How often the settings were read anew; atomic. */
+/** Counts of settings reloads; accessed atomically. */
 typedef struct {
-    gint taken;
-    gint refused; /**< Broken, or no file: the ones before stayed. */
+    gint taken;   /**< Reloads that were applied. */
+    gint refused; /**< Missing or invalid file; the previous settings stay in effect. */
 } hs_reload_counts;
 
-/** Where the figures come from. All borrowed. */
+/** Sources of the metrics. All pointers are borrowed. */
 typedef struct {
     hs_online *online;
     hs_job_service *jobs;
@@ -27,7 +27,7 @@
     uint32_t open_requests;
 } hs_fleet_metrics_sources;
 
-/** All metrics as text. Free with g_free. */
+/** Returns all metrics as text. Free with g_free. */
 char *hs_fleet_metrics_write(const hs_fleet_metrics_sources *sources);
 
 #endif
--- a/src/surface/fleet_surface.c
+++ b/src/surface/fleet_surface.c
@@ -1,4 +1,4 @@
-/** @file fleet_surface.c  Listeners and the sorting of calls; see fleet_surface.h. */
+/** @file fleet_surface.c  See fleet_surface.h. */
 #include "surface/fleet_surface.h"
 
 #include "base/clock.h"
@@ -19,19 +19,19 @@
 #define SMALL_BODY_BYTES 65536
 #define CONFIG_WAIT_MS 250
 #define CONFIG_POLL_MS 10
-#define IDLE_SLACK_S 5
+#define IDLE_TIMEOUT_MARGIN_S 5
 
-/** A caller's connection, and one to an engine. */
+/** One for the caller's connection, one for the engine's. */
 #define DESCRIPTORS_PER_REQUEST 2
 
 struct hs_fleet_surface {
     hs_fleet_surface_settings settings;
-    gint leaving;
+    gint draining;
     hs_listener *front;
     hs_listener *ready;
     hs_listener *directory;
     hs_listener *metrics;
-    hs_listener *peers; /**< Other daemons' calls about jobs. */
+    hs_listener *peers; /**< Calls from other daemons. */
     hs_front_watch *watch;
 };
 
@@ -39,33 +39,33 @@
     hs_inbound_reply(inbound, status, NULL, "", 0);
 }
 
-/** Apply the operator's limits to connections from now on. */
+/** Applies the configured idle timeout to the callers' connections. */
 static void apply_limits(hs_fleet_surface *surface, const hs_fleet_config *config) {
-    uint32_t idle_s = (uint32_t)(config->limits.idle_timeout_ms / 1000) + IDLE_SLACK_S;
+    uint32_t idle_s = (uint32_t)(config->limits.idle_timeout_ms / 1000) + IDLE_TIMEOUT_MARGIN_S;
     hs_listener_set_idle_timeout(surface->front, idle_s);
 }
 
-/** The configuration; a daemon that has just started is given a moment to learn it. */
+/** Returns the configuration; waits briefly for it after a start. NULL: not available yet. */
 static hs_fleet_config *wait_for_config(hs_fleet_surface *surface) {
-    uint64_t until_ms = hs_clock_monotonic_ms() + CONFIG_WAIT_MS;
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + CONFIG_WAIT_MS;
     hs_fleet_config *config = hs_config_source_get(surface->settings.online->config);
-    while (config == NULL && hs_clock_monotonic_ms() < until_ms) {
+    while (config == NULL && hs_clock_monotonic_ms() < deadline_ms) {
         hs_clock_sleep_ms(CONFIG_POLL_MS);
         config = hs_config_source_get(surface->settings.online->config);
     }
     return config;
 }
 
-/** Refuse before a route took the request. */
+/** Refuses a request that no service has accepted yet. */
 static void refuse(hs_fleet_surface *surface, hs_inbound *inbound, const hs_caller_terms *terms,
                    hs_end_reason reason) {
     hs_log_info("request_refused", "request=%s reason=%s method=%s target_bytes=%zu",
                 terms->request_id != NULL ? terms->request_id : "-", hs_end_reason_name(reason),
                 inbound->method, strlen(inbound->target));
-    /* What it waited for in vain is expected to lack for as long again. */
-    uint64_t tried_ms = hs_clock_monotonic_ms() - inbound->received_ms;
+    /* The cause is expected to last as long again as the request has waited. */
+    uint64_t waited_ms = hs_clock_monotonic_ms() - inbound->received_ms;
     uint64_t after_ms =
-        hs_retry_after_spread_ms(hs_retry_after_absence_ms(tried_ms, 0), g_random_int());
+        hs_retry_after_spread_ms(hs_retry_after_absence_ms(waited_ms, 0), g_random_int());
     hs_online_refuse(surface->settings.online, inbound, reason, after_ms);
 }
 
@@ -73,14 +73,14 @@
                                                [HS_ACCESS_KEY_UNKNOWN] = HS_END_KEY_UNKNOWN,
                                                [HS_ACCESS_KEY_MALFORMED] = HS_END_KEY_MALFORMED};
 
-/** Whether this daemon's word on keys still holds; see hs_online. */
-static bool knows_keys(hs_online *online) {
+/** Returns whether the list of valid keys is recent enough; see hs_online. */
+static bool has_recent_keys(hs_online *online) {
     uint64_t as_of_ms = hs_config_source_as_of_ms(online->config);
     return online->max_key_age_ms == 0 ||
            hs_clock_monotonic_ms() <= as_of_ms + online->max_key_age_ms;
 }
 
-/** Whether the caller may have what it asks for; refused where it may not. */
+/** Returns whether the caller has access; if not, the request is refused. */
 static bool has_access(hs_fleet_surface *surface, hs_inbound *inbound, const hs_caller_terms *terms,
                        const hs_fleet_config *config, bool is_public,
                        const hs_fleet_tenant **tenant) {
@@ -89,17 +89,18 @@
         &(hs_access_request){
             .key = terms->api_key, .has_many_keys = terms->has_many_keys, .is_public = is_public},
         tenant);
-    bool is_sure = *tenant == NULL || knows_keys(surface->settings.online);
+    bool are_keys_recent = *tenant == NULL || has_recent_keys(surface->settings.online);
     if (access != HS_ACCESS_GRANTED)
         refuse(surface, inbound, terms, access_reasons[access]);
-    else if (!is_sure)
+    else if (!are_keys_recent)
         refuse(surface, inbound, terms, HS_END_KEYS_STALE);
-    return access == HS_ACCESS_GRANTED && is_sure;
+    return access == HS_ACCESS_GRANTED && are_keys_recent;
 }
 
 /**
- * Whether the tenant is within its limit; refused at once where it is not, with the time at which
- * there is room for this caller. @p used_slots: that it asks for of late; 0: not known.
+ * Returns whether the tenant is within its rate limit; if not, the request is refused with the time
+ * at which this caller may retry. @p used_slots is set to the engine slots that the tenant
+ * requested recently; 0: unknown.
  */
 static bool is_within_limit(hs_fleet_surface *surface, hs_inbound *inbound,
                             const hs_caller_terms *terms, const hs_fleet_config *config,
@@ -135,11 +136,11 @@
     return false;
 }
 
-static const char *name_of(const hs_fleet_tenant *tenant) {
+static const char *get_tenant_name(const hs_fleet_tenant *tenant) {
     return tenant != NULL ? tenant->name : "";
 }
 
-/** Whether a request is refused for memory: for its own, or for what is kept for others. */
+/** Returns whether memory is short, for this request or for those in progress. */
 static bool is_short_of_memory(const hs_inbound *inbound) {
     return inbound->lacks_memory || hs_memory_mark_now() != HS_MEMORY_AMPLE;
 }
@@ -161,7 +162,7 @@
     } else if (is_short_of_memory(inbound)) {
         refuse(surface, inbound, terms, HS_END_NO_MEMORY);
     } else if (route->kind == HS_ROUTE_BATCH) {
-        hs_job_caller caller = {.terms = terms, .tenant = name_of(tenant)};
+        hs_job_caller caller = {.terms = terms, .tenant = get_tenant_name(tenant)};
         hs_job_service_submit(surface->settings.jobs, inbound, &caller, config, route);
     } else if (is_within_limit(surface, inbound, terms, config, tenant, &used_slots)) {
         hs_online_access access = {.config = hs_fleet_config_ref(config),
@@ -172,7 +173,7 @@
     }
 }
 
-/** A call about a job that was submitted before. */
+/** Serves a call on a job that was submitted before. */
 static void serve_job_call(hs_fleet_surface *surface, hs_inbound *inbound,
                            const hs_caller_terms *terms, const hs_fleet_config *config,
                            hs_call_kind kind, const char *job_id) {
@@ -180,7 +181,7 @@
     bool is_public = terms->api_key == NULL && hs_tenant_has_public_jobs(config);
     if (!has_access(surface, inbound, terms, config, is_public, &tenant))
         return;
-    hs_job_caller caller = {.terms = terms, .tenant = name_of(tenant)};
+    hs_job_caller caller = {.terms = terms, .tenant = get_tenant_name(tenant)};
     hs_job_service_call(surface->settings.jobs, inbound, &caller, kind, job_id);
 }
 
@@ -209,8 +210,8 @@
     hs_fleet_config_unref(config);
 }
 
-/** A submission of another daemon; anything else is a mistake. */
-static void serve_passed_on(hs_fleet_surface *surface, hs_inbound *inbound,
+/** Serves a submission forwarded by another daemon; refuses any other request. */
+static void serve_forwarded(hs_fleet_surface *surface, hs_inbound *inbound,
                             const hs_caller_terms *terms) {
     hs_fleet_config *config = hs_config_source_get(surface->settings.online->config);
     const hs_fleet_route *route =
@@ -223,7 +224,10 @@
     hs_fleet_config_unref(config);
 }
 
-/** What another daemon asks: of the store, an append, or a caller's call about a job passed on. */
+/**
+ * Serves a call from another daemon: a check of the store's state, a relayed append, or a forwarded
+ * call on a job.
+ */
 static void serve_peer(hs_inbound *inbound, void *user_data) {
     hs_fleet_surface *surface = user_data;
     if (inbound->lacks_memory) {
@@ -244,19 +248,19 @@
     hs_call_kind kind = hs_platform_sort_call(inbound->method, inbound->target, &job_id);
     hs_job_caller caller = {.terms = &terms, .tenant = terms.told_tenant};
     if (kind == HS_CALL_REQUEST)
-        serve_passed_on(surface, inbound, &terms);
+        serve_forwarded(surface, inbound, &terms);
     else
         hs_job_service_call_from_peer(surface->settings.jobs, inbound, &caller, kind, job_id);
 }
 
-/** Whether the front takes connections; without a front there is nothing to take. */
-static bool takes_connections(const hs_fleet_surface *surface) {
+/** Returns whether the front listener accepts connections; true if there is no such listener. */
+static bool is_accepting_connections(const hs_fleet_surface *surface) {
     return surface->front == NULL ||
            (surface->watch != NULL && hs_front_watch_is_taking(surface->watch));
 }
 
 static bool is_ready(hs_fleet_surface *surface) {
-    return g_atomic_int_get(&surface->leaving) == 0 && takes_connections(surface) &&
+    return g_atomic_int_get(&surface->draining) == 0 && is_accepting_connections(surface) &&
            surface->settings.may_serve(surface->settings.user_data);
 }
 
@@ -306,7 +310,7 @@
     hs_http_fields_free(fields);
 }
 
-/** Open a listener at "IPv4:port"; an empty address opens none. False with @p error. */
+/** Opens a listener at "IPv4:port", none if empty. Returns false with @p error on failure. */
 static bool open_listener(hs_listener **listener, const char *address,
                           const hs_listener_limits *limits, hs_inbound_handler handler,
                           hs_fleet_surface *surface, hs_error *error) {
@@ -319,8 +323,8 @@
 }
 
 /**
- * A daemon without figures, or one that others cannot ask about jobs, is worth more than none: a
- * taken port is logged only.
+ * Opens the listeners for metrics and other daemons. The daemon can serve without them, so a
+ * failure is only logged.
  */
 static void open_optional(hs_fleet_surface *surface, const hs_connection_plan *plan) {
     hs_error error = {0};
@@ -378,7 +382,7 @@
 }
 
 void hs_fleet_surface_leave(hs_fleet_surface *surface) {
-    g_atomic_int_set(&surface->leaving, 1);
+    g_atomic_int_set(&surface->draining, 1);
     if (surface->watch != NULL)
         hs_front_watch_leave(surface->watch);
     if (surface->front != NULL)
--- a/src/surface/fleet_surface.h
+++ b/src/surface/fleet_surface.h
@@ -1,7 +1,7 @@
 /**
  * @file fleet_surface.h
- * The listeners of the fleet surface: callers' requests, readiness, resolving, metrics. Each call
- * is sorted and handed to what serves it.
+ * The listeners of the fleet surface: callers' requests, readiness, address resolution, metrics and
+ * calls from other daemons. Classifies each call and dispatches it to its service.
  */
 #ifndef HS_SURFACE_FLEET_SURFACE_H
 #define HS_SURFACE_FLEET_SURFACE_H
@@ -11,43 +11,52 @@
 #include "online/online_request.h"
 #include "surface/fleet_metrics.h"
 
-/** All borrowed. Empty addresses: no such listener. */
+/**
+ * All pointers are borrowed for the surface's lifetime. Addresses have the form "IPv4:port"; an
+ * empty one opens no listener.
+ */
 typedef struct {
-    const char *front; /**< "IPv4:port" */
+    const char *front; /**< For callers' requests. */
     const char *ready;
-    const char *directory;
+    const char *directory; /**< Resolves daemon addresses. */
     const char *metrics;
-    const char *control;  /**< For other daemons. */
-    uint32_t descriptors; /**< That the process may have open. */
-    uint32_t contact_ms;  /**< Time within which a ready daemon takes a connection. */
+    const char *control;  /**< For calls from other daemons. */
+    uint32_t descriptors; /**< Limit of open descriptors of the process. */
+    uint32_t contact_ms;  /**< Time within which a ready daemon accepts a connection. */
     hs_online *online;
     hs_job_service *jobs;
-    hs_job_owner *owner; /**< For its metrics. */
+    hs_job_owner *owner; /**< For metrics. */
     hs_daemon_directory *members;
-    hs_engine_source *engine_source; /**< For its metrics. */
+    hs_engine_source *engine_source; /**< For metrics. */
     hs_store_client *store;
     hs_reload_counts *reloads;
     hs_wake_watch *wakes;
-    bool (*may_serve)(void *user_data); /**< Whether requests could be served. */
+    bool (*may_serve)(void *user_data); /**< Returns whether the daemon can serve requests. */
     void *user_data;
 } hs_fleet_surface_settings;
 
 typedef struct hs_fleet_surface hs_fleet_surface;
 
-/** Open the listeners; NULL with @p error. */
+/** Opens the listeners; returns NULL with @p error. Free with hs_fleet_surface_stop. */
 hs_fleet_surface *hs_fleet_surface_start(const hs_fleet_surface_settings *settings,
                                          hs_error *error);
 
-/** From now on not ready; answers close their connections; requests are still served. */
+/**
+ * Reports not ready from now on and closes each caller's connection after its next response.
+ * Requests are still served.
+ */
 void hs_fleet_surface_leave(hs_fleet_surface *surface);
 
-/** Take no new connections of callers and let idle ones end. May be called again and again. */
+/**
+ * Stops accepting callers' connections and closes idle ones. May be called repeatedly, to close the
+ * connections that became idle since the last call.
+ */
 void hs_fleet_surface_quiesce(hs_fleet_surface *surface);
 
-/** Requests of callers now open. */
+/** Returns the number of callers' requests in progress. */
 uint32_t hs_fleet_surface_open_requests(hs_fleet_surface *surface);
 
-/** Stop the listeners and free. NULL is allowed. */
+/** Stops the listeners and frees the surface. NULL is allowed. */
 void hs_fleet_surface_stop(hs_fleet_surface *surface);
 
 #endif
--- a/tests/unit/test_engine.c
+++ b/tests/unit/test_engine.c
@@ -1,4 +1,4 @@
-/** @file test_engine.c  The engine model of the stand-in. */
+/** @file test_engine.c  Tests the stand-in's engine model and its answers. */
 #include "standin/engine/answer.h"
 #include "standin/engine/engine_model.h"
 #include "tests/unit/unit_tests.h"
@@ -17,7 +17,7 @@
     return duration;
 }
 
-static void step_grows_with_the_batch(void) {
+static void step_duration_grows_with_batch_size(void) {
     engine_model *model = engine_model_new(&engine_model_default_settings);
     engine_sequence sequences[10] = {{0}};
     int tokens = 0;
@@ -28,13 +28,13 @@
             break;
         engine_model_submit(model, &sequences[index]);
     }
-    double one = step(model, &tokens);
-    CU_ASSERT(one >= 3.0);
+    double single_duration = step(model, &tokens);
+    CU_ASSERT(single_duration >= 3.0);
     for (int index = 1; index < 10; index++) {
         sequences[index] = (engine_sequence){.prompt_tokens = 1, .max_tokens = 5};
         engine_model_submit(model, &sequences[index]);
     }
-    CU_ASSERT(step(model, &tokens) > one);
+    CU_ASSERT(step(model, &tokens) > single_duration);
     while (step(model, &tokens) > 0)
         continue;
     CU_ASSERT_EQUAL(tokens, 50);
@@ -75,20 +75,20 @@
     engine_model_free(model);
 }
 
-static void answer_depends_on_the_prompt_alone(void) {
+static void answer_depends_on_the_prompt_only(void) {
     g_autofree char *first = answer_text("a", 5);
-    g_autofree char *again = answer_text("a", 5);
+    g_autofree char *repeated = answer_text("a", 5);
     g_autofree char *other = answer_text("b", 5);
     g_autofree char *shorter = answer_text("a", 4);
-    CU_ASSERT_STRING_EQUAL(first, again);
+    CU_ASSERT_STRING_EQUAL(first, repeated);
     CU_ASSERT_STRING_NOT_EQUAL(first, other);
     CU_ASSERT_TRUE(g_str_has_prefix(first, shorter));
 }
 
 const test_case engine_tests[] = {
-    {"step_grows_with_the_batch", step_grows_with_the_batch},
+    {"step_duration_grows_with_batch_size", step_duration_grows_with_batch_size},
     {"online_preempts_batch_when_the_engine_is_full",
      online_preempts_batch_when_the_engine_is_full},
     {"cached_prefix_shortens_prefill", cached_prefix_shortens_prefill},
-    {"answer_depends_on_the_prompt_alone", answer_depends_on_the_prompt_alone},
+    {"answer_depends_on_the_prompt_only", answer_depends_on_the_prompt_only},
     {NULL, NULL}};
