--- a/src/engine/whole_answer.h
+++ b/src/engine/whole_answer.h
@@ -1,5 +1,4 @@
-/** @file whole_answer.h  Assembles the response of a non-streaming request from a stream's events.
- */
+/** @file whole_answer.h  Assembles a non-streaming response from the events of a stream. */
 #ifndef HS_ENGINE_WHOLE_ANSWER_H
 #define HS_ENGINE_WHOLE_ANSWER_H
 
