--- a/src/engine/engine_client.c
+++ b/src/engine/engine_client.c
@@ -236,7 +236,7 @@
     return open;
 }
 
-/** Reads a JSON document from the engine; NULL on socket_error. Owned by the caller. */
+/** Reads a JSON document from the engine; NULL on failure. Owned by the caller. */
 static json_t *read_document(const char *engine_url, const char *path) {
     g_autofree char *url = g_strconcat(engine_url, path, NULL);
     hs_http_request request = {.method = "GET", .url = url, .timeout_s = CONTROL_TIMEOUT_S};
