--- a/src/batch/item_runner.c
+++ b/src/batch/item_runner.c
@@ -21,22 +21,22 @@
 
 void hs_item_progress_clear(hs_item_progress *progress) {
     if (progress->started)
-        hs_whole_answer_clear(&progress->answer);
+        hs_response_builder_clear(&progress->answer);
     *progress = (hs_item_progress){0};
 }
 
 /** State of a run. */
 typedef struct {
     const hs_item_work *work;
-    json_t *line;            /**< The item's input line: custom_id, url, body. */
-    hs_whole_answer *answer; /**< Owned by the work's progress. */
+    json_t *line;                /**< The item's input line: custom_id, url, body. */
+    hs_response_builder *answer; /**< Owned by the work's progress. */
 } item_run;
 
 static bool collect_token(uint32_t token_index, json_t *event, void *user_data) {
     item_run *run = user_data;
     if (token_index == MID_STREAM_TOKEN)
         HS_FAULT_POINT("mid_stream");
-    hs_whole_answer_add(run->answer, event);
+    hs_response_builder_add_event(run->answer, event);
     return g_atomic_int_get(run->work->revoked) == 0;
 }
 
@@ -95,8 +95,8 @@
 static hs_item_end record_response(hs_item_runner *runner, item_run *run) {
     const char *model =
         json_string_value(json_object_get(json_object_get(run->line, "body"), "model"));
-    json_t *body = hs_whole_answer_body(run->answer, run->work->attempt_id, model,
-                                        hs_clock_wall_ms() / MS_PER_S);
+    json_t *body = hs_response_builder_make_body(run->answer, run->work->attempt_id, model,
+                                                 hs_clock_wall_ms() / MS_PER_S);
     char *line = build_output_line(run, HTTP_OK, body, NULL);
     bool recorded = record_outcome(runner, run->work, HTTP_OK, line, false);
     free(line);
@@ -146,7 +146,7 @@
 static hs_run_result resume_until_known(hs_item_runner *runner, item_run *run,
                                         const hs_engine_call *call, hs_run_result result) {
     uint64_t recovery_end_ms = hs_clock_monotonic_ms() + runner->run_once_recovery_ms;
-    while (result.end == HS_RUN_CUT && g_atomic_int_get(&runner->stopping) == 0 &&
+    while (result.end == HS_RUN_INTERRUPTED && g_atomic_int_get(&runner->stopping) == 0 &&
            hs_clock_monotonic_ms() < recovery_end_ms) {
         hs_clock_sleep_ms(RESUME_RETRY_MS);
         result = hs_engine_resume(call, result.next_token, collect_token, run);
@@ -161,7 +161,7 @@
     if (result.end == HS_RUN_INVALID)
         return record_failure(runner, run, HTTP_BAD_REQUEST, "invalid_request", false);
     result = resume_until_known(runner, run, call, result);
-    if (result.end == HS_RUN_WHOLE)
+    if (result.end == HS_RUN_COMPLETED)
         return record_response(runner, run);
     return record_failure(runner, run, HTTP_BAD_GATEWAY, "indeterminate", true);
 }
@@ -189,9 +189,9 @@
 
 static hs_item_end finish_ordinary(hs_item_runner *runner, item_run *run,
                                    const hs_engine_call *call, hs_run_result result) {
-    if (result.end == HS_RUN_CUT && result.next_token > 0)
+    if (result.end == HS_RUN_INTERRUPTED && result.next_token > 0)
         result = hs_engine_resume(call, result.next_token, collect_token, run);
-    if (result.end == HS_RUN_WHOLE)
+    if (result.end == HS_RUN_COMPLETED)
         return record_response(runner, run);
     if (result.end == HS_RUN_INVALID)
         return record_failure(runner, run, HTTP_BAD_REQUEST, "invalid_request", false);
@@ -232,8 +232,8 @@
         return false;
     hs_item_progress *progress = work->progress;
     if (!progress->started)
-        hs_whole_answer_init(&progress->answer,
-                             strcmp(work->endpoint, "/v1/chat/completions") == 0);
+        hs_response_builder_init(&progress->answer,
+                                 strcmp(work->endpoint, "/v1/chat/completions") == 0);
     progress->started = true;
     run->answer = &progress->answer;
     return true;
@@ -269,7 +269,7 @@
                            .timeout_s = runner->item_timeout_s};
     hs_run_result result = hs_engine_resume(&call, 0, collect_token, &run);
     hs_item_end end = HS_ITEM_RETRY;
-    if (result.end == HS_RUN_WHOLE)
+    if (result.end == HS_RUN_COMPLETED)
         end = record_response(runner, &run);
     else if (may_be_lost || result.end == HS_RUN_CANCELLED)
         end = record_failure(runner, &run, HTTP_BAD_GATEWAY, "indeterminate", true);
--- a/src/batch/item_runner.h
+++ b/src/batch/item_runner.h
@@ -35,7 +35,7 @@
     bool resumable; /**< The item was preempted at @c next_token on @c engine_url. */
     char engine_url[64];
     uint32_t next_token;
-    hs_whole_answer answer;
+    hs_response_builder answer;
 } hs_item_progress;
 
 /** Frees the content and resets the progress. */
--- a/src/commands/complete.c
+++ b/src/commands/complete.c
@@ -94,8 +94,9 @@
         hs_refuse_invalid(response, 404, "model_not_found", "no routing rule for this model");
         return false;
     }
-    uint32_t wait_ms = hs_tenant_limits_enter(node->limits, fields->view, fields->tenant,
-                                              hs_node_live_daemons(node), hs_clock_monotonic_ms());
+    uint32_t wait_ms =
+        hs_tenant_limits_enter(node->limits, fields->view, fields->tenant,
+                               hs_node_live_daemon_count(node), hs_clock_monotonic_ms());
     if (wait_ms == 0)
         return true;
     hs_http_reply_error(response,
@@ -176,23 +177,24 @@
 /* ---- Plain -------------------------------------------------------------------------------- */
 
 static void answer_plain(hs_online_request *request, struct _u_response *response) {
-    hs_whole_answer answer;
+    hs_response_builder answer;
     hs_online_state state = HS_ONLINE_RUNNING;
-    hs_whole_answer_init(&answer, request->chat);
+    hs_response_builder_init(&answer, request->chat);
     json_t *event;
     while ((event = hs_online_request_next(request, &state)) != NULL) {
-        hs_whole_answer_add(&answer, event);
+        hs_response_builder_add_event(&answer, event);
         json_decref(event);
     }
     if (state == HS_ONLINE_WHOLE) {
         hs_http_reply_json(response, 200,
-                           hs_whole_answer_body(&answer, request->request_id, request->model,
-                                                hs_clock_wall_ms() / MS_PER_S));
+                           hs_response_builder_make_body(&answer, request->request_id,
+                                                         request->model,
+                                                         hs_clock_wall_ms() / MS_PER_S));
     } else {
         hs_error_body error = error_of(request, state);
         hs_http_reply_error(response, &error);
     }
-    hs_whole_answer_clear(&answer);
+    hs_response_builder_clear(&answer);
     close_request(request, state);
 }
 
@@ -277,7 +279,7 @@
 static int complete(hs_node *node, const struct _u_request *request, struct _u_response *response,
                     bool chat) {
     hs_metrics_add(&node->metrics, HS_COUNT_ONLINE_REQUESTS, 1);
-    if (!hs_node_takes_requests(node))
+    if (!hs_node_is_accepting_requests(node))
         return hs_refuse_unavailable(response, "not_ready", "this daemon takes no requests now",
                                      RETRY_AFTER_S);
     if (hs_http_caller_has_left()) {
--- a/src/commands/online_request.c
+++ b/src/commands/online_request.c
@@ -108,8 +108,9 @@
     g_mutex_unlock(&request->lock);
     HS_FAULT_POINT("online_mid_stream");
     if (token_index == 0)
-        hs_metrics_first_token(&request->node->metrics,
-                               (double)(hs_clock_monotonic_ms() - request->started_ms) / MS_PER_S);
+        hs_metrics_observe_first_token(&request->node->metrics,
+                                       (double)(hs_clock_monotonic_ms() - request->started_ms) /
+                                           MS_PER_S);
     return wanted;
 }
 
@@ -155,7 +156,7 @@
 
 static hs_attempt_verdict verdict_of(const hs_run_result *result) {
     switch (result->end) {
-    case HS_RUN_WHOLE:
+    case HS_RUN_COMPLETED:
     case HS_RUN_INVALID:
     case HS_RUN_ABORTED:
     case HS_RUN_CANCELLED:
@@ -166,7 +167,7 @@
         if (strcmp(result->code, "model_not_loaded") == 0)
             return HS_ATTEMPT_NO_MODEL;
         return HS_ATTEMPT_REFUSED;
-    case HS_RUN_CUT:
+    case HS_RUN_INTERRUPTED:
         return HS_ATTEMPT_FAILED;
     }
     return HS_ATTEMPT_FAILED;
@@ -185,7 +186,7 @@
 
 static hs_run_result resume_if_cut(hs_online_request *request, const hs_engine_call *call,
                                    hs_run_result result) {
-    for (int count = 0; count < RESUMES_PER_ATTEMPT && result.end == HS_RUN_CUT; count++) {
+    for (int count = 0; count < RESUMES_PER_ATTEMPT && result.end == HS_RUN_INTERRUPTED; count++) {
         if (is_over(request))
             break;
         if (count > 0)
@@ -214,7 +215,7 @@
                            .request_id = request->attempt_id,
                            .body = body,
                            .timeout_s = exchange_limit_s(request)};
-    hs_node_notice_online(request->node, choice->id);
+    hs_node_send_online_notice(request->node, choice->id);
     HS_FAULT_POINT("online_dispatch");
     hs_run_result result = hs_engine_run(&call, take_token, request);
     result = resume_if_cut(request, &call, result);
@@ -247,7 +248,7 @@
 /** Whether another attempt may start after @p result; ends the request when not. */
 static bool continue_after(hs_online_request *request, const hs_run_result *result) {
     switch (result->end) {
-    case HS_RUN_WHOLE:
+    case HS_RUN_COMPLETED:
         end_request(request, HS_ONLINE_WHOLE, "");
         return false;
     case HS_RUN_INVALID:
@@ -298,12 +299,12 @@
     g_mutex_lock(&request->lock);
     request->attempt_id[0] = '\0'; /* Not ours to cancel. */
     g_mutex_unlock(&request->lock);
-    while (result.end != HS_RUN_WHOLE && result.end != HS_RUN_CANCELLED && !is_over(request)) {
+    while (result.end != HS_RUN_COMPLETED && result.end != HS_RUN_CANCELLED && !is_over(request)) {
         result = hs_engine_resume(&call, result.next_token, take_token, request);
-        if (result.end == HS_RUN_REFUSED || result.end == HS_RUN_CUT)
+        if (result.end == HS_RUN_REFUSED || result.end == HS_RUN_INTERRUPTED)
             hs_clock_sleep_ms(RESUME_WAIT_MS);
     }
-    bool whole = result.end == HS_RUN_WHOLE;
+    bool whole = result.end == HS_RUN_COMPLETED;
     end_request(request, whole ? HS_ONLINE_WHOLE : HS_ONLINE_DUPLICATE,
                 whole ? "" : "another request holds this key and its answer cannot be read");
 }
@@ -353,7 +354,7 @@
     hs_attempt_verdict verdict = reachable ? HS_ATTEMPT_COMPLETED : HS_ATTEMPT_FAILED;
     hs_engine_table_finish(request->node->engines, choice->id, request->model,
                            sent ? verdict_of(&result) : verdict, hs_clock_monotonic_ms());
-    hs_node_notice_online(request->node, choice->id);
+    hs_node_send_online_notice(request->node, choice->id);
     if (reachable && !sent)
         return false;
     *lacked_model = sent && verdict_of(&result) == HS_ATTEMPT_NO_MODEL;
--- a/src/daemon/config_sync.c
+++ b/src/daemon/config_sync.c
@@ -76,7 +76,7 @@
 /** Ready once the log, or a majority of the named members, confirmed the offset; or late. */
 static void move_to_ready(hs_config_sync *sync, const peer_offsets *offsets, uint64_t now_ms) {
     hs_node *node = sync->node;
-    if (hs_node_state_of(node) != HS_NODE_STARTING)
+    if (hs_node_get_state(node) != HS_NODE_STARTING)
         return;
     bool level = hs_config_store_offset(node->config) >= offsets->best_offset;
     /* What members said before this start, or before a sleep, may be as old as what we hold. */
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -160,7 +160,7 @@
                                               (size_t)settings->max_body_bytes);
     hs_http_server_limit_connections(daemon->admin_server, plan.peers);
     hs_command_routes_admin(node, daemon->admin_server);
-    hs_query_routes_admin(node, daemon->admin_server);
+    hs_query_register_admin_routes(node, daemon->admin_server);
     int result = hs_http_server_start(daemon->admin_server, error);
     if (result != 0 || !settings->caller_enabled)
         return result;
@@ -170,7 +170,7 @@
     hs_http_server_limit_headers(daemon->caller_server, (size_t)settings->max_header_bytes);
     hs_http_server_limit_connections(daemon->caller_server, plan.front);
     hs_command_routes_caller(node, daemon->caller_server);
-    hs_query_routes_caller(node, daemon->caller_server);
+    hs_query_register_caller_routes(node, daemon->caller_server);
     result = hs_http_server_start(daemon->caller_server, error);
     if (result == 0)
         watch_callers(daemon);
--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -85,7 +85,7 @@
 }
 
 /** Whether requests could be served: a configuration and the engines are known. */
-static bool may_serve(void *user_data) {
+static bool can_serve(void *user_data) {
     hs_fleet_daemon *daemon = user_data;
     hs_fleet_config *config = hs_config_source_get(daemon->config);
     bool known = config != NULL && hs_engine_source_last_received_ms(daemon->engine_source) != 0;
@@ -121,7 +121,7 @@
                                               .limit_tolerance =
                                                   settings->fleet_limit_slack * TOLERATED_SHARE,
                                               .size = size_of(settings),
-                                              .may_join = may_serve,
+                                              .may_join = can_serve,
                                               .user_data = daemon};
     daemon->directory = hs_daemon_directory_new(&directory, error);
     return daemon->directory != NULL;
@@ -176,7 +176,7 @@
                                          .store = daemon->store,
                                          .reloads = &daemon->reloads,
                                          .wakes = &daemon->wakes,
-                                         .may_serve = may_serve,
+                                         .can_serve = can_serve,
                                          .user_data = daemon};
     daemon->surface = hs_fleet_surface_start(&surface, error);
     return daemon->surface != NULL;
@@ -332,16 +332,16 @@
     do {
         hs_fleet_surface_quiesce(daemon->surface);
         hs_clock_sleep_ms(DRAIN_POLL_MS);
-    } while (hs_fleet_surface_open_requests(daemon->surface) > 0 &&
+    } while (hs_fleet_surface_open_request_count(daemon->surface) > 0 &&
              hs_clock_monotonic_ms() < limit_ms);
 }
 
 void hs_fleet_daemon_stop(hs_fleet_daemon *daemon) {
     uint64_t stopped_ms = hs_clock_monotonic_ms();
     hs_log_info("daemon_stopping", "open_requests=%u running_items=%u",
-                hs_fleet_surface_open_requests(daemon->surface),
+                hs_fleet_surface_open_request_count(daemon->surface),
                 hs_job_owner_running_count(daemon->owner));
-    hs_fleet_surface_leave(daemon->surface);
+    hs_fleet_surface_start_draining(daemon->surface);
     hs_daemon_directory_leave(daemon->directory);
     GThread *handover = hs_thread_try_start("handover", hand_over_jobs, daemon);
     finish_requests(daemon, stopped_ms);
@@ -350,7 +350,7 @@
     else
         hand_over_jobs(daemon);
     hs_log_info("daemon_stopped", "open_requests=%u took_ms=%u",
-                hs_fleet_surface_open_requests(daemon->surface),
+                hs_fleet_surface_open_request_count(daemon->surface),
                 (unsigned)(hs_clock_monotonic_ms() - stopped_ms));
     hs_store_client_abandon(daemon->store);
     free_daemon(daemon);
--- a/src/daemon/listing.c
+++ b/src/daemon/listing.c
@@ -99,7 +99,7 @@
  */
 static void notice_sleep(hs_listing *listing, uint64_t now_ms) {
     bool slept = listing->last_tick_ms != 0 && now_ms > listing->last_tick_ms + SLEEP_JUMP_MS;
-    if (slept && hs_node_state_of(listing->node) == HS_NODE_READY) {
+    if (slept && hs_node_get_state(listing->node) == HS_NODE_READY) {
         hs_log_warning("slept", "ms=%" G_GUINT64_FORMAT, now_ms - listing->last_tick_ms);
         hs_config_store_doubt(listing->node->config);
         hs_config_sync_restart(listing->sync, now_ms);
@@ -114,7 +114,7 @@
     for (guint index = 0; index < infos->len; index++) {
         const hs_engine_info *info = &g_array_index(infos, hs_engine_info, index);
         if (info->in_flight > 0)
-            hs_node_notice_online(node, info->id);
+            hs_node_send_online_notice(node, info->id);
     }
     hs_engine_infos_free(infos);
 }
--- a/src/directory/resolve_addresses.c
+++ b/src/directory/resolve_addresses.c
@@ -41,7 +41,7 @@
     }
     if (caller == 0 || hs_caller_choice_is_uniform(candidates, found->len))
         caller = g_random_int();
-    hs_caller_choice_select(candidates, found->len, caller, HS_RESOLVE_ADDRESSES_MAX);
+    hs_caller_choice_select(candidates, found->len, caller, HS_MAX_RESOLVE_ADDRESSES);
     GPtrArray *addresses = g_ptr_array_new();
     for (guint index = 0; index < found->len; index++)
         if (candidates[index].is_chosen)
--- a/src/fleet/config_source.c
+++ b/src/fleet/config_source.c
@@ -105,7 +105,7 @@
 
 /** Reads the newest version; @p next is set to the end of the topic's log. */
 static hs_store_outcome read_newest(hs_config_source *source, GByteArray *answer, uint64_t *next) {
-    hs_store_call call = hs_platform_newest(HS_TOPIC_CONFIG, NULL);
+    hs_store_call call = hs_platform_build_newest_call(HS_TOPIC_CONFIG, NULL);
     hs_deadline deadline = hs_clock_monotonic_ms() + source->poll_ms + LONG_POLL_MARGIN_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     if (outcome != HS_STORE_DONE)
@@ -125,12 +125,14 @@
 
 /** Waits for records from the offset @p next on, and advances @p next. */
 static hs_store_outcome follow(hs_config_source *source, GByteArray *answer, uint64_t *next) {
-    hs_store_call call = hs_platform_read(HS_TOPIC_CONFIG, 0, *next, MAX_READ_KB, source->poll_ms);
+    hs_store_call call =
+        hs_platform_build_read_call(HS_TOPIC_CONFIG, 0, *next, MAX_READ_KB, source->poll_ms);
     hs_deadline deadline = hs_clock_monotonic_ms() + source->poll_ms + LONG_POLL_MARGIN_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     size_t position = 0;
     hs_store_record record;
-    while (outcome == HS_STORE_DONE && hs_platform_next_record(answer, true, &position, &record)) {
+    while (outcome == HS_STORE_DONE &&
+           hs_platform_read_next_record(answer, true, &position, &record)) {
         if (hs_platform_is_config_key(record.key, record.key_length))
             apply_value(source, record.value, record.value_length, *next);
         (*next)++;
--- a/src/fleet/engine_source.c
+++ b/src/fleet/engine_source.c
@@ -97,7 +97,7 @@
     if (length == 0)
         return false;
     hs_engine_entry entry = {0};
-    hs_entry_fault fault = hs_platform_read_engine(id, value, length, &entry);
+    hs_entry_fault fault = hs_platform_read_engine_entry(id, value, length, &entry);
     record_fault(source, id, fault);
     if (fault == HS_ENTRY_VALID)
         hs_fleet_engines_put(source->engines, &entry, hs_clock_monotonic_ms());
@@ -112,7 +112,7 @@
  */
 static hs_store_outcome read_page(hs_engine_source *source, GByteArray *answer, GHashTable *listed,
                                   char **after, bool *has_more, uint64_t *end) {
-    hs_store_call call = hs_platform_newest(HS_TOPIC_ENGINES, *after);
+    hs_store_call call = hs_platform_build_newest_call(HS_TOPIC_ENGINES, *after);
     hs_deadline deadline = hs_clock_monotonic_ms() + READ_TIMEOUT_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     if (outcome != HS_STORE_DONE)
@@ -161,14 +161,15 @@
 
 /** Reads the records from the offset @p next on, and advances @p next. */
 static hs_store_outcome follow(hs_engine_source *source, GByteArray *answer, uint64_t *next) {
-    hs_store_call call = hs_platform_read(HS_TOPIC_ENGINES, 0, *next, MAX_READ_KB, 0);
+    hs_store_call call = hs_platform_build_read_call(HS_TOPIC_ENGINES, 0, *next, MAX_READ_KB, 0);
     hs_deadline deadline = hs_clock_monotonic_ms() + READ_TIMEOUT_MS;
     hs_store_outcome outcome = hs_store_client_send(source->store, &call, deadline, NULL, answer);
     size_t position = 0;
     hs_store_record record;
     if (outcome == HS_STORE_DONE)
         detect_outage(source);
-    while (outcome == HS_STORE_DONE && hs_platform_next_record(answer, true, &position, &record)) {
+    while (outcome == HS_STORE_DONE &&
+           hs_platform_read_next_record(answer, true, &position, &record)) {
         g_autofree char *id = g_strndup(record.key, record.key_length);
         apply_entry(source, id, record.value, record.value_length);
         (*next)++;
--- a/src/jobs/job_owner.c
+++ b/src/jobs/job_owner.c
@@ -222,13 +222,14 @@
 }
 
 static hs_store_outcome join_group(hs_job_owner *owner) {
-    hs_store_call call =
-        hs_platform_join(owner->settings.member, owner->settings.group_ttl_ms, owner->generation);
+    hs_store_call call = hs_platform_build_join_call(
+        owner->settings.member, owner->settings.group_ttl_ms, owner->generation);
     GByteArray *answer = g_byte_array_new();
     GArray *numbers = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     hs_store_outcome outcome = hs_store_client_send(
         owner->settings.store, &call, hs_clock_monotonic_ms() + JOIN_LIMIT_MS, NULL, answer);
-    if (outcome == HS_STORE_DONE && hs_platform_read_joined(answer, &owner->generation, numbers))
+    if (outcome == HS_STORE_DONE &&
+        hs_platform_read_join_response(answer, &owner->generation, numbers))
         set_owned(owner, numbers);
     g_array_free(numbers, TRUE);
     g_byte_array_free(answer, TRUE);
@@ -287,7 +288,7 @@
     if (owner->group != NULL)
         g_thread_join(owner->group);
     owner->group = NULL;
-    hs_store_call call = hs_platform_leave(owner->settings.member, owner->generation);
+    hs_store_call call = hs_platform_build_leave_call(owner->settings.member, owner->generation);
     GByteArray *answer = g_byte_array_new();
     hs_store_client_send(owner->settings.store, &call, hs_clock_monotonic_ms() + JOIN_LIMIT_MS,
                          NULL, answer);
--- a/src/jobs/job_partition.c
+++ b/src/jobs/job_partition.c
@@ -76,7 +76,7 @@
         return false;
     size_t position = 0;
     hs_store_record record;
-    while (hs_platform_next_record(answer, false, &position, &record)) {
+    while (hs_platform_read_next_record(answer, false, &position, &record)) {
         uint64_t offset = hs_job_state_next_offset(partition->state);
         if (!hs_job_state_apply(partition->state, offset, record.value, record.value_length))
             hs_log_warning("job_record_unreadable", "part=%u offset=%" G_GUINT64_FORMAT,
@@ -92,7 +92,7 @@
     uint64_t from = hs_job_state_next_offset(partition->state);
     g_mutex_unlock(&partition->lock);
     hs_store_call call =
-        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, MAX_READ_KB, wait_ms);
+        hs_platform_build_read_call(HS_TOPIC_JOBS, partition->number, from, MAX_READ_KB, wait_ms);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome =
         hs_store_client_send(partition->settings.store, &call, deadline, interrupt, answer);
@@ -101,7 +101,7 @@
     *reached_end = false;
     if (outcome == HS_STORE_DONE)
         *reached_end = apply_answer(partition, answer);
-    else if (outcome == HS_STORE_GONE && hs_platform_read_first_kept(answer, &first))
+    else if (outcome == HS_STORE_GONE && hs_platform_read_first_offset(answer, &first))
         hs_job_state_skip_to(partition->state, first);
     g_mutex_unlock(&partition->lock);
     g_byte_array_free(answer, TRUE);
@@ -150,7 +150,7 @@
     uint64_t started_ms = hs_clock_monotonic_ms();
     hs_deadline deadline = started_ms + wait_ms + ANSWER_SLACK_MS;
     hs_store_call call =
-        hs_platform_read(HS_TOPIC_JOBS, partition->number, from, MAX_READ_KB, wait_ms);
+        hs_platform_build_read_call(HS_TOPIC_JOBS, partition->number, from, MAX_READ_KB, wait_ms);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome =
         hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
@@ -166,7 +166,7 @@
         partition->current_ms =
             MAX(partition->current_ms, MIN(current_ms, hs_clock_monotonic_ms()));
     }
-    if (outcome == HS_STORE_GONE && hs_platform_read_first_kept(answer, &first))
+    if (outcome == HS_STORE_GONE && hs_platform_read_first_offset(answer, &first))
         hs_job_state_skip_to(partition->state, first);
     g_mutex_unlock(&partition->lock);
     g_byte_array_free(answer, TRUE);
@@ -211,14 +211,14 @@
     *outcome = HS_STORE_DONE;
     while (content->len < bytes && *outcome == HS_STORE_DONE) {
         uint32_t max_kb = (bytes - content->len) / BYTES_PER_KB + 1;
-        hs_store_call call = hs_platform_read(HS_TOPIC_BODIES, partition->number, offset,
-                                              MIN(max_kb, MAX_CONTENT_READ_KB), 0);
+        hs_store_call call = hs_platform_build_read_call(HS_TOPIC_BODIES, partition->number, offset,
+                                                         MIN(max_kb, MAX_CONTENT_READ_KB), 0);
         *outcome = hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
         size_t position = 0;
         hs_store_record record;
         guint before = content->len;
         while (*outcome == HS_STORE_DONE && content->len < bytes &&
-               hs_platform_next_record(answer, false, &position, &record)) {
+               hs_platform_read_next_record(answer, false, &position, &record)) {
             g_byte_array_append(content, record.value, (guint)record.value_length);
             offset++;
         }
@@ -262,7 +262,7 @@
     g_mutex_unlock(&partition->lock);
     if (target == 0)
         return;
-    hs_store_call call = hs_platform_trim(HS_TOPIC_BODIES, partition->number, target);
+    hs_store_call call = hs_platform_build_trim_call(HS_TOPIC_BODIES, partition->number, target);
     GByteArray *answer = g_byte_array_new();
     if (hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer) ==
         HS_STORE_DONE)
--- a/src/jobs/job_partition_append.c
+++ b/src/jobs/job_partition_append.c
@@ -22,10 +22,10 @@
                                       deadline, offset);
     if (outcome != HS_STORE_REFUSED)
         return outcome;
-    hs_store_call call = hs_platform_append(topic, partition->number, records);
+    hs_store_call call = hs_platform_build_append_call(topic, partition->number, records);
     GByteArray *answer = g_byte_array_new();
     outcome = hs_store_client_send(partition->settings.store, &call, deadline, NULL, answer);
-    if (outcome == HS_STORE_DONE && !hs_platform_read_appended(answer, offset))
+    if (outcome == HS_STORE_DONE && !hs_platform_read_appended_offset(answer, offset))
         outcome = HS_STORE_UNKNOWN;
     g_byte_array_free(answer, TRUE);
     return outcome;
--- a/src/jobs/job_peer.c
+++ b/src/jobs/job_peer.c
@@ -16,7 +16,7 @@
  * trusts. Freed with g_string_free.
  */
 static GString *write_head(const hs_inbound *inbound, const char *tenant) {
-    GArray *fields = hs_platform_name_tenant(inbound->fields, tenant);
+    GArray *fields = hs_platform_copy_fields_with_tenant(inbound->fields, tenant);
     GString *head = g_string_new(NULL);
     g_string_append_printf(head, "%s %s HTTP/1.1\r\n", inbound->method, inbound->target);
     for (guint index = 0; index < fields->len; index++) {
--- a/src/jobs/job_quota.c
+++ b/src/jobs/job_quota.c
@@ -54,10 +54,10 @@
     hs__quota_record__pack(record, bytes);
     GByteArray *records = g_byte_array_new();
     hs_platform_frame_record(records, bytes, length);
-    hs_store_call call = hs_platform_append(HS_TOPIC_QUOTA, QUOTA_PARTITION, records);
+    hs_store_call call = hs_platform_build_append_call(HS_TOPIC_QUOTA, QUOTA_PARTITION, records);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome = hs_store_client_send(quota->store, &call, deadline, NULL, answer);
-    if (outcome == HS_STORE_DONE && !hs_platform_read_appended(answer, offset))
+    if (outcome == HS_STORE_DONE && !hs_platform_read_appended_offset(answer, offset))
         outcome = HS_STORE_UNKNOWN;
     g_byte_array_free(records, TRUE);
     g_byte_array_free(answer, TRUE);
@@ -108,7 +108,7 @@
     hs_store_record record;
     uint64_t offset = from;
     uint64_t now_ms = hs_clock_monotonic_ms();
-    while (hs_platform_next_record(answer, false, &position, &record)) {
+    while (hs_platform_read_next_record(answer, false, &position, &record)) {
         /* Another thread may have read the same records. */
         if (offset == hs_quota_fold_next(quota->fold) &&
             !hs_quota_fold_apply(quota->fold, offset, record.value, record.value_length, now_ms))
@@ -130,14 +130,14 @@
         if (has_read || hs_clock_monotonic_ms() >= deadline)
             break;
         hs_store_call call =
-            hs_platform_read(HS_TOPIC_QUOTA, QUOTA_PARTITION, from, MAX_READ_KB, 0);
+            hs_platform_build_read_call(HS_TOPIC_QUOTA, QUOTA_PARTITION, from, MAX_READ_KB, 0);
         hs_store_outcome outcome =
             hs_store_client_send(quota->store, &call, deadline, NULL, answer);
         uint64_t first = 0;
         g_mutex_lock(&quota->lock);
         if (outcome == HS_STORE_DONE)
             apply_records(quota, answer, from);
-        else if (outcome == HS_STORE_GONE && hs_platform_read_first_kept(answer, &first))
+        else if (outcome == HS_STORE_GONE && hs_platform_read_first_offset(answer, &first))
             hs_quota_fold_skip_to(quota->fold, first);
         g_mutex_unlock(&quota->lock);
         if (outcome != HS_STORE_DONE && outcome != HS_STORE_GONE)
--- a/src/jobs/job_relay.c
+++ b/src/jobs/job_relay.c
@@ -150,11 +150,11 @@
     uint64_t offset = 0;
     hs_store_outcome outcome = HS_STORE_INVALID;
     if (read_target(inbound->target, &topic, &partition)) {
-        hs_store_call call = hs_platform_append(topic, partition, inbound->body);
+        hs_store_call call = hs_platform_build_append_call(topic, partition, inbound->body);
         GByteArray *answer = g_byte_array_new();
         outcome = hs_store_client_send(store, &call, hs_clock_monotonic_ms() + APPEND_LIMIT_MS,
                                        NULL, answer);
-        if (outcome == HS_STORE_DONE && !hs_platform_read_appended(answer, &offset))
+        if (outcome == HS_STORE_DONE && !hs_platform_read_appended_offset(answer, &offset))
             outcome = HS_STORE_UNKNOWN;
         g_byte_array_free(answer, TRUE);
     }
--- a/src/node/metrics.c
+++ b/src/node/metrics.c
@@ -24,7 +24,7 @@
     g_mutex_unlock(&metrics->lock);
 }
 
-void hs_metrics_first_token(hs_metrics *metrics, double seconds) {
+void hs_metrics_observe_first_token(hs_metrics *metrics, double seconds) {
     g_mutex_lock(&metrics->lock);
     for (size_t index = 0; index < G_N_ELEMENTS(bucket_limits_s); index++)
         metrics->first_token_buckets[index] += seconds <= bucket_limits_s[index];
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -3,16 +3,16 @@
 
 #include "base/clock.h"
 
-hs_node_state hs_node_state_of(hs_node *node) {
+hs_node_state hs_node_get_state(hs_node *node) {
     return (hs_node_state)g_atomic_int_get(&node->state);
 }
 
-bool hs_node_takes_connections(const hs_node *node) {
+bool hs_node_is_accepting_connections(const hs_node *node) {
     return node->front_watch == NULL || hs_front_watch_is_accepting(node->front_watch);
 }
 
-bool hs_node_takes_requests(hs_node *node) {
-    hs_node_state state = hs_node_state_of(node);
+bool hs_node_is_accepting_requests(hs_node *node) {
+    hs_node_state state = hs_node_get_state(node);
     return state == HS_NODE_READY || state == HS_NODE_DRAINING;
 }
 
@@ -21,14 +21,14 @@
     return names[state];
 }
 
-uint32_t hs_node_live_daemons(hs_node *node) {
+uint32_t hs_node_live_daemon_count(hs_node *node) {
     hs_membership *membership = hs_membership_service_lock(node->membership);
     uint32_t count = hs_membership_live_count(membership);
     hs_membership_service_unlock(node->membership);
     return count;
 }
 
-void hs_node_notice_online(hs_node *node, const char *engine_id) {
+void hs_node_send_online_notice(hs_node *node, const char *engine_id) {
     uint32_t in_flight = 0;
     char zone[64];
     if (!hs_engine_table_get_in_flight(node->engines, engine_id, &in_flight, zone))
--- a/src/placement/controller.c
+++ b/src/placement/controller.c
@@ -169,7 +169,7 @@
         return false;
     hs_engine_order wire = {
         .scope = group, .epoch = epoch, .action = load ? "load" : "unload", .model = order->model};
-    long status = hs_engine_give_order(url, &wire);
+    long status = hs_engine_send_order(url, &wire);
     hs_log_info("placement_order", "group=%s engine=%s action=%s model=%s epoch=%u status=%ld",
                 group, url, wire.action, order->model, epoch, status);
     return status != HTTP_CONFLICT;
--- a/src/queries/status_queries.c
+++ b/src/queries/status_queries.c
@@ -1,4 +1,4 @@
-/** @file status_queries.c  Models, health, readiness, status, metrics, explain. */
+/** @file status_queries.c  Handlers for models, health, readiness, status, metrics and explain. */
 #include "base/clock.h"
 #include "http/refusal.h"
 #include "queries/query_routes.h"
@@ -37,12 +37,12 @@
                        void *user_data) {
     (void)request;
     hs_node *node = user_data;
-    hs_node_state state = hs_node_state_of(node);
-    bool takes_connections = hs_node_takes_connections(node);
-    bool is_ready = state == HS_NODE_READY && takes_connections;
+    hs_node_state state = hs_node_get_state(node);
+    bool is_accepting = hs_node_is_accepting_connections(node);
+    bool is_ready = state == HS_NODE_READY && is_accepting;
     return hs_http_reply_json(response, is_ready ? 200 : HTTP_UNAVAILABLE,
                               json_pack("{s:s,s:b,s:b}", "status", hs_node_state_name(state),
-                                        "takes_connections", takes_connections,
+                                        "takes_connections", is_accepting,
                                         "configuration_confirmed",
                                         hs_config_store_is_confirmed(node->config)));
 }
@@ -97,7 +97,7 @@
     json_t *body = json_pack(
         "{s:s,s:s,s:s,s:I,s:b,s:i,s:i,s:{s:i,s:i,s:i,s:I,s:I,s:I,s:I,s:I},s:o,s:o}", "id",
         node->settings->daemon_id, "zone", node->settings->zone, "state",
-        hs_node_state_name(hs_node_state_of(node)), "config_offset",
+        hs_node_state_name(hs_node_get_state(node)), "config_offset",
         (json_int_t)hs_config_store_offset(node->config), "configuration_confirmed",
         hs_config_store_is_confirmed(node->config), "partitions_owned",
         (int)hs_coordinator_owned_count(node->coordinator), "online_requests",
@@ -124,7 +124,7 @@
                            "1 when the configuration's offset was confirmed.",
                            hs_config_store_is_confirmed(node->config));
     hs_metrics_print_gauge(text, "heathsail_live_daemons", "Live daemons, this one included.",
-                           hs_node_live_daemons(node));
+                           hs_node_live_daemon_count(node));
     hs_metrics_print_gauge(text, "heathsail_partitions_owned", "Partitions owned.",
                            hs_coordinator_owned_count(node->coordinator));
     hs_metrics_print_gauge(text, "heathsail_append_backlog", "Records waiting to be appended.",
@@ -162,7 +162,7 @@
         json_pack("{s:s,s:o}", "request", hs_http_parameter(request, "id"), "attempts", lines));
 }
 
-/** The engines alone, for a peer that cannot read the machine list. */
+/** Lists the engines, for daemons that cannot read the machine list. */
 static int query_engines(const struct _u_request *request, struct _u_response *response,
                          void *user_data) {
     (void)request;
@@ -170,13 +170,13 @@
                               json_pack("{s:o}", "engines", describe_engines(user_data)));
 }
 
-void hs_status_routes_caller(hs_node *node, hs_http_server *server) {
+void hs_status_register_caller_routes(hs_node *node, hs_http_server *server) {
     hs_http_server_route(server, "GET", "/v1/models", query_models, node);
     hs_http_server_route(server, "GET", "/healthz", query_health, node);
     hs_http_server_route(server, "GET", "/readyz", query_ready, node);
 }
 
-void hs_status_routes_admin(hs_node *node, hs_http_server *server) {
+void hs_status_register_admin_routes(hs_node *node, hs_http_server *server) {
     hs_http_server_route(server, "GET", "/healthz", query_health, node);
     hs_http_server_route(server, "GET", "/readyz", query_ready, node);
     hs_http_server_route(server, "GET", "/metrics", query_metrics, node);
--- a/src/store/keyed_topic.c
+++ b/src/store/keyed_topic.c
@@ -6,7 +6,7 @@
 /** One page of records after the key @p after, which is replaced by the last one read. */
 static bool read_page(hs_store_client *store, hs_topic topic, uint32_t call_limit_ms, char **after,
                       GArray *entries, bool *has_more) {
-    hs_store_call call = hs_platform_newest(topic, *after);
+    hs_store_call call = hs_platform_build_newest_call(topic, *after);
     hs_deadline deadline = hs_clock_monotonic_ms() + call_limit_ms;
     GByteArray *answer = g_byte_array_new();
     uint64_t end = 0;
@@ -39,8 +39,8 @@
 hs_store_outcome hs_keyed_topic_write(hs_store_client *store, hs_topic topic, const char *key,
                                       const void *value, size_t length, uint32_t call_limit_ms) {
     GByteArray *records = g_byte_array_new();
-    hs_platform_frame_keyed(records, key, value, length);
-    hs_store_call call = hs_platform_append(topic, 0, records);
+    hs_platform_frame_keyed_record(records, key, value, length);
+    hs_store_call call = hs_platform_build_append_call(topic, 0, records);
     GByteArray *answer = g_byte_array_new();
     hs_store_outcome outcome =
         hs_store_client_send(store, &call, hs_clock_monotonic_ms() + call_limit_ms, NULL, answer);
--- a/standin/log_store/log_store.c
+++ b/standin/log_store/log_store.c
@@ -122,12 +122,12 @@
 }
 
 static uint64_t number_in(const char *target, const char *name, uint64_t fallback) {
-    g_autofree char *value = hs_platform_query_value(target, name);
+    g_autofree char *value = hs_platform_find_query_value(target, name);
     return value != NULL ? g_ascii_strtoull(value, NULL, 10) : fallback;
 }
 
 static void serve_append(log_store *store, hs_inbound *inbound) {
-    g_autofree char *name = hs_platform_query_value(inbound->target, "topic");
+    g_autofree char *name = hs_platform_find_query_value(inbound->target, "topic");
     uint32_t part = (uint32_t)number_in(inbound->target, "part", 0) % PARTS;
     topic *to = topic_of(store, name);
     uint64_t offset = to->parts[part].first + to->parts[part].records->len;
@@ -170,7 +170,7 @@
 
 /** Holds the lock on entry and exit; gives it up while it waits for records. */
 static void serve_read(log_store *store, hs_inbound *inbound) {
-    g_autofree char *name = hs_platform_query_value(inbound->target, "topic");
+    g_autofree char *name = hs_platform_find_query_value(inbound->target, "topic");
     uint32_t part = (uint32_t)number_in(inbound->target, "part", 0) % PARTS;
     uint64_t from = number_in(inbound->target, "from", 0);
     uint64_t max_bytes = number_in(inbound->target, "max_kb", 1024) * 1024;
@@ -188,7 +188,7 @@
 }
 
 static void serve_newest(log_store *store, hs_inbound *inbound) {
-    g_autofree char *name = hs_platform_query_value(inbound->target, "topic");
+    g_autofree char *name = hs_platform_find_query_value(inbound->target, "topic");
     topic *from = topic_of(store, name);
     json_t *list = json_array();
     GHashTableIter iterator;
--- a/tests/fuzz/caller.c
+++ b/tests/fuzz/caller.c
@@ -13,17 +13,17 @@
 static void read_target(const char *target) {
     char *id = NULL;
     char *zone = NULL;
-    hs_platform_sort_call("GET", target, &id);
+    hs_platform_classify_call("GET", target, &id);
     g_free(id);
     id = NULL;
-    hs_platform_sort_call("DELETE", target, &id);
+    hs_platform_classify_call("DELETE", target, &id);
     g_free(id);
     if (hs_platform_is_resolve(target, &zone))
         g_free(zone);
     hs_platform_is_ready(target);
     hs_platform_read_position(target);
     g_free(hs_platform_read_item_id(target));
-    g_free(hs_platform_query_value(target, "name"));
+    g_free(hs_platform_find_query_value(target, "name"));
 }
 
 static uint32_t count_lines(const char *text) {
--- a/tests/fuzz/store_answer.c
+++ b/tests/fuzz/store_answer.c
@@ -10,7 +10,7 @@
     uint64_t first = 0;
     size_t position = 0;
     hs_platform_read_bounds(answer, &end, &first);
-    while (hs_platform_next_record(answer, keyed, &position, &record)) {
+    while (hs_platform_read_next_record(answer, keyed, &position, &record)) {
         FUZZ_CHECK(position <= answer->len);
         FUZZ_CHECK(record.value_length == 0 ||
                    (record.value >= answer->data &&
@@ -44,13 +44,13 @@
         read_newest(answer);
         break;
     case JOINED:
-        hs_platform_read_joined(answer, &number, parts);
+        hs_platform_read_join_response(answer, &number, parts);
         break;
     case APPENDED:
-        hs_platform_read_appended(answer, &number);
+        hs_platform_read_appended_offset(answer, &number);
         break;
     default:
-        hs_platform_read_first_kept(answer, &number);
+        hs_platform_read_first_offset(answer, &number);
         break;
     }
     g_array_free(parts, TRUE);
--- a/tests/unit/test_entries.c
+++ b/tests/unit/test_entries.c
@@ -19,7 +19,7 @@
     "\"state\":\"ready\",\"warmup-left-ms\":0,\"sequence\":1"
 
 static hs_entry_fault read_entry(const char *id, const char *text, hs_engine_entry *entry) {
-    return hs_platform_read_engine(id, text, strlen(text), entry);
+    return hs_platform_read_engine_entry(id, text, strlen(text), entry);
 }
 
 static void invalid_entries_are_rejected_completely(void) {
--- a/tests/unit/test_fleet.c
+++ b/tests/unit/test_fleet.c
@@ -252,15 +252,15 @@
 
 static void calls_are_classified(void) {
     char *id = NULL;
-    CU_ASSERT_EQUAL(hs_platform_sort_call("GET", "/lots/ab?after=3", &id), HS_CALL_JOB_READ);
+    CU_ASSERT_EQUAL(hs_platform_classify_call("GET", "/lots/ab?after=3", &id), HS_CALL_JOB_READ);
     CU_ASSERT_STRING_EQUAL(id, "ab");
     g_free(id);
-    CU_ASSERT_EQUAL(hs_platform_sort_call("DELETE", "/lots/ab", &id), HS_CALL_JOB_END);
+    CU_ASSERT_EQUAL(hs_platform_classify_call("DELETE", "/lots/ab", &id), HS_CALL_JOB_END);
     g_free(id);
-    CU_ASSERT_EQUAL(hs_platform_sort_call("GET", "/items/ab?id=q", &id), HS_CALL_ITEM_READ);
+    CU_ASSERT_EQUAL(hs_platform_classify_call("GET", "/items/ab?id=q", &id), HS_CALL_ITEM_READ);
     g_free(id);
-    CU_ASSERT_EQUAL(hs_platform_sort_call("POST", "/lots/ab", &id), HS_CALL_REQUEST);
-    CU_ASSERT_EQUAL(hs_platform_sort_call("GET", "/lots/", &id), HS_CALL_REQUEST);
+    CU_ASSERT_EQUAL(hs_platform_classify_call("POST", "/lots/ab", &id), HS_CALL_REQUEST);
+    CU_ASSERT_EQUAL(hs_platform_classify_call("GET", "/lots/", &id), HS_CALL_REQUEST);
     CU_ASSERT_EQUAL(hs_platform_read_position("/lots/ab?after=3"), 3);
     char *zone = NULL;
     CU_ASSERT_TRUE(hs_platform_is_resolve("/resolve?name=a&zone=z%201", &zone));
@@ -275,22 +275,22 @@
     bounds[7] = 9;
     g_byte_array_append(answer, bounds, sizeof bounds);
     hs_platform_frame_record(answer, "ab", 2);
-    hs_platform_frame_keyed(answer, "k", "v", 1);
+    hs_platform_frame_keyed_record(answer, "k", "v", 1);
     size_t position = 0;
     hs_store_record record;
     uint64_t end = 0;
     uint64_t first = 0;
     CU_ASSERT_TRUE(hs_platform_read_bounds(answer, &end, &first));
     CU_ASSERT_EQUAL(end, 9);
-    CU_ASSERT_TRUE(hs_platform_next_record(answer, false, &position, &record));
+    CU_ASSERT_TRUE(hs_platform_read_next_record(answer, false, &position, &record));
     CU_ASSERT_EQUAL(record.value_length, 2);
-    CU_ASSERT_TRUE(hs_platform_next_record(answer, true, &position, &record));
+    CU_ASSERT_TRUE(hs_platform_read_next_record(answer, true, &position, &record));
     CU_ASSERT(record.key_length == 1 && record.value_length == 1);
-    CU_ASSERT_FALSE(hs_platform_next_record(answer, true, &position, &record));
+    CU_ASSERT_FALSE(hs_platform_read_next_record(answer, true, &position, &record));
     while (answer->len > 0) { /* Truncated input is not read beyond its end. */
         g_byte_array_set_size(answer, answer->len - 1);
         position = 0;
-        while (hs_platform_next_record(answer, false, &position, &record))
+        while (hs_platform_read_next_record(answer, false, &position, &record))
             CU_ASSERT(record.value + record.value_length <= answer->data + answer->len);
     }
     g_byte_array_free(answer, TRUE);
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -339,16 +339,16 @@
     open_fixture(&fixture);
     append_manifest(&fixture);
     append_manifest(&fixture);
-    hs_store_call call = hs_platform_trim(HS_TOPIC_JOBS, 3, 1);
+    hs_store_call call = hs_platform_build_trim_call(HS_TOPIC_JOBS, 3, 1);
     GByteArray *answer = g_byte_array_new();
     hs_deadline deadline = hs_clock_monotonic_ms() + 500;
     CU_ASSERT_EQUAL(hs_store_client_send(fixture.client, &call, deadline, NULL, answer),
                     HS_STORE_DONE);
-    call = hs_platform_read(HS_TOPIC_JOBS, 3, 0, 64, 0);
+    call = hs_platform_build_read_call(HS_TOPIC_JOBS, 3, 0, 64, 0);
     CU_ASSERT_EQUAL(hs_store_client_send(fixture.client, &call, deadline, NULL, answer),
                     HS_STORE_GONE);
     uint64_t first = 0;
-    CU_ASSERT_TRUE(hs_platform_read_first_kept(answer, &first));
+    CU_ASSERT_TRUE(hs_platform_read_first_offset(answer, &first));
     CU_ASSERT_EQUAL(first, 1);
     g_byte_array_free(answer, TRUE);
     close_fixture(&fixture);
--- a/tests/unit/test_store_client.c
+++ b/tests/unit/test_store_client.c
@@ -17,7 +17,7 @@
     GByteArray *records = g_byte_array_new();
     GByteArray *answer = g_byte_array_new();
     hs_platform_frame_record(records, "text", 4);
-    hs_store_call call = hs_platform_append(HS_TOPIC_JOBS, 0, records);
+    hs_store_call call = hs_platform_build_append_call(HS_TOPIC_JOBS, 0, records);
     hs_store_outcome outcome =
         hs_store_client_send(client, &call, hs_clock_monotonic_ms() + TRY_MS, NULL, answer);
     g_byte_array_free(answer, TRUE);
@@ -27,7 +27,7 @@
 
 static hs_store_outcome read_once(hs_store_client *client) {
     GByteArray *answer = g_byte_array_new();
-    hs_store_call call = hs_platform_read(HS_TOPIC_JOBS, 0, 0, 1, 0);
+    hs_store_call call = hs_platform_build_read_call(HS_TOPIC_JOBS, 0, 0, 1, 0);
     hs_store_outcome outcome =
         hs_store_client_send(client, &call, hs_clock_monotonic_ms() + AWAY_MS, NULL, answer);
     g_byte_array_free(answer, TRUE);
--- a/tests/unit/test_tenants.c
+++ b/tests/unit/test_tenants.c
@@ -171,11 +171,11 @@
     head = hs_platform_write_engine_head(&request);
     CU_ASSERT_FALSE(has_line(head, "enant"));
     g_string_free(head, TRUE);
-    GArray *forwarded = hs_platform_name_tenant(fields, "alpha");
+    GArray *forwarded = hs_platform_copy_fields_with_tenant(fields, "alpha");
     hs_caller_terms terms;
     hs_platform_read_terms(forwarded, &terms);
     CU_ASSERT_PTR_NULL(terms.api_key);
-    CU_ASSERT_STRING_EQUAL(terms.told_tenant, "alpha");
+    CU_ASSERT_STRING_EQUAL(terms.asserted_tenant, "alpha");
     hs_http_fields_free(forwarded);
     hs_platform_read_terms(fields, &terms);
     CU_ASSERT_STRING_EQUAL(terms.api_key, "secret");
