--- a/src/commands/cancel.c
+++ b/src/commands/cancel.c
@@ -1,6 +1,7 @@
 /**
  * @file cancel.c
- * POST /v1/batches/{id}/cancel: the cancellation is a record; the answer follows its read-back.
+ * POST /v1/batches/{id}/cancel. Appends a cancellation record and answers with the job's state as
+ * read back from the log.
  */
 #include "base/clock.h"
 #include "base/fault_point.h"
@@ -14,53 +15,56 @@
 
 #include <string.h>
 
-#define APPEND_PATIENCE_MS 3000
+#define APPEND_TIMEOUT_MS 3000
 #define RETRY_AFTER_S 2
 
-typedef enum { CANCEL_NO_JOB, CANCEL_OPEN, CANCEL_OVER, CANCEL_UNREADABLE } cancel_reading;
+typedef enum { JOB_NOT_FOUND, JOB_RUNNING, JOB_ENDED, JOB_READ_FAILED } job_status;
 
-/** Read the log to its end and see how the job stands. @p document: the job; owned. */
-static cancel_reading read_job(hs_replica *replica, const char *job_id, const char *tenant,
-                               json_t **document, hs_error *error) {
+/**
+ * Reads the log to its end and returns the job's status. @p document receives the job if the tenant
+ * has one with this id; the caller frees it.
+ */
+static job_status read_job(hs_replica *replica, const char *job_id, const char *tenant,
+                           json_t **document, hs_error *error) {
     if (hs_replica_refresh(replica, error) != 0)
-        return CANCEL_UNREADABLE;
+        return JOB_READ_FAILED;
     const hs_partition *state = hs_replica_lock(replica);
     const hs_job *job = hs_partition_job(state, job_id);
-    cancel_reading reading = CANCEL_NO_JOB;
+    job_status status = JOB_NOT_FOUND;
     if (job != NULL && strcmp(job->tenant, tenant) == 0) {
-        reading = hs_job_state_of(job) == HS_JOB_RUNNING ? CANCEL_OPEN : CANCEL_OVER;
+        status = hs_job_state_of(job) == HS_JOB_RUNNING ? JOB_RUNNING : JOB_ENDED;
         json_decref(*document);
         *document = hs_job_json(job);
     }
     hs_replica_unlock(replica);
-    return reading;
+    return status;
 }
 
 static int cancel_job(hs_node *node, hs_replica *replica, const char *job_id, const char *tenant,
                       struct _u_response *response) {
     hs_error error = {0};
     json_t *document = NULL;
-    cancel_reading reading = read_job(replica, job_id, tenant, &document, &error);
+    job_status status = read_job(replica, job_id, tenant, &document, &error);
     int appended = 0;
-    if (reading == CANCEL_OPEN) {
+    if (status == JOB_RUNNING) {
         g_autoptr(GByteArray) record = hs_record_cancel(job_id, hs_clock_wall_ms());
         uint64_t offset = 0;
         HS_FAULT_POINT("cancel_before");
         appended = hs_appender_append(node->appender, hs_replica_stream(replica), record->data,
-                                      record->len, APPEND_PATIENCE_MS, &offset, &error);
+                                      record->len, APPEND_TIMEOUT_MS, &offset, &error);
         HS_FAULT_POINT("cancel_after");
-        reading = read_job(replica, job_id, tenant, &document, &error);
+        status = read_job(replica, job_id, tenant, &document, &error);
     }
-    if (reading == CANCEL_OVER) {
+    if (status == JOB_ENDED) {
         hs_metrics_add(&node->metrics, HS_COUNT_JOBS_CANCELLED, 1);
         hs_log_info("job_cancelled", "job=%s tenant=%s", job_id, tenant);
         return hs_http_reply_json(response, 200, document);
     }
-    bool tried = document != NULL;
+    bool job_was_read = document != NULL;
     json_decref(document);
-    if (reading == CANCEL_NO_JOB)
+    if (status == JOB_NOT_FOUND)
         return hs_refuse_invalid(response, 404, "batch_not_found", "no such batch");
-    if (!tried || appended == HS_PLATFORM_BUSY || appended == HS_PLATFORM_REFUSED)
+    if (!job_was_read || appended == HS_PLATFORM_BUSY || appended == HS_PLATFORM_REFUSED)
         return hs_refuse_unavailable(response, "platform_unavailable", error.message,
                                      RETRY_AFTER_S);
     return hs_refuse_unknown(response, 504, "outcome_unknown", "cancel again to learn the outcome");
--- a/src/commands/command_routes.c
+++ b/src/commands/command_routes.c
@@ -3,7 +3,7 @@
 
 #include "commands/completion_check.h"
 
-void hs_command_routes_caller(hs_node *node, hs_http_server *server) {
+void hs_command_register_caller_routes(hs_node *node, hs_http_server *server) {
     hs_http_server_route(server, "POST", HS_PATH_CHAT, hs_command_chat, node);
     hs_http_server_route(server, "POST", HS_PATH_TEXT, hs_command_text, node);
     hs_http_server_route(server, "POST", "/v1/files", hs_command_upload, node);
@@ -11,8 +11,8 @@
     hs_http_server_route(server, "POST", "/v1/batches/:id/cancel", hs_command_cancel, node);
 }
 
-void hs_command_routes_admin(hs_node *node, hs_http_server *server) {
-    hs_fault_routes(server);
+void hs_command_register_admin_routes(hs_node *node, hs_http_server *server) {
+    hs_fault_register_routes(server);
     hs_http_server_route(server, "POST", "/admin/v1/drain", hs_command_drain, node);
     hs_http_server_route(server, "PUT", "/admin/v1/:kind/:name", hs_command_publish, node);
     hs_http_server_route(server, "DELETE", "/admin/v1/:kind/:name", hs_command_delete, node);
--- a/src/commands/command_routes.h
+++ b/src/commands/command_routes.h
@@ -1,6 +1,7 @@
 /**
  * @file command_routes.h
- * The requests that change something: complete, upload, submit, cancel, publish.
+ * Routes and handlers of the requests that change state: completions, uploads, job submission and
+ * cancellation, configuration changes and draining.
  */
 #ifndef HS_COMMANDS_COMMAND_ROUTES_H
 #define HS_COMMANDS_COMMAND_ROUTES_H
@@ -8,16 +9,16 @@
 #include "http/http_server.h"
 #include "node/node.h"
 
-/** Routes of callers. Call before the listener starts. */
-void hs_command_routes_caller(hs_node *node, hs_http_server *server);
+/** Registers the callers' routes. Call before the listener starts. */
+void hs_command_register_caller_routes(hs_node *node, hs_http_server *server);
 
-/** Routes of operators. */
-void hs_command_routes_admin(hs_node *node, hs_http_server *server);
+/** Registers the operators' routes. Call before the listener starts. */
+void hs_command_register_admin_routes(hs_node *node, hs_http_server *server);
 
-/** Routes of a test build; none in a product build. */
-void hs_fault_routes(hs_http_server *server);
+/** Registers the route that sets faults; does nothing unless built with HS_FAULT_POINTS. */
+void hs_fault_register_routes(hs_http_server *server);
 
-/* The handlers, one a file. user_data is the hs_node. */
+/* The handlers. @p node is the hs_node. */
 int hs_command_chat(const struct _u_request *request, struct _u_response *response, void *node);
 int hs_command_text(const struct _u_request *request, struct _u_response *response, void *node);
 int hs_command_upload(const struct _u_request *request, struct _u_response *response, void *node);
--- a/src/commands/complete.c
+++ b/src/commands/complete.c
@@ -1,7 +1,7 @@
 /**
  * @file complete.c
- * POST /v1/chat/completions and /v1/completions: checks, admission, and the answer, plain or
- * streamed. The attempts themselves are in online_request.c.
+ * POST /v1/chat/completions and /v1/completions: checks and admits the request and writes the
+ * response, plain or streamed. online_request.c runs the attempts.
  */
 #include "base/clock.h"
 #include "base/hash.h"
@@ -18,15 +18,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STREAM_BLOCK_SIZE 4096
+#define STREAM_BLOCK_BYTES 4096
 #define RETRY_AFTER_S 1
 #define MS_PER_S 1000
 #define HTTP_GATEWAY_TIMEOUT 504
 #define HTTP_BAD_GATEWAY 502
-#define HTTP_TOO_MANY 429
+#define HTTP_TOO_MANY_REQUESTS 429
 #define DONE_EVENT "data: [DONE]\n\n"
 
-/** Deadline header, or the default; false when it is malformed. */
+/** Reads the deadline header, or takes the default. Returns false if the header is invalid. */
 static bool read_timeout(const hs_node *node, const struct _u_request *request,
                          int64_t *timeout_ms) {
     const char *header = u_map_get_case(request->map_header, "Heathsail-Timeout-Ms");
@@ -42,7 +42,7 @@
     return header != NULL && g_ascii_strcasecmp(header, "true") == 0;
 }
 
-/** Fill @p fields from the request; answers and returns false when it must be refused. */
+/** Fills @p fields from the request. If the request is invalid, answers and returns false. */
 static bool read_request(hs_node *node, const struct _u_request *request, bool chat,
                          hs_online_request *fields, struct _u_response *response) {
     hs_error error = {0};
@@ -82,7 +82,7 @@
     return true;
 }
 
-/** Tenant, route and limits; answers and returns false when the request is refused. */
+/** Checks tenant, route and tenant limit. If the request is refused, answers and returns false. */
 static bool admit(hs_node *node, hs_online_request *fields, struct _u_response *response) {
     fields->view = hs_config_store_view(node->config);
     if (!hs_config_view_knows_tenant(fields->view, fields->tenant)) {
@@ -99,7 +99,7 @@
     if (wait_ms == 0)
         return true;
     hs_http_reply_error(response,
-                        &(hs_error_body){.status = HTTP_TOO_MANY,
+                        &(hs_error_body){.status = HTTP_TOO_MANY_REQUESTS,
                                          .type = "rate_limit_error",
                                          .code = "tenant_limit",
                                          .message = "the tenant is over its limit",
@@ -116,8 +116,8 @@
     hs_config_view_release(fields->view);
 }
 
-/** The error of a request that did not come whole. */
-static hs_error_body error_of(const hs_online_request *request, hs_online_state state) {
+/** Returns the error body of a request that did not complete; refers to @p request's texts. */
+static hs_error_body make_error_body(const hs_online_request *request, hs_online_state state) {
     switch (state) {
     case HS_ONLINE_INVALID:
         return (hs_error_body){.status = 400,
@@ -152,9 +152,9 @@
     }
 }
 
-static void count_end(hs_node *node, hs_online_state state) {
+static void count_outcome(hs_node *node, hs_online_state state) {
     static const hs_counter counters[] = {[HS_ONLINE_RUNNING] = HS_COUNT_ONLINE_UNKNOWN,
-                                          [HS_ONLINE_WHOLE] = HS_COUNT_ONLINE_ANSWERED,
+                                          [HS_ONLINE_COMPLETED] = HS_COUNT_ONLINE_ANSWERED,
                                           [HS_ONLINE_INVALID] = HS_COUNT_ONLINE_INVALID,
                                           [HS_ONLINE_NOT_RUN] = HS_COUNT_ONLINE_REFUSED,
                                           [HS_ONLINE_MAY_HAVE_RUN] = HS_COUNT_ONLINE_UNKNOWN,
@@ -162,12 +162,12 @@
     hs_metrics_add(&node->metrics, counters[state], 1);
 }
 
-/** The request is over for its caller. */
+/** Counts the outcome and drops the caller's reference; abandons a request that still runs. */
 static void close_request(hs_online_request *request, hs_online_state state) {
     hs_node *node = request->node;
     if (state == HS_ONLINE_RUNNING)
         hs_online_request_abandon(request);
-    count_end(node, state);
+    count_outcome(node, state);
     hs_tenant_limits_leave(node->limits, request->tenant);
     hs_online_request_release(request);
     g_atomic_int_add(&node->call_count, -1);
@@ -175,21 +175,21 @@
 
 /* ---- Plain -------------------------------------------------------------------------------- */
 
-static void answer_plain(hs_online_request *request, struct _u_response *response) {
+static void respond_plain(hs_online_request *request, struct _u_response *response) {
     hs_whole_answer answer;
     hs_online_state state = HS_ONLINE_RUNNING;
     hs_whole_answer_init(&answer, request->chat);
     json_t *event;
-    while ((event = hs_online_request_next(request, &state)) != NULL) {
+    while ((event = hs_online_request_wait_for_event(request, &state)) != NULL) {
         hs_whole_answer_add(&answer, event);
         json_decref(event);
     }
-    if (state == HS_ONLINE_WHOLE) {
+    if (state == HS_ONLINE_COMPLETED) {
         hs_http_reply_json(response, 200,
                            hs_whole_answer_body(&answer, request->request_id, request->model,
                                                 hs_clock_wall_ms() / MS_PER_S));
     } else {
-        hs_error_body error = error_of(request, state);
+        hs_error_body error = make_error_body(request, state);
         hs_http_reply_error(response, &error);
     }
     hs_whole_answer_clear(&answer);
@@ -198,14 +198,14 @@
 
 /* ---- Streamed ----------------------------------------------------------------------------- */
 
-/** A stream being written to its caller; of the connection's thread alone. */
+/** State of a response stream; used by the connection's thread only. */
 typedef struct {
     hs_online_request *request;
     GString *pending;
     hs_online_state state;
-    bool ended;  /**< The last bytes are pending. */
-    bool broken; /**< The answer is not whole: the transfer ends as a broken one. */
-} caller_stream;
+    bool ended;  /**< No event follows the pending bytes. */
+    bool failed; /**< The response is incomplete: the transfer is aborted. */
+} response_stream;
 
 static void append_event(GString *pending, json_t *event) {
     char *text = json_dumps(event, JSON_COMPACT);
@@ -214,29 +214,29 @@
     json_decref(event);
 }
 
-/** Wait for the next event, or write the end. */
-static void fill_pending(caller_stream *stream) {
-    json_t *event = hs_online_request_next(stream->request, &stream->state);
+/** Waits for the next event and appends the event, or the stream's end, to the pending bytes. */
+static void fill_pending(response_stream *stream) {
+    json_t *event = hs_online_request_wait_for_event(stream->request, &stream->state);
     if (event != NULL) {
         append_event(stream->pending, event);
         return;
     }
     stream->ended = true;
-    if (stream->state == HS_ONLINE_WHOLE) {
+    if (stream->state == HS_ONLINE_COMPLETED) {
         g_string_append(stream->pending, DONE_EVENT);
         return;
     }
-    stream->broken = true;
-    hs_error_body error = error_of(stream->request, stream->state);
+    stream->failed = true;
+    hs_error_body error = make_error_body(stream->request, stream->state);
     g_autofree char *text = hs_error_body_text(&error);
     g_string_append_printf(stream->pending, "data: %s\n\n", text);
 }
 
 static ssize_t write_stream(void *user_data, uint64_t offset, char *buffer, size_t size) {
     (void)offset;
-    caller_stream *stream = user_data;
+    response_stream *stream = user_data;
     if (stream->pending->len == 0 && stream->ended)
-        return stream->broken ? U_STREAM_ERROR : U_STREAM_END;
+        return stream->failed ? U_STREAM_ERROR : U_STREAM_END;
     if (stream->pending->len == 0)
         fill_pending(stream);
     size_t count = MIN(size, stream->pending->len);
@@ -245,25 +245,25 @@
     return (ssize_t)count;
 }
 
-/** The connection is over, by its end or because the caller hung up. */
+/** Called when the response has been sent or the caller has disconnected. */
 static void free_stream(void *user_data) {
-    caller_stream *stream = user_data;
+    response_stream *stream = user_data;
     close_request(stream->request, stream->ended ? stream->state : HS_ONLINE_RUNNING);
     g_string_free(stream->pending, TRUE);
     g_free(stream);
 }
 
-/** Wait for the first event, so that a failure before it gets a status of its own. */
-static void answer_streamed(hs_online_request *request, struct _u_response *response) {
+/** Sends headers only after the first event, so that an earlier failure has its own HTTP status. */
+static void respond_streamed(hs_online_request *request, struct _u_response *response) {
     hs_online_state state = HS_ONLINE_RUNNING;
-    json_t *event = hs_online_request_next(request, &state);
-    if (event == NULL && state != HS_ONLINE_WHOLE) {
-        hs_error_body error = error_of(request, state);
+    json_t *event = hs_online_request_wait_for_event(request, &state);
+    if (event == NULL && state != HS_ONLINE_COMPLETED) {
+        hs_error_body error = make_error_body(request, state);
         hs_http_reply_error(response, &error);
         close_request(request, state);
         return;
     }
-    caller_stream *stream = g_new0(caller_stream, 1);
+    response_stream *stream = g_new0(response_stream, 1);
     stream->request = request;
     stream->pending = g_string_new(NULL);
     if (event != NULL)
@@ -271,11 +271,11 @@
     u_map_put(response->map_header, "Content-Type", "text/event-stream");
     u_map_put(response->map_header, "Cache-Control", "no-store");
     ulfius_set_stream_response(response, 200, write_stream, free_stream, U_STREAM_SIZE_UNKNOWN,
-                               STREAM_BLOCK_SIZE, stream);
+                               STREAM_BLOCK_BYTES, stream);
 }
 
-static int complete(hs_node *node, const struct _u_request *request, struct _u_response *response,
-                    bool chat) {
+static int handle_completion(hs_node *node, const struct _u_request *request,
+                             struct _u_response *response, bool chat) {
     hs_metrics_add(&node->metrics, HS_COUNT_ONLINE_REQUESTS, 1);
     if (!hs_node_takes_requests(node))
         return hs_refuse_unavailable(response, "not_ready", "this daemon takes no requests now",
@@ -296,16 +296,16 @@
     u_map_put(response->map_header, "X-Request-Id", fields.request_id);
     hs_online_request *started = hs_online_request_start(node, &fields);
     if (started->stream)
-        answer_streamed(started, response);
+        respond_streamed(started, response);
     else
-        answer_plain(started, response);
+        respond_plain(started, response);
     return U_CALLBACK_COMPLETE;
 }
 
 int hs_command_chat(const struct _u_request *request, struct _u_response *response, void *node) {
-    return complete(node, request, response, true);
+    return handle_completion(node, request, response, true);
 }
 
 int hs_command_text(const struct _u_request *request, struct _u_response *response, void *node) {
-    return complete(node, request, response, false);
+    return handle_completion(node, request, response, false);
 }
--- a/src/commands/completion_check.c
+++ b/src/commands/completion_check.c
@@ -30,17 +30,19 @@
     const char *model = json_string_value(json_object_get(body, "model"));
     if (model == NULL || *model == '\0')
         return invalid(error, "model must be a non-empty string");
-    const json_t *wanted = json_object_get(body, "max_tokens");
-    if (wanted != NULL && (!json_is_integer(wanted) || json_integer_value(wanted) < 1 ||
-                           json_integer_value(wanted) > max_tokens))
+    const json_t *requested_tokens = json_object_get(body, "max_tokens");
+    if (requested_tokens != NULL &&
+        (!json_is_integer(requested_tokens) || json_integer_value(requested_tokens) < 1 ||
+         json_integer_value(requested_tokens) > max_tokens))
         return hs_error_set(error, HS_LAYER_HTTP, HS_INVALID,
                             "max_tokens must be a whole number from 1 to %lld",
                             (long long)max_tokens);
     const json_t *stream = json_object_get(body, "stream");
     if (stream != NULL && !json_is_boolean(stream))
         return invalid(error, "stream must be true or false");
-    const json_t *count = json_object_get(body, "n");
-    if (count != NULL && (!json_is_integer(count) || json_integer_value(count) != 1))
+    const json_t *choice_count = json_object_get(body, "n");
+    if (choice_count != NULL &&
+        (!json_is_integer(choice_count) || json_integer_value(choice_count) != 1))
         return invalid(error, "n must be 1");
     if (chat)
         return check_messages(json_object_get(body, "messages"), error);
--- a/src/commands/drain.c
+++ b/src/commands/drain.c
@@ -1,7 +1,7 @@
 /**
  * @file drain.c
- * POST /admin/v1/drain: take this daemon out of service as a planned stop does, by its own
- * signal handler, so that there is one way to stop.
+ * POST /admin/v1/drain: sends this process SIGTERM, so that draining takes the same path as a
+ * planned stop.
  */
 #include "base/log.h"
 #include "commands/command_routes.h"
--- a/src/commands/online_request.c
+++ b/src/commands/online_request.c
@@ -1,4 +1,4 @@
-/** @file online_request.c  Attempts of an online request; see online_request.h. */
+/** @file online_request.c  See online_request.h. */
 #include "commands/online_request.h"
 
 #include "base/clock.h"
@@ -13,16 +13,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define QUEUE_LIMIT 1024
+#define MAX_QUEUED_EVENTS 1024
 #define RESUMES_PER_ATTEMPT 3
-#define RESUME_WAIT_MS 50
-#define REACHABLE_TIMEOUT_MS 500
-#define MAX_TRIED 16
+#define RESUME_INTERVAL_MS 50
+#define REACHABILITY_TIMEOUT_MS 500
+#define MAX_EXCLUDED_ENGINES 16
 #define EXCHANGE_SLACK_S 2
-/**
- * Between two looks whether a caller is still there, in ms: a fifth of the time within which its
- * engine is to be free, so that the cancel has the rest.
- */
+/** Interval of the checks whether the caller has disconnected. */
 #define CALLER_CHECK_MS 100
 #define MS_PER_S 1000.0
 
@@ -58,9 +55,9 @@
     return request;
 }
 
-/* ---- The connection's side ---------------------------------------------------------------- */
+/* ---- Connection's thread ------------------------------------------------------------------ */
 
-/** Wait for a change; false once the deadline has passed or the caller has left. */
+/** Waits for a change; false once the deadline has passed or the caller has disconnected. */
 static bool wait_for_change(hs_online_request *request) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     if (now_ms >= request->deadline_ms || hs_peer_has_left(request->caller_descriptor))
@@ -70,7 +67,7 @@
     return true;
 }
 
-json_t *hs_online_request_next(hs_online_request *request, hs_online_state *state) {
+json_t *hs_online_request_wait_for_event(hs_online_request *request, hs_online_state *state) {
     g_mutex_lock(&request->lock);
     bool may_wait = true;
     while (may_wait && g_queue_is_empty(&request->events) && request->state == HS_ONLINE_RUNNING)
@@ -91,15 +88,15 @@
     g_mutex_unlock(&request->lock);
 }
 
-/* ---- The worker's side -------------------------------------------------------------------- */
+/* ---- Worker thread ------------------------------------------------------------------------ */
 
-static bool take_token(uint32_t token_index, json_t *event, void *user_data) {
+static bool enqueue_token(uint32_t token_index, json_t *event, void *user_data) {
     hs_online_request *request = user_data;
     g_mutex_lock(&request->lock);
-    while (g_queue_get_length(&request->events) >= QUEUE_LIMIT && !request->abandoned)
+    while (g_queue_get_length(&request->events) >= MAX_QUEUED_EVENTS && !request->abandoned)
         g_cond_wait(&request->changed, &request->lock);
-    bool wanted = !request->abandoned;
-    if (wanted) {
+    bool awaited = !request->abandoned;
+    if (awaited) {
         json_object_set_new(event, "id", json_string(request->request_id));
         g_queue_push_tail(&request->events, json_incref(event));
         request->token_count = token_index + 1;
@@ -110,7 +107,7 @@
     if (token_index == 0)
         hs_metrics_first_token(&request->node->metrics,
                                (double)(hs_clock_monotonic_ms() - request->started_ms) / MS_PER_S);
-    return wanted;
+    return awaited;
 }
 
 static void end_request(hs_online_request *request, hs_online_state state, const char *failure) {
@@ -121,16 +118,16 @@
     g_mutex_unlock(&request->lock);
 }
 
-static bool is_over(hs_online_request *request) {
+static bool should_stop(hs_online_request *request) {
     g_mutex_lock(&request->lock);
-    bool over = request->abandoned || hs_clock_monotonic_ms() >= request->deadline_ms;
+    bool stop = request->abandoned || hs_clock_monotonic_ms() >= request->deadline_ms;
     g_mutex_unlock(&request->lock);
-    return over;
+    return stop;
 }
 
 /**
- * Name the attempt, so that an abandoned request can be cancelled at its engine. Under a key there
- * is one attempt for good: it may only move after an engine refused it as not run.
+ * Sets the attempt's id and engine, so that an abandoned request can be cancelled. A request with
+ * an idempotency key keeps one attempt id: another engine may run it only after a refusal.
  */
 static void set_attempt(hs_online_request *request, const hs_engine_choice *choice, int number) {
     g_mutex_lock(&request->lock);
@@ -153,7 +150,7 @@
                 request->tenant, request->model, line);
 }
 
-static hs_attempt_verdict verdict_of(const hs_run_result *result) {
+static hs_attempt_verdict get_attempt_verdict(const hs_run_result *result) {
     switch (result->end) {
     case HS_RUN_WHOLE:
     case HS_RUN_INVALID:
@@ -172,8 +169,8 @@
     return HS_ATTEMPT_FAILED;
 }
 
-/** The engine's request body. Owned (free). */
-static char *attempt_body(const hs_online_request *request) {
+/** Returns the body sent to the engine. Free with free. */
+static char *make_attempt_body(const hs_online_request *request) {
     json_t *body = json_deep_copy(request->body);
     json_object_set_new(body, "stream", json_true());
     json_object_set_new(body, "request_id", json_string(request->attempt_id));
@@ -186,46 +183,46 @@
 static hs_run_result resume_if_cut(hs_online_request *request, const hs_engine_call *call,
                                    hs_run_result result) {
     for (int count = 0; count < RESUMES_PER_ATTEMPT && result.end == HS_RUN_CUT; count++) {
-        if (is_over(request))
+        if (should_stop(request))
             break;
         if (count > 0)
-            hs_clock_sleep_ms(RESUME_WAIT_MS);
+            hs_clock_sleep_ms(RESUME_INTERVAL_MS);
         hs_metrics_add(&request->node->metrics, HS_COUNT_RESUMES, 1);
-        hs_run_result resumed = hs_engine_resume(call, result.next_token, take_token, request);
-        /* An engine that does not know the request, or is gone, leaves the cut as it was. */
+        hs_run_result resumed = hs_engine_resume(call, result.next_token, enqueue_token, request);
+        /* If the engine does not know the request or is unreachable, the first result stands. */
         if (resumed.end != HS_RUN_REFUSED)
             result = resumed;
     }
     return result;
 }
 
-/** A silent engine holds the worker little longer than the caller waits. */
-static uint32_t exchange_limit_s(const hs_online_request *request) {
+/** Bounds how long an unresponsive engine occupies the worker after the deadline. */
+static uint32_t exchange_timeout_s(const hs_online_request *request) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     uint64_t left_ms = request->deadline_ms > now_ms ? request->deadline_ms - now_ms : 0;
     return (uint32_t)(left_ms / 1000) + EXCHANGE_SLACK_S;
 }
 
-/** Run the request once on the chosen engine. */
+/** Sends the request to the chosen engine and reads the response, with resumes. */
 static hs_run_result run_attempt(hs_online_request *request, const hs_engine_choice *choice) {
-    char *body = attempt_body(request);
+    char *body = make_attempt_body(request);
     hs_engine_call call = {.engine_url = choice->url,
                            .path = request->chat ? HS_PATH_CHAT : HS_PATH_TEXT,
                            .request_id = request->attempt_id,
                            .body = body,
-                           .timeout_s = exchange_limit_s(request)};
+                           .timeout_s = exchange_timeout_s(request)};
     hs_node_notice_online(request->node, choice->id);
     HS_FAULT_POINT("online_dispatch");
-    hs_run_result result = hs_engine_run(&call, take_token, request);
+    hs_run_result result = hs_engine_run(&call, enqueue_token, request);
     result = resume_if_cut(request, &call, result);
-    /* The caller is gone, and a cancel sent before the engine knew the request had no effect. */
+    /* A cancel that was sent before the engine received the request had no effect: send another. */
     if (result.end == HS_RUN_ABORTED)
         hs_engine_cancel(choice->url, request->attempt_id);
     free(body);
     return result;
 }
 
-static bool may_retry(hs_online_request *request) {
+static bool acquire_retry(hs_online_request *request) {
     g_mutex_lock(&request->node->retry_lock);
     bool allowed = hs_retry_budget_take(&request->node->retry_budget);
     g_mutex_unlock(&request->node->retry_lock);
@@ -234,8 +231,8 @@
     return allowed;
 }
 
-/** Forget tokens of a failed attempt that nobody has seen. */
-static void drop_events(hs_online_request *request) {
+/** Discards queued tokens of a failed attempt, none of which has been sent to the caller. */
+static void discard_events(hs_online_request *request) {
     json_t *event;
     g_mutex_lock(&request->lock);
     while ((event = g_queue_pop_head(&request->events)) != NULL)
@@ -244,11 +241,11 @@
     g_mutex_unlock(&request->lock);
 }
 
-/** Whether another attempt may start after @p result; ends the request when not. */
+/** Returns whether another attempt may start after @p result; otherwise ends the request. */
 static bool continue_after(hs_online_request *request, const hs_run_result *result) {
     switch (result->end) {
     case HS_RUN_WHOLE:
-        end_request(request, HS_ONLINE_WHOLE, "");
+        end_request(request, HS_ONLINE_COMPLETED, "");
         return false;
     case HS_RUN_INVALID:
         end_request(request, HS_ONLINE_INVALID, "the engine found the request invalid");
@@ -258,7 +255,7 @@
     default:
         break;
     }
-    request->byte_may_have_left = true;
+    request->may_have_reached_engine = true;
     bool seen = request->stream && request->token_count > 0;
     if (request->run_once || seen) {
         end_request(request, HS_ONLINE_MAY_HAVE_RUN,
@@ -266,131 +263,132 @@
                          : "the engine's answer was lost");
         return false;
     }
-    drop_events(request);
+    discard_events(request);
     return true;
 }
 
 static void end_without_engine(hs_online_request *request, const char *reason) {
-    end_request(request, request->byte_may_have_left ? HS_ONLINE_MAY_HAVE_RUN : HS_ONLINE_NOT_RUN,
+    end_request(request,
+                request->may_have_reached_engine ? HS_ONLINE_MAY_HAVE_RUN : HS_ONLINE_NOT_RUN,
                 reason);
 }
 
-/** Engines tried so far, and the query that leaves them out. */
+/** Engines that earlier attempts used, and the query that excludes them. */
 typedef struct {
-    char ids[MAX_TRIED][64];
-    const char *pointers[MAX_TRIED];
+    char ids[MAX_EXCLUDED_ENGINES][64];
+    const char *pointers[MAX_EXCLUDED_ENGINES];
     hs_engine_query query;
-} tried_engines;
+} excluded_engines;
 
-static void add_tried(tried_engines *tried, const char *id) {
-    uint32_t count = tried->query.excluded_count;
-    g_strlcpy(tried->ids[count], id, sizeof tried->ids[count]);
-    tried->pointers[count] = tried->ids[count];
-    tried->query.excluded_count++;
+static void exclude_tried_engine(excluded_engines *excluded, const char *id) {
+    uint32_t count = excluded->query.excluded_count;
+    g_strlcpy(excluded->ids[count], id, sizeof excluded->ids[count]);
+    excluded->pointers[count] = excluded->ids[count];
+    excluded->query.excluded_count++;
 }
 
-/** Another attempt holds our key: read its answer from its engine, without ever running ours. */
-static void answer_from_holder(hs_online_request *request, const hs_key_holder *holder) {
+/** Another attempt holds the key: relays its response instead of running this request. */
+static void relay_holder_response(hs_online_request *request, const hs_online_key_holder *holder) {
     hs_engine_call call = {.engine_url = holder->engine_url,
                            .request_id = holder->attempt_id,
-                           .timeout_s = exchange_limit_s(request)};
+                           .timeout_s = exchange_timeout_s(request)};
     hs_run_result result = {.end = HS_RUN_REFUSED};
     g_mutex_lock(&request->lock);
-    request->attempt_id[0] = '\0'; /* Not ours to cancel. */
+    request->attempt_id[0] = '\0'; /* An abandoned request must not cancel the holder's attempt. */
     g_mutex_unlock(&request->lock);
-    while (result.end != HS_RUN_WHOLE && result.end != HS_RUN_CANCELLED && !is_over(request)) {
-        result = hs_engine_resume(&call, result.next_token, take_token, request);
+    while (result.end != HS_RUN_WHOLE && result.end != HS_RUN_CANCELLED && !should_stop(request)) {
+        result = hs_engine_resume(&call, result.next_token, enqueue_token, request);
         if (result.end == HS_RUN_REFUSED || result.end == HS_RUN_CUT)
-            hs_clock_sleep_ms(RESUME_WAIT_MS);
+            hs_clock_sleep_ms(RESUME_INTERVAL_MS);
     }
-    bool whole = result.end == HS_RUN_WHOLE;
-    end_request(request, whole ? HS_ONLINE_WHOLE : HS_ONLINE_DUPLICATE,
-                whole ? "" : "another request holds this key and its answer cannot be read");
+    bool completed = result.end == HS_RUN_WHOLE;
+    end_request(request, completed ? HS_ONLINE_COMPLETED : HS_ONLINE_DUPLICATE,
+                completed ? "" : "another request holds this key and its answer cannot be read");
 }
 
-/** Whether the attempt may be sent; ends the request when not. */
-static bool obtain_key(hs_online_request *request, const hs_engine_choice *choice) {
-    hs_key_holder holder;
+/** Returns whether the idempotency key permits the attempt; otherwise ends the request. */
+static bool acquire_key(hs_online_request *request, const hs_engine_choice *choice) {
+    hs_online_key_holder holder;
     if (request->key_hash == NULL)
         return true;
-    switch (hs_online_key_take(request->node, request->key_hash, request->attempt_id, choice->url,
-                               &holder)) {
-    case HS_KEY_OURS:
+    switch (hs_online_key_acquire(request->node, request->key_hash, request->attempt_id,
+                                  choice->url, &holder)) {
+    case HS_ONLINE_KEY_ACQUIRED:
         return true;
-    case HS_KEY_TAKEN:
-        answer_from_holder(request, &holder);
+    case HS_ONLINE_KEY_HELD:
+        relay_holder_response(request, &holder);
         return false;
-    case HS_KEY_UNKNOWN:
+    case HS_ONLINE_KEY_UNKNOWN:
         break;
     }
     end_request(request, HS_ONLINE_NOT_RUN, "the platform cannot hold the key now");
     return false;
 }
 
-/** Whether someone still waits for the answer, before it is asked for; ends the request when not.
- */
-static bool is_wanted(hs_online_request *request) {
+/** Returns whether the connection still waits for the result; otherwise ends the request. */
+static bool is_awaited(hs_online_request *request) {
     g_mutex_lock(&request->lock);
-    bool wanted = !request->abandoned;
+    bool awaited = !request->abandoned;
     g_mutex_unlock(&request->lock);
-    if (!wanted)
-        end_without_engine(request, "nobody waits for the answer");
-    return wanted;
+    if (!awaited)
+        end_without_engine(request, "the caller disconnected before the attempt was sent");
+    return awaited;
 }
 
 /**
- * One attempt at the chosen engine. True when another may follow. @p lacked_model: the engine is
- * well but does not hold the model, so that asking another costs the fleet nothing.
+ * Makes one attempt at the chosen engine. Returns whether another may follow. @p model_missing is
+ * set if the engine refused because the model is not loaded; the next attempt then is not a retry.
  */
-static bool attempt(hs_online_request *request, const hs_engine_choice *choice,
-                    bool *lacked_model) {
+static bool try_engine(hs_online_request *request, const hs_engine_choice *choice,
+                       bool *model_missing) {
     hs_run_result result = {.end = HS_RUN_REFUSED};
     bool reachable =
-        !request->run_once || hs_engine_is_reachable(choice->url, REACHABLE_TIMEOUT_MS);
-    bool sent = reachable && obtain_key(request, choice) && is_wanted(request);
+        !request->run_once || hs_engine_is_reachable(choice->url, REACHABILITY_TIMEOUT_MS);
+    bool sent = reachable && acquire_key(request, choice) && is_awaited(request);
     if (sent)
         result = run_attempt(request, choice);
     hs_attempt_verdict verdict = reachable ? HS_ATTEMPT_COMPLETED : HS_ATTEMPT_FAILED;
     hs_engine_table_finish(request->node->engines, choice->id, request->model,
-                           sent ? verdict_of(&result) : verdict, hs_clock_monotonic_ms());
+                           sent ? get_attempt_verdict(&result) : verdict, hs_clock_monotonic_ms());
     hs_node_notice_online(request->node, choice->id);
     if (reachable && !sent)
         return false;
-    *lacked_model = sent && verdict_of(&result) == HS_ATTEMPT_NO_MODEL;
+    *model_missing = sent && get_attempt_verdict(&result) == HS_ATTEMPT_NO_MODEL;
     return continue_after(request, &result);
 }
 
 static void run_attempts(hs_online_request *request) {
     hs_node *node = request->node;
-    tried_engines tried = {.query = {.group = request->group,
-                                     .model = request->model,
-                                     .prefix_hash = request->prefix_hash}};
-    tried.query.excluded_ids = tried.pointers;
+    excluded_engines excluded = {.query = {.group = request->group,
+                                           .model = request->model,
+                                           .prefix_hash = request->prefix_hash}};
+    excluded.query.excluded_ids = excluded.pointers;
     int number = 1;
-    bool free_attempt = true;
-    while (number <= node->settings->max_attempts && tried.query.excluded_count < MAX_TRIED) {
+    bool is_free_attempt = true;
+    while (number <= node->settings->max_attempts &&
+           excluded.query.excluded_count < MAX_EXCLUDED_ENGINES) {
         hs_engine_choice choice;
-        if (!is_wanted(request))
+        if (!is_awaited(request))
             return;
-        if (is_over(request)) {
+        if (should_stop(request)) {
             end_without_engine(request, "the deadline has passed");
             return;
         }
-        if (!free_attempt && !may_retry(request)) {
+        if (!is_free_attempt && !acquire_retry(request)) {
             end_without_engine(request, "the retry budget is spent");
             return;
         }
-        if (!hs_engine_table_acquire(node->engines, &tried.query, hs_clock_monotonic_ms(),
+        if (!hs_engine_table_acquire(node->engines, &excluded.query, hs_clock_monotonic_ms(),
                                      &choice)) {
             end_without_engine(request, "no engine is available");
             return;
         }
         trace_choice(request, &choice, number);
         set_attempt(request, &choice, number);
-        if (!attempt(request, &choice, &free_attempt))
+        if (!try_engine(request, &choice, &is_free_attempt))
             return;
-        add_tried(&tried, choice.id);
-        number += !free_attempt;
+        exclude_tried_engine(&excluded, choice.id);
+        number += !is_free_attempt;
     }
     end_without_engine(request, "every attempt failed");
 }
@@ -409,7 +407,7 @@
                 request->request_id, (int)request->state, request->token_count,
                 hs_clock_monotonic_ms() - request->started_ms, request->failure);
     if (request->key_hash != NULL && request->state == HS_ONLINE_NOT_RUN)
-        hs_online_key_void(node, request->key_hash, request->attempt_id);
+        hs_online_key_release(node, request->key_hash, request->attempt_id);
     g_atomic_int_add(&node->online_count, -1);
     hs_online_request_release(request);
 }
--- a/src/commands/online_request.h
+++ b/src/commands/online_request.h
@@ -1,10 +1,11 @@
 /**
  * @file online_request.h
- * One online request on its way: attempts at engines on a worker thread, its tokens taken by the
- * connection's thread through a bounded queue.
+ * An online request. A worker thread runs attempts on engines and queues token events, up to a
+ * limit, for the connection's thread.
  *
- * The connection gives up at the deadline or when the caller hangs up: it answers at once, and
- * cancels at the engine over a second connection.
+ * At the deadline, or when the caller disconnects, the connection's thread abandons the request,
+ * which cancels the attempt at its engine over a second connection. Requests are reference-counted;
+ * @c lock guards the fields that both threads use.
  */
 #ifndef HS_COMMANDS_ONLINE_REQUEST_H
 #define HS_COMMANDS_ONLINE_REQUEST_H
@@ -13,14 +14,14 @@
 
 #include <jansson.h>
 
-/** RUNNING -> one of the others, once, by the worker (or DEADLINE, by the connection). */
+/** The worker moves a request from RUNNING to one of the other states, once. */
 typedef enum {
     HS_ONLINE_RUNNING,
-    HS_ONLINE_WHOLE,
-    HS_ONLINE_INVALID,      /**< The engine calls it invalid; it did not run. */
-    HS_ONLINE_NOT_RUN,      /**< No engine took it; it certainly did not run. */
-    HS_ONLINE_MAY_HAVE_RUN, /**< It failed after a byte may have reached an engine. */
-    HS_ONLINE_DUPLICATE     /**< Another attempt holds its key, and its answer cannot be read. */
+    HS_ONLINE_COMPLETED,
+    HS_ONLINE_INVALID,      /**< The engine rejected the request as invalid; it did not run. */
+    HS_ONLINE_NOT_RUN,      /**< No engine accepted the request; it did not run. */
+    HS_ONLINE_MAY_HAVE_RUN, /**< It failed after an engine may have received it. */
+    HS_ONLINE_DUPLICATE     /**< Another attempt holds the key and its response cannot be read. */
 } hs_online_state;
 
 typedef struct {
@@ -30,44 +31,48 @@
     char *model;
     json_t *body;
     bool chat;
-    bool stream; /**< Tokens are passed on as they come, so that no other attempt may start. */
+    bool stream; /**< The caller receives tokens as they arrive; none may be sent twice. */
     bool run_once;
-    char *key_hash;        /**< Of a run-once request with an idempotency key; NULL: none. */
-    int caller_descriptor; /**< The caller's socket, to be watched only; -1: none. */
+    char *key_hash;        /**< Digest of the idempotency key of a run-once request; NULL: none. */
+    int caller_descriptor; /**< Caller's socket, checked for disconnection only; -1: none. */
     uint64_t prefix_hash;
-    uint64_t deadline_ms; /**< Of the monotonic clock. */
+    uint64_t deadline_ms; /**< Monotonic clock. */
     uint64_t started_ms;
     hs_config_view *view;
-    const hs_engine_group *group; /**< Of the view. */
+    const hs_engine_group *group; /**< Owned by @c view. */
 
     GMutex lock;
     GCond changed;
-    GQueue events; /**< of json_t*: token events not yet taken */
+    GQueue events; /**< Of json_t *: token events not yet sent to the caller. */
     hs_online_state state;
-    bool abandoned; /**< Nobody waits for it any more. */
+    bool abandoned; /**< The connection no longer waits for the result. */
     uint32_t token_count;
-    char attempt_id[96]; /**< At the engine now working on it; empty: none. */
+    char attempt_id[96]; /**< Attempt to cancel if the request is abandoned; empty: none. */
     char engine_url[64];
-    char failure[160];       /**< Why it did not come whole. */
-    bool byte_may_have_left; /**< Some attempt may have reached an engine. */
+    char failure[160];            /**< Why the request did not complete. */
+    bool may_have_reached_engine; /**< An engine may have received an attempt. */
 } hs_online_request;
 
-/** Start the request; the fields above @c lock are taken over. Returns a reference. */
+/**
+ * Starts the request on a worker thread. Takes ownership of what the fields of @p fields above
+ * @c lock point to. Free the returned reference with hs_online_request_release.
+ */
 hs_online_request *hs_online_request_start(hs_node *node, const hs_online_request *fields);
 
 void hs_online_request_release(hs_online_request *request);
 
 /**
- * Wait for the next token event until the deadline, or until the caller has left.
- * @return the event (owned), or NULL when the request has ended, the deadline passed or the caller
- *         has left; @p state tells which (RUNNING: one of the latter two).
+ * Waits for the next token event until the deadline or until the caller disconnects.
+ * @return the event (caller owns it), or NULL if the request has ended, the deadline has passed or
+ *         the caller has disconnected. @p state is RUNNING in the latter two cases.
  */
-json_t *hs_online_request_next(hs_online_request *request, hs_online_state *state);
+json_t *hs_online_request_wait_for_event(hs_online_request *request, hs_online_state *state);
 
-/** Nobody waits any more: stop the attempt and cancel it at the engine. */
+/** Stops the running attempt and cancels it at the engine. */
 void hs_online_request_abandon(hs_online_request *request);
 
-/** The worker's body; given to the node's thread pool. */
+/** Runs a request's attempts and drops the worker's reference; a GFunc of the node's thread pool.
+ */
 void hs_online_request_work(gpointer request, gpointer unused);
 
 #endif
--- a/src/commands/publish.c
+++ b/src/commands/publish.c
@@ -1,7 +1,7 @@
 /**
  * @file publish.c
- * PUT and DELETE of configuration objects: a change is a record that carries the revision it was
- * made against; the answer is 2xx only when the log, read back, shows it accepted.
+ * PUT and DELETE of configuration objects. A change is appended as a record with the revision that
+ * it is based on; the response is 2xx only if the log, read back, shows the change as accepted.
  */
 #include "base/clock.h"
 #include "base/fault_point.h"
@@ -15,37 +15,37 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define APPEND_PATIENCE_MS 3000
-#define VERDICT_WAIT_MS 5000
-#define MAX_UNCONDITIONAL_TRIES 5
+#define APPEND_TIMEOUT_MS 3000
+#define VERDICT_TIMEOUT_MS 5000
+#define MAX_UNCONDITIONAL_ATTEMPTS 5
 #define RETRY_AFTER_S 2
 #define HTTP_PRECONDITION_FAILED 412
 
-/** A change as its operator sent it. */
+/** A change as sent by an operator. */
 typedef struct {
     hs_node *node;
     const char *kind;
     const char *name;
-    char *object_json; /**< Owned by the caller's frame; empty for a deletion. */
+    char *object_json; /**< Freed by read_and_publish; empty for a deletion. */
     bool deleted;
     const char *author;
-    bool conditional; /**< If-Match was given. */
+    bool conditional; /**< The request has an If-Match header. */
     uint64_t base_revision;
 } change;
 
-/** The object's revision in our fold. */
+/** Result of a search for the object in the local configuration fold. */
 typedef struct {
     const change *self;
     uint64_t revision;
     bool present;
-} revision_reading;
+} revision_lookup;
 
 static void read_revision(const hs_config_fold *fold, void *user_data) {
-    revision_reading *reading = user_data;
+    revision_lookup *lookup = user_data;
     const hs_config_object *object =
-        hs_config_fold_find(fold, reading->self->kind, reading->self->name);
-    reading->revision = object != NULL ? object->revision : 0;
-    reading->present = object != NULL && object->content != NULL;
+        hs_config_fold_find(fold, lookup->self->kind, lookup->self->name);
+    lookup->revision = object != NULL ? object->revision : 0;
+    lookup->present = object != NULL && object->content != NULL;
 }
 
 static int append_change(const change *self, const char *change_id, uint64_t base_revision,
@@ -64,7 +64,7 @@
     uint64_t offset = 0;
     HS_FAULT_POINT("publish_before");
     int result = hs_appender_append(self->node->appender, HS_CONFIG_STREAM, bytes, (uint32_t)length,
-                                    APPEND_PATIENCE_MS, &offset, error);
+                                    APPEND_TIMEOUT_MS, &offset, error);
     HS_FAULT_POINT("publish_after");
     return result;
 }
@@ -80,7 +80,7 @@
                                         "revision", (json_int_t)revision));
 }
 
-static int reply_lost(uint64_t revision, struct _u_response *response) {
+static int reply_conflict(uint64_t revision, struct _u_response *response) {
     g_autofree char *etag = g_strdup_printf("\"%" PRIu64 "\"", revision);
     g_autofree char *message =
         g_strdup_printf("the object is at revision %" PRIu64 " by another change", revision);
@@ -88,7 +88,10 @@
     return hs_refuse_invalid(response, HTTP_PRECONDITION_FAILED, "revision_conflict", message);
 }
 
-/** One try of the change under @p base_revision. True when the caller has its answer. */
+/**
+ * Appends the change based on @p base_revision and waits for the verdict. Returns false, without an
+ * answer, if an unconditional change lost against another one and may be repeated.
+ */
 static bool try_change(const change *self, uint64_t base_revision, struct _u_response *response) {
     g_autofree char *change_id = hs_id_random("change");
     hs_config_store *store = self->node->config;
@@ -97,39 +100,40 @@
     uint64_t revision = 0;
     hs_config_store_watch(store, change_id);
     int appended = append_change(self, change_id, base_revision, &error);
-    bool certainly_not = appended == HS_PLATFORM_BUSY || appended == HS_PLATFORM_REFUSED;
-    bool known = !certainly_not &&
-                 hs_config_store_await(store, change_id, hs_clock_monotonic_ms() + VERDICT_WAIT_MS,
-                                       &verdict, &revision);
+    bool not_appended = appended == HS_PLATFORM_BUSY || appended == HS_PLATFORM_REFUSED;
+    bool has_verdict =
+        !not_appended &&
+        hs_config_store_await(store, change_id, hs_clock_monotonic_ms() + VERDICT_TIMEOUT_MS,
+                              &verdict, &revision);
     hs_config_store_unwatch(store, change_id);
-    if (certainly_not)
+    if (not_appended)
         hs_refuse_unavailable(response, "platform_unavailable", error.message, RETRY_AFTER_S);
-    else if (!known)
+    else if (!has_verdict)
         hs_refuse_unknown(response, 504, "outcome_unknown", "read the object to learn the outcome");
     else if (verdict == HS_CHANGE_ACCEPTED)
         reply_accepted(self, revision, response);
     else if (self->conditional)
-        reply_lost(revision, response);
+        reply_conflict(revision, response);
     else
         return false;
     return true;
 }
 
 static int publish(change *self, struct _u_response *response) {
-    revision_reading reading = {.self = self};
-    for (int tries = 0; tries < MAX_UNCONDITIONAL_TRIES; tries++) {
-        hs_config_store_read(self->node->config, read_revision, &reading);
-        if (self->deleted && !reading.present)
+    revision_lookup lookup = {.self = self};
+    for (int attempts = 0; attempts < MAX_UNCONDITIONAL_ATTEMPTS; attempts++) {
+        hs_config_store_read(self->node->config, read_revision, &lookup);
+        if (self->deleted && !lookup.present)
             return hs_refuse_invalid(response, 404, "not_found", "no such object");
-        if (self->conditional && self->base_revision != reading.revision)
-            return reply_lost(reading.revision, response);
-        if (try_change(self, reading.revision, response))
+        if (self->conditional && self->base_revision != lookup.revision)
+            return reply_conflict(lookup.revision, response);
+        if (try_change(self, lookup.revision, response))
             return U_CALLBACK_COMPLETE;
     }
     return hs_refuse_unavailable(response, "contended", "too many changes at once", RETRY_AFTER_S);
 }
 
-/** If-Match as a revision; false when it is malformed. */
+/** Reads If-Match as a revision; false if the header is malformed. */
 static bool read_condition(const struct _u_request *request, change *self) {
     const char *header = u_map_get_case(request->map_header, "If-Match");
     if (header == NULL)
--- a/src/commands/submit.c
+++ b/src/commands/submit.c
@@ -1,7 +1,7 @@
 /**
  * @file submit.c
- * POST /v1/batches: a job is accepted when its submission is read back from the log. Its identity
- * is a digest of tenant and key, so that a resent job is the same one.
+ * POST /v1/batches. A job is accepted once its submission is read back from the log. The job id is
+ * a digest of tenant, key and file, so that a resent submission finds the same job.
  */
 #include "base/clock.h"
 #include "base/fault_point.h"
@@ -17,14 +17,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define APPEND_PATIENCE_MS 3000
+#define APPEND_TIMEOUT_MS 3000
 #define RETRY_AFTER_S 2
 #define MS_PER_HOUR 3600000ULL
 #define MS_PER_MINUTE 60000ULL
 #define DEFAULT_WINDOW "24h"
-#define MAX_KEY_LENGTH 256
+#define MAX_KEY_BYTES 256
 
-/** A submission as its caller sent it. */
+/** A submission as sent by a caller. */
 typedef struct {
     hs_node *node;
     const char *tenant;
@@ -36,7 +36,7 @@
     hs_replica *replica;
 } submission;
 
-/** "24h" or "90m" in milliseconds; 0 when malformed. */
+/** Returns a window like "24h" or "90m" in milliseconds; 0 if malformed. */
 static uint64_t parse_window(const char *text) {
     char *end = NULL;
     guint64 number = g_ascii_strtoull(text, &end, 10);
@@ -64,33 +64,32 @@
     uint64_t offset = 0;
     HS_FAULT_POINT("accept_before");
     int result = hs_appender_append(self->node->appender, hs_replica_stream(self->replica),
-                                    bytes->data, bytes->len, APPEND_PATIENCE_MS, &offset, error);
+                                    bytes->data, bytes->len, APPEND_TIMEOUT_MS, &offset, error);
     HS_FAULT_POINT("accept_after");
     return result;
 }
 
-/** What the log, read to its end, says of the job. */
-typedef enum { JOB_ABSENT, JOB_PRESENT, JOB_DIFFERENT, JOB_UNREADABLE } job_reading;
+typedef enum { JOB_NOT_FOUND, JOB_MATCHES, JOB_DIFFERS, JOB_READ_FAILED } job_status;
 
-/** @p document: the job, set when present. Owned. */
-static job_reading read_job(const submission *self, json_t **document, hs_error *error) {
+/** Reads the log to its end. @p document receives a job that matches; the caller frees it. */
+static job_status read_job(const submission *self, json_t **document, hs_error *error) {
     if (hs_replica_refresh(self->replica, error) != 0)
-        return JOB_UNREADABLE;
+        return JOB_READ_FAILED;
     const hs_partition *state = hs_replica_lock(self->replica);
     const hs_job *job = hs_partition_job(state, self->job_id);
-    job_reading reading = JOB_ABSENT;
+    job_status status = JOB_NOT_FOUND;
     if (job != NULL &&
         (strcmp(job->file_id, self->file_id) != 0 || strcmp(job->endpoint, self->endpoint) != 0)) {
-        reading = JOB_DIFFERENT;
+        status = JOB_DIFFERS;
     } else if (job != NULL) {
-        reading = JOB_PRESENT;
+        status = JOB_MATCHES;
         *document = hs_job_json(job);
     }
     hs_replica_unlock(self->replica);
-    return reading;
+    return status;
 }
 
-/** Whether the file is there and of this tenant and endpoint; answers when not. */
+/** Returns whether the file exists for this tenant and endpoint; otherwise answers. */
 static bool file_is_usable(const submission *self, struct _u_response *response) {
     hs_error error = {0};
     if (hs_replica_refresh(self->replica, &error) != 0) {
@@ -123,22 +122,22 @@
     if (!file_is_usable(self, response))
         return U_CALLBACK_COMPLETE;
     int appended = 0;
-    job_reading reading = read_job(self, &document, &error);
-    if (reading == JOB_ABSENT) {
+    job_status status = read_job(self, &document, &error);
+    if (status == JOB_NOT_FOUND) {
         appended = append_submission(self, &error);
-        reading = read_job(self, &document, &error);
+        status = read_job(self, &document, &error);
     }
-    switch (reading) {
-    case JOB_PRESENT:
+    switch (status) {
+    case JOB_MATCHES:
         return reply_job(self, document, response);
-    case JOB_DIFFERENT:
+    case JOB_DIFFERS:
         return hs_refuse_invalid(response, 422, "idempotency_key_reused",
                                  "this key was used for another job");
     default:
         break;
     }
-    /* Absent although the append was answered: the fold found it invalid. */
-    if (appended == 0 && reading == JOB_ABSENT)
+    /* The append succeeded but the fold rejected the record as invalid. */
+    if (appended == 0 && status == JOB_NOT_FOUND)
         return hs_refuse_invalid(response, 409, "not_accepted", "the job was not accepted");
     if (appended == HS_PLATFORM_BUSY || appended == HS_PLATFORM_REFUSED)
         return hs_refuse_unavailable(response, "platform_unavailable", error.message,
@@ -147,7 +146,7 @@
                              "send the same job again to learn its outcome");
 }
 
-/** The key a resent job is known by: the caller's, or a digest of what it asks for. */
+/** Returns the key by which a resent submission is found: the caller's, or one of the content. */
 static char *submission_key(const submission *self, const char *idempotency_key) {
     if (idempotency_key != NULL)
         return g_strdup_printf("key\n%s", idempotency_key);
@@ -177,7 +176,7 @@
                                  "completion_window must be like 24h or 90m");
     if (metadata != NULL && !json_is_object(metadata))
         return hs_refuse_invalid(response, 400, "bad_request", "metadata must be an object");
-    if (key != NULL && (*key == '\0' || strlen(key) > MAX_KEY_LENGTH))
+    if (key != NULL && (*key == '\0' || strlen(key) > MAX_KEY_BYTES))
         return hs_refuse_invalid(response, 400, "bad_request", "Idempotency-Key is out of range");
     if (!g_str_has_prefix(self.file_id, "file_") || !hs_id_partition(self.file_id, &partition) ||
         partition >= hs_replica_set_count(node->replicas))
--- a/src/commands/upload.c
+++ b/src/commands/upload.c
@@ -1,7 +1,8 @@
 /**
  * @file upload.c
- * POST /v1/files: a JSONL file is checked whole, then written to its partition's stream as chunks
- * and a seal. Its identity is its digest, so that a repeated upload is the same file.
+ * POST /v1/files. Validates the whole JSONL file, then appends it to its partition's stream as
+ * chunks and a seal record. The file id is a digest of the content, so that a repeated upload is
+ * the same file.
  */
 #include "base/clock.h"
 #include "base/fault_point.h"
@@ -18,7 +19,7 @@
 #include <string.h>
 
 #define CHUNK_BYTES (512U << 10)
-#define APPEND_PATIENCE_MS 5000
+#define APPEND_TIMEOUT_MS 5000
 #define RETRY_AFTER_S 2
 #define MS_PER_S 1000
 #define PURPOSE "batch"
@@ -31,12 +32,11 @@
     return hs_completion_check(body, chat, node->settings->max_tokens, error);
 }
 
-/** An upload on its way into the log. */
 typedef struct {
     hs_node *node;
     const char *tenant;
     const hs_multipart_part *part;
-    const hs_jsonl_file *checked;
+    const hs_jsonl_file *parsed;
     const char *file_id;
     hs_replica *replica;
 } upload;
@@ -45,11 +45,11 @@
     g_autoptr(GByteArray) bytes = hs_record_pack(record);
     uint64_t offset = 0;
     return hs_appender_append(self->node->appender, hs_replica_stream(self->replica), bytes->data,
-                              bytes->len, APPEND_PATIENCE_MS, &offset, error);
+                              bytes->len, APPEND_TIMEOUT_MS, &offset, error);
 }
 
 static int append_chunk(const upload *self, guint index, hs_error *error) {
-    const hs_jsonl_chunk *chunk = &g_array_index(self->checked->chunks, hs_jsonl_chunk, index);
+    const hs_jsonl_chunk *chunk = &g_array_index(self->parsed->chunks, hs_jsonl_chunk, index);
     bool last_without_newline = chunk->begin + chunk->length > self->part->length;
     g_autoptr(GString) lines = g_string_new_len(self->part->content + chunk->begin,
                                                 (gssize)(chunk->length - last_without_newline));
@@ -75,19 +75,19 @@
     message.file_id = (char *)self->file_id;
     message.tenant = (char *)self->tenant;
     message.filename = (char *)self->part->filename;
-    message.chunk_count = self->checked->chunks->len;
-    message.item_count = self->checked->item_count;
+    message.chunk_count = self->parsed->chunks->len;
+    message.item_count = self->parsed->item_count;
     message.byte_count = self->part->length;
     message.created_ms = hs_clock_wall_ms();
-    message.model = self->checked->model;
-    message.endpoint = self->checked->endpoint;
+    message.model = self->parsed->model;
+    message.endpoint = self->parsed->endpoint;
     Hs__PartitionRecord record = HS__PARTITION_RECORD__INIT;
     record.kind_case = HS__PARTITION_RECORD__KIND_FILE_SEALED;
     record.file_sealed = &message;
     return append_record(self, &record, error);
 }
 
-/** Whether the log, read to its end, holds the file whole. */
+/** Reads the log to its end and returns whether the file is sealed; false on a read error too. */
 static bool file_is_sealed(const upload *self, hs_error *error) {
     if (hs_replica_refresh(self->replica, error) != 0)
         return false;
@@ -99,7 +99,7 @@
 }
 
 static int write_file(const upload *self, hs_error *error) {
-    for (guint index = 0; index < self->checked->chunks->len; index++) {
+    for (guint index = 0; index < self->parsed->chunks->len; index++) {
         int result = append_chunk(self, index, error);
         if (result != 0)
             return result;
@@ -111,7 +111,7 @@
 static int reply_file(const upload *self, struct _u_response *response) {
     hs_metrics_add(&self->node->metrics, HS_COUNT_FILES_ACCEPTED, 1);
     hs_log_info("file_accepted", "file=%s tenant=%s items=%u bytes=%zu", self->file_id,
-                self->tenant, self->checked->item_count, self->part->length);
+                self->tenant, self->parsed->item_count, self->part->length);
     return hs_http_reply_json(response, 200,
                               json_pack("{s:s,s:s,s:I,s:I,s:s,s:s}", "id", self->file_id, "object",
                                         "file", "bytes", (json_int_t)self->part->length,
@@ -119,7 +119,7 @@
                                         "filename", self->part->filename, "purpose", "batch"));
 }
 
-static int store(const upload *self, struct _u_response *response) {
+static int store_file(const upload *self, struct _u_response *response) {
     hs_error error = {0};
     if (file_is_sealed(self, &error))
         return reply_file(self, response);
@@ -127,7 +127,7 @@
         return hs_refuse_unavailable(response, "platform_unavailable", error.message,
                                      RETRY_AFTER_S);
     int result = write_file(self, &error);
-    /* A file is harmless until a job names it, so that even an unknown outcome can be read back. */
+    /* No job refers to the file yet, so that the read-back may decide an unknown outcome. */
     if (file_is_sealed(self, &error))
         return reply_file(self, response);
     if (result == HS_PLATFORM_BUSY || result == HS_PLATFORM_REFUSED)
@@ -136,7 +136,7 @@
     return hs_refuse_unknown(response, 504, "outcome_unknown", error.message);
 }
 
-static int check_and_store(hs_node *node, const char *tenant, const hs_multipart_part *part,
+static int parse_and_store(hs_node *node, const char *tenant, const hs_multipart_part *part,
                            struct _u_response *response) {
     hs_jsonl_rules rules = {.max_line_bytes = (size_t)node->settings->max_line_bytes,
                             .max_items = (uint32_t)node->settings->max_items,
@@ -144,10 +144,10 @@
                             .chunk_bytes = CHUNK_BYTES,
                             .check_body = check_body,
                             .user_data = node};
-    hs_jsonl_file checked;
+    hs_jsonl_file parsed;
     hs_error error = {0};
-    if (hs_jsonl_read(part->content, part->length, &rules, &checked, &error) != 0) {
-        hs_jsonl_file_clear(&checked);
+    if (hs_jsonl_read(part->content, part->length, &rules, &parsed, &error) != 0) {
+        hs_jsonl_file_clear(&parsed);
         return hs_refuse_invalid(response, 400, "bad_file", error.message);
     }
     g_autofree char *file_id = hs_file_id(tenant, part->content, part->length, rules.chunk_items,
@@ -157,11 +157,11 @@
     upload self = {.node = node,
                    .tenant = tenant,
                    .part = part,
-                   .checked = &checked,
+                   .parsed = &parsed,
                    .file_id = file_id,
                    .replica = hs_replica_set_get(node->replicas, partition)};
-    store(&self, response);
-    hs_jsonl_file_clear(&checked);
+    store_file(&self, response);
+    hs_jsonl_file_clear(&parsed);
     return U_CALLBACK_COMPLETE;
 }
 
@@ -193,7 +193,7 @@
         return hs_refuse_invalid(response, 400, "bad_purpose", "purpose must be batch");
     if (!tenant_is_known(node, tenant))
         return hs_refuse_invalid(response, 401, "unknown_tenant", "this tenant is not listed");
-    return check_and_store(node, tenant, &file, response);
+    return parse_and_store(node, tenant, &file, response);
 }
 
 int hs_command_upload(const struct _u_request *request, struct _u_response *response,
--- a/src/daemon/config_sync.c
+++ b/src/daemon/config_sync.c
@@ -8,9 +8,9 @@
 
 #define FETCH_INTERVAL_MS 200
 #define FETCH_TIMEOUT_S 2
-#define UNCONFIRMED_START_MS 5000
+#define MAX_UNCONFIRMED_MS 5000
 #define HTTP_OK 200
-#define FRESH_ROUNDS 3
+#define MIN_PROBE_ROUNDS 3
 
 struct hs_config_sync {
     hs_node *node;
@@ -29,13 +29,13 @@
     g_free(sync);
 }
 
-/** What the members say of their configuration. */
+/** Configuration offsets announced by members that are not dead. */
 typedef struct {
     uint64_t best_offset;
     uint32_t best_address;
     uint16_t best_port;
-    uint32_t heard;
-    uint32_t named;
+    uint32_t responding_count; /**< Members that have responded at least once. */
+    uint32_t known_count;      /**< All members, those that have not responded included. */
 } peer_offsets;
 
 static peer_offsets read_peer_offsets(hs_node *node) {
@@ -47,8 +47,8 @@
         const hs_member *member = members->pdata[index];
         if (member == hs_membership_self(membership) || member->state == HS_MEMBER_DEAD)
             continue;
-        offsets.named++;
-        offsets.heard += member->state != HS_MEMBER_PROPOSED;
+        offsets.known_count++;
+        offsets.responding_count += member->state != HS_MEMBER_PROPOSED;
         if (member->config_offset <= offsets.best_offset)
             continue;
         offsets.best_offset = member->config_offset;
@@ -59,7 +59,7 @@
     return offsets;
 }
 
-static void fetch(hs_node *node, const peer_offsets *offsets) {
+static void fetch_config(hs_node *node, const peer_offsets *offsets) {
     g_autofree char *url =
         hs_member_admin_url(offsets->best_address, offsets->best_port, "/internal/v1/config-state");
     hs_http_request request = {.method = "GET", .url = url, .timeout_s = FETCH_TIMEOUT_S};
@@ -68,25 +68,28 @@
         hs_config_fold *fold =
             hs_config_state_decode((const uint8_t *)answer.body, answer.body_length);
         if (fold != NULL && hs_config_store_adopt(node->config, fold))
-            hs_log_info("config_from_peer", "offset=%" G_GUINT64_FORMAT, offsets->best_offset);
+            hs_log_info("config_fetched_from_peer", "offset=%" G_GUINT64_FORMAT,
+                        offsets->best_offset);
     }
     hs_http_answer_clear(&answer);
 }
 
-/** Ready once the log, or a majority of the named members, confirmed the offset; or late. */
-static void move_to_ready(hs_config_sync *sync, const peer_offsets *offsets, uint64_t now_ms) {
+/** Moves to READY once the offset is confirmed or the time limit for confirmation has passed. */
+static void set_ready_if_confirmed(hs_config_sync *sync, const peer_offsets *offsets,
+                                   uint64_t now_ms) {
     hs_node *node = sync->node;
     if (hs_node_state_of(node) != HS_NODE_STARTING)
         return;
-    bool level = hs_config_store_offset(node->config) >= offsets->best_offset;
-    /* What members said before this start, or before a sleep, may be as old as what we hold. */
-    uint64_t rounds_ms = FRESH_ROUNDS * (uint64_t)node->settings->probe_interval_ms;
-    bool fresh = now_ms > sync->started_ms + rounds_ms;
-    bool majority = fresh && offsets->heard > 0 && (offsets->heard + 1) * 2 > offsets->named + 1;
-    if (!hs_config_store_is_confirmed(node->config) && level && majority)
+    bool caught_up = hs_config_store_offset(node->config) >= offsets->best_offset;
+    /* Gossip from before the start or a suspension may be as outdated as the local offset. */
+    uint64_t rounds_ms = MIN_PROBE_ROUNDS * (uint64_t)node->settings->probe_interval_ms;
+    bool enough_rounds = now_ms > sync->started_ms + rounds_ms;
+    bool majority = enough_rounds && offsets->responding_count > 0 &&
+                    (offsets->responding_count + 1) * 2 > offsets->known_count + 1;
+    if (!hs_config_store_is_confirmed(node->config) && caught_up && majority)
         hs_config_store_confirm(node->config);
-    bool late = now_ms > sync->started_ms + UNCONFIRMED_START_MS;
-    if (!hs_config_store_is_confirmed(node->config) && !late)
+    bool timed_out = now_ms > sync->started_ms + MAX_UNCONFIRMED_MS;
+    if (!hs_config_store_is_confirmed(node->config) && !timed_out)
         return;
     if (!hs_membership_service_has_probed(node->membership))
         return;
@@ -105,7 +108,7 @@
     bool behind = offsets.best_offset > hs_config_store_offset(sync->node->config);
     if (behind && offsets.best_port != 0 && now_ms >= sync->next_fetch_ms) {
         sync->next_fetch_ms = now_ms + FETCH_INTERVAL_MS;
-        fetch(sync->node, &offsets);
+        fetch_config(sync->node, &offsets);
     }
-    move_to_ready(sync, &offsets, now_ms);
+    set_ready_if_confirmed(sync, &offsets, now_ms);
 }
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -1,6 +1,6 @@
 /**
  * @file daemon.c
- * Wiring. Lower parts are made first and stopped last; nothing here decides anything.
+ * See daemon.h. Lower layers are created first and stopped last.
  */
 #include "daemon/daemon.h"
 
@@ -22,13 +22,13 @@
 #define TRACE_CAPACITY 4096
 #define STOP_POLL_MS 10
 #define MULTIPART_OVERHEAD_BYTES 65536
-#define FORGET_MS 60000
+#define DEAD_MEMBER_RETENTION_MS 60000
 /**
- * A caller's connection, and a transfer of libcurl to an engine: its connection and the two sockets
- * by which it is woken. Counted with 500 callers that wait on engines: 2,015 sockets.
+ * The caller's connection and three sockets of a libcurl transfer to an engine: the connection and
+ * a pair of wake-up sockets.
  */
 #define DESCRIPTORS_PER_REQUEST 4
-/** Time in ms within which a ready daemon takes a connection, as on the fleet surface. */
+/** Time within which a ready daemon must accept a connection. */
 #define CONTACT_MS 3000
 
 struct hs_daemon {
@@ -83,7 +83,7 @@
         .probe_interval_ms = (uint32_t)settings->probe_interval_ms,
         .membership = {.probe_timeout_ms = (uint32_t)settings->probe_timeout_ms,
                        .suspect_ms = (uint32_t)settings->suspect_ms,
-                       .forget_ms = FORGET_MS}};
+                       .forget_ms = DEAD_MEMBER_RETENTION_MS}};
     node->membership = hs_membership_service_new(&self, &service_settings, node->socket);
 }
 
@@ -138,7 +138,7 @@
     node->scheduler = hs_scheduler_new(&scheduler);
 }
 
-static void watch_callers(hs_daemon *daemon) {
+static void start_front_watch(hs_daemon *daemon) {
     const hs_settings *settings = daemon->node.settings;
     hs_front_watch_settings watch = {
         .probe = {.address = hs_endpoint_address(settings->address),
@@ -159,7 +159,7 @@
     daemon->admin_server = hs_http_server_new(settings->address, (uint16_t)settings->admin_port,
                                               (size_t)settings->max_body_bytes);
     hs_http_server_limit_connections(daemon->admin_server, plan.peers);
-    hs_command_routes_admin(node, daemon->admin_server);
+    hs_command_register_admin_routes(node, daemon->admin_server);
     hs_query_routes_admin(node, daemon->admin_server);
     int result = hs_http_server_start(daemon->admin_server, error);
     if (result != 0 || !settings->caller_enabled)
@@ -169,11 +169,11 @@
                            (size_t)settings->max_file_bytes + MULTIPART_OVERHEAD_BYTES);
     hs_http_server_limit_headers(daemon->caller_server, (size_t)settings->max_header_bytes);
     hs_http_server_limit_connections(daemon->caller_server, plan.front);
-    hs_command_routes_caller(node, daemon->caller_server);
+    hs_command_register_caller_routes(node, daemon->caller_server);
     hs_query_routes_caller(node, daemon->caller_server);
     result = hs_http_server_start(daemon->caller_server, error);
     if (result == 0)
-        watch_callers(daemon);
+        start_front_watch(daemon);
     return result;
 }
 
@@ -201,7 +201,7 @@
     make_platform_parts(node);
     make_routing_parts(node);
     make_batch_parts(node);
-    /* A daemon that cannot listen ends at once, so that what was made is left to the exit. */
+    /* Without listeners the process exits, which frees what was created. */
     if (start_listeners(daemon, error) != 0)
         return NULL;
     hs_appender_start(node->appender);
@@ -220,7 +220,7 @@
     return daemon;
 }
 
-/** Wait until @p count falls to 0 or the time is up. */
+/** Waits until @p count is 0; false if the deadline passes first. */
 static bool wait_for_zero(gint *count, uint64_t deadline_ms) {
     while (g_atomic_int_get(count) > 0) {
         if (hs_clock_monotonic_ms() >= deadline_ms)
@@ -263,7 +263,7 @@
     hs_scheduler_drain(node->scheduler);
     hs_membership_service_leave(node->membership);
     hs_coordinator_release_all(node->coordinator);
-    /* Callers learn that we are not ready before they are refused. */
+    /* Callers see that this daemon is not ready before requests are refused. */
     hs_clock_sleep_ms((uint64_t)node->settings->drain_notice_ms);
     g_atomic_int_set(&node->state, HS_NODE_STOPPING);
     bool calls_done = wait_for_zero(&node->call_count, deadline_ms);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,6 +1,7 @@
 /**
  * @file daemon.h
- * One daemon: makes its parts, joins them, starts and stops them in order.
+ * A daemon of the OpenAI surface: creates, connects, starts and stops its modules in order. Start
+ * and stop are called by one thread.
  */
 #ifndef HS_DAEMON_DAEMON_H
 #define HS_DAEMON_DAEMON_H
@@ -10,12 +11,15 @@
 
 typedef struct hs_daemon hs_daemon;
 
-/** Make and start all duties. @p settings is borrowed. NULL with @p error on failure. */
+/**
+ * Starts a daemon. @p settings is borrowed and must outlive the daemon. Returns NULL and sets
+ * @p error on failure; the process must then exit, as started modules are not stopped.
+ */
 hs_daemon *hs_daemon_start(const hs_settings *settings, hs_error *error);
 
 /**
- * Planned stop: not ready first, hand partitions over, finish open requests and running items
- * within the grace time, then end. @return 0 when nothing was cut off.
+ * Planned stop: reports not ready, hands partitions over, waits up to the grace time for open
+ * requests and running items, then stops all threads. @return 0 if everything finished in time.
  */
 int hs_daemon_stop(hs_daemon *daemon);
 
--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -1,4 +1,4 @@
-/** @file fleet_daemon.c  Wiring, start and stop of the fleet surface; see fleet_daemon.h. */
+/** @file fleet_daemon.c  See fleet_daemon.h. */
 #include "daemon/fleet_daemon.h"
 
 #include "base/build_info.h"
@@ -21,23 +21,23 @@
 #define PERMILLE 1000.0
 #define KBITS_PER_MBIT 1000.0
 #define PROBE_INTERVAL_MS 300
-/** The group drops a silent daemon after so many of its shortest times. */
+/** Session timeout in the job owners' consumer group, in units of the store's minimum. */
 #define GROUP_TTL_FACTOR 3
-/** Share of the grace time in which new requests are still taken; the rest is for open ones. */
-#define TAKING_SHARE 0.5
-/** Share of the grace time for which callers keep a resolve answer. */
-#define ANSWER_SHARE 0.25
-/** Kept back from the grace time for the end itself. */
-#define END_MS 500
-/** Share of the grace time within which batch items are handed over. */
+/** Share of the grace time in which a stopping daemon still accepts requests. */
+#define ACCEPTING_SHARE 0.5
+/** TTL of resolve answers as a share of the grace time. */
+#define RESOLVE_TTL_SHARE 0.25
+/** Part of the grace time reserved for the shutdown after the last request. */
+#define SHUTDOWN_RESERVE_MS 500
+/** Share of the grace time within which batch items must be handed over. */
 #define HANDOVER_SHARE 0.75
 #define DRAIN_POLL_MS 50
-/** Of the slack beyond a tenant's limit that is let pass above its burst; see settings.c. */
-#define TOLERATED_SHARE 0.5
+/** Share of fleet.limit_slack that is allowed above a tenant's burst; see settings.c. */
+#define LIMIT_TOLERANCE_SHARE 0.5
 
 struct hs_fleet_daemon {
-    const hs_settings *settings; /**< Those of the start. */
-    hs_settings *reloaded;       /**< NULL: never reloaded. Owned. */
+    const hs_settings *settings; /**< Settings at the start. Borrowed. */
+    hs_settings *reloaded;       /**< Settings of the last reload; NULL: none. Owned. */
     hs_store_client *store;
     hs_config_source *config;
     hs_fleet_engines *engines;
@@ -49,11 +49,11 @@
     hs_online online;
     hs_fleet_surface *surface;
     hs_reload_counts reloads;
-    hs_wake_watch wakes;
+    hs_wake_watch stall_detector;
 };
 
-/** The settings were checked before. */
-static hs_endpoint endpoint_of(const char *text) {
+/** Parses an address that hs_settings_check has accepted. */
+static hs_endpoint parse_endpoint(const char *text) {
     hs_endpoint endpoint;
     hs_endpoint_parse(text, &endpoint);
     return endpoint;
@@ -65,36 +65,36 @@
 }
 
 /**
- * How long callers may keep an answer. Long, since each look-up may meet daemons that have died, a
- * second each; short, since a daemon that froze keeps getting those who know no better. Twice of it
- * is within the time in which a stopping daemon still takes requests.
+ * Returns the TTL of resolve answers. A short TTL costs more look-ups, which may time out on dead
+ * daemons; a long TTL keeps callers on a hung daemon. Twice the TTL must fit into the time in which
+ * a stopping daemon still accepts requests.
  */
 static uint32_t resolve_ttl_s(const hs_settings *settings) {
-    double longest = settings->fleet_grace_s * ANSWER_SHARE;
-    return (uint32_t)fmax(fmin(longest, settings->fleet_resolve_ttl_most_s), 1);
+    double max_ttl_s = settings->fleet_grace_s * RESOLVE_TTL_SHARE;
+    return (uint32_t)fmax(fmin(max_ttl_s, settings->fleet_resolve_ttl_most_s), 1);
 }
 
 /**
- * Whether the store was read since this process last stood still: what it knew may be older than a
- * change that has long been in force everywhere else.
+ * Returns whether configuration and engines were read since the process last stalled. Older state
+ * may lack changes that are already in force at other daemons.
  */
-static bool is_awake(hs_fleet_daemon *daemon) {
-    uint64_t woke_ms = hs_wake_watch_woke_ms(&daemon->wakes);
+static bool is_current_after_stall(hs_fleet_daemon *daemon) {
+    uint64_t woke_ms = hs_wake_watch_woke_ms(&daemon->stall_detector);
     return hs_config_source_as_of_ms(daemon->config) >= woke_ms &&
            hs_engine_source_as_of_ms(daemon->engine_source) >= woke_ms;
 }
 
-/** Whether requests could be served: a configuration and the engines are known. */
+/** Returns whether configuration and engines are known and current. */
 static bool may_serve(void *user_data) {
     hs_fleet_daemon *daemon = user_data;
     hs_fleet_config *config = hs_config_source_get(daemon->config);
     bool known = config != NULL && hs_engine_source_last_received_ms(daemon->engine_source) != 0;
     hs_fleet_config_unref(config);
-    return known && is_awake(daemon);
+    return known && is_current_after_stall(daemon);
 }
 
-/** What the machine bears by the settings, where they tell it. */
-static hs_machine_size size_of(const hs_settings *settings) {
+/** Returns the machine's resources according to the settings; 0: unknown. */
+static hs_machine_size read_machine_size(const hs_settings *settings) {
     return (hs_machine_size){
         .cores_permille =
             (uint32_t)lround(settings->fleet_cores * settings->fleet_cpu_share * PERMILLE),
@@ -105,24 +105,24 @@
 
 static bool make_directory(hs_fleet_daemon *daemon, hs_error *error) {
     const hs_settings *settings = daemon->settings;
-    hs_endpoint control = endpoint_of(settings->fleet_control);
-    hs_daemon_directory_settings directory = {.id = settings->daemon_id,
-                                              .zone = settings->zone,
-                                              .address = settings->address,
-                                              .front_port = endpoint_of(settings->fleet_front).port,
-                                              .peer_port = control.port,
-                                              .seeds = settings->fleet_seeds,
-                                              .probe_interval_ms = PROBE_INTERVAL_MS,
-                                              .resolve_ttl_s = resolve_ttl_s(settings),
-                                              .store = daemon->store,
-                                              .engines = daemon->engines,
-                                              .wakes = &daemon->wakes,
-                                              .crash_watch = daemon->crash_watch,
-                                              .limit_tolerance =
-                                                  settings->fleet_limit_slack * TOLERATED_SHARE,
-                                              .size = size_of(settings),
-                                              .may_join = may_serve,
-                                              .user_data = daemon};
+    hs_endpoint control = parse_endpoint(settings->fleet_control);
+    hs_daemon_directory_settings directory = {
+        .id = settings->daemon_id,
+        .zone = settings->zone,
+        .address = settings->address,
+        .front_port = parse_endpoint(settings->fleet_front).port,
+        .peer_port = control.port,
+        .seeds = settings->fleet_seeds,
+        .probe_interval_ms = PROBE_INTERVAL_MS,
+        .resolve_ttl_s = resolve_ttl_s(settings),
+        .store = daemon->store,
+        .engines = daemon->engines,
+        .wakes = &daemon->stall_detector,
+        .crash_watch = daemon->crash_watch,
+        .limit_tolerance = settings->fleet_limit_slack * LIMIT_TOLERANCE_SHARE,
+        .size = read_machine_size(settings),
+        .may_join = may_serve,
+        .user_data = daemon};
     daemon->directory = hs_daemon_directory_new(&directory, error);
     return daemon->directory != NULL;
 }
@@ -175,7 +175,7 @@
                                          .engine_source = daemon->engine_source,
                                          .store = daemon->store,
                                          .reloads = &daemon->reloads,
-                                         .wakes = &daemon->wakes,
+                                         .wakes = &daemon->stall_detector,
                                          .may_serve = may_serve,
                                          .user_data = daemon};
     daemon->surface = hs_fleet_surface_start(&surface, error);
@@ -197,12 +197,12 @@
     hs_crash_watch_free(daemon->crash_watch);
     hs_store_client_free(daemon->store);
     hs_settings_free(daemon->reloaded);
-    hs_wake_watch_clear(&daemon->wakes);
+    hs_wake_watch_clear(&daemon->stall_detector);
     g_free(daemon);
 }
 
-static void bound_connections(const hs_settings *settings) {
-    hs_connection_bounds bounds = {
+static void set_connection_timeouts(const hs_settings *settings) {
+    hs_connection_bounds timeouts = {
         .kernel_ms = {[HS_CONNECTION_CALLER] = (uint32_t)settings->fleet_caller_silence_ms,
                       [HS_CONNECTION_DAEMON] = (uint32_t)settings->fleet_daemon_silence_ms,
                       [HS_CONNECTION_ENGINE] = (uint32_t)settings->fleet_engine_silence_ms,
@@ -210,36 +210,37 @@
         .repeat_unacknowledged_ms = (uint32_t)settings->fleet_repeat_unacknowledged_ms,
         .once_unacknowledged_ms = (uint32_t)settings->fleet_once_unacknowledged_ms,
         .once_idle_ms = (uint32_t)settings->fleet_once_idle_ms};
-    hs_connection_bounds_set(&bounds);
+    hs_connection_bounds_set(&timeouts);
 }
 
 /**
- * Time within which a version must be in force, in ms: where keys hold strictly, also well within
- * the time for which they do, so that a held read of the configuration does not outlast it.
+ * Returns the time in ms within which a configuration version must be in force. With strict
+ * revocation, at most half of the keys' validity, so that a long poll for the configuration ends
+ * before the keys expire.
  */
-static uint32_t config_due_ms(const hs_settings *settings) {
-    int64_t due_ms = settings->fleet_config_apply_ms;
+static uint32_t get_config_apply_ms(const hs_settings *settings) {
+    int64_t apply_ms = settings->fleet_config_apply_ms;
     if (settings->fleet_strict_revoke != 0)
-        due_ms = MAX(MIN(due_ms, settings->fleet_revoke_ms / 2), 1);
-    return (uint32_t)due_ms;
+        apply_ms = MAX(MIN(apply_ms, settings->fleet_revoke_ms / 2), 1);
+    return (uint32_t)apply_ms;
 }
 
-/** A place may be free in the service: see hs_engine_slot_observer. */
-static void wake_held(const char *service, void *user_data) {
+/** Wakes held requests when a slot of the service may be free; see hs_engine_slot_observer. */
+static void wake_held_requests(const char *service, void *user_data) {
     hs_held_requests_wake(user_data, service);
 }
 
 hs_fleet_daemon *hs_fleet_daemon_start(const hs_settings *settings, hs_error *error) {
     hs_fleet_daemon *daemon = g_new0(hs_fleet_daemon, 1);
     daemon->settings = settings;
-    hs_wake_watch_init(&daemon->wakes);
-    bound_connections(settings);
-    hs_endpoint store = endpoint_of(settings->fleet_store);
+    hs_wake_watch_init(&daemon->stall_detector);
+    set_connection_timeouts(settings);
+    hs_endpoint store = parse_endpoint(settings->fleet_store);
     daemon->store = hs_store_client_new(store.address, store.port);
-    daemon->config = hs_config_source_new(daemon->store, config_due_ms(settings));
+    daemon->config = hs_config_source_new(daemon->store, get_config_apply_ms(settings));
     daemon->engines = hs_fleet_engines_new(settings->zone);
     daemon->online.held = hs_held_requests_new();
-    hs_fleet_engines_set_slot_observer(daemon->engines, wake_held, daemon->online.held);
+    hs_fleet_engines_set_slot_observer(daemon->engines, wake_held_requests, daemon->online.held);
     daemon->crash_watch = hs_crash_watch_new();
     hs_fleet_engines_set_crash_watch(daemon->engines, daemon->crash_watch);
     daemon->engine_source =
@@ -264,11 +265,11 @@
     return daemon;
 }
 
-static const hs_settings *current(const hs_fleet_daemon *daemon) {
+static const hs_settings *get_current_settings(const hs_fleet_daemon *daemon) {
     return daemon->reloaded != NULL ? daemon->reloaded : daemon->settings;
 }
 
-/** Whether a listener or the store moved, which takes a restart. */
+/** Returns whether a changed setting takes effect only after a restart. */
 static bool needs_restart(const hs_settings *before, const hs_settings *now) {
     return strcmp(before->fleet_front, now->fleet_front) != 0 ||
            strcmp(before->fleet_control, now->fleet_control) != 0 ||
@@ -287,53 +288,56 @@
     g_atomic_int_inc(&daemon->reloads.taken);
 }
 
-void hs_fleet_daemon_refuse_reload(hs_fleet_daemon *daemon, const char *cause, const char *reason) {
+void hs_fleet_daemon_report_failed_reload(hs_fleet_daemon *daemon, const char *cause,
+                                          const char *reason) {
     hs_log_warning("reload_refused", "cause=%s reason=\"%s\"", cause, reason);
     g_atomic_int_inc(&daemon->reloads.refused);
 }
 
-/** Time in ms from the stop for which callers may still hold an answer that names this daemon. */
-static uint64_t named_ms(const hs_fleet_daemon *daemon) {
+/** Returns how long after the stop callers may still use a resolve answer with this daemon. */
+static uint64_t get_resolve_ttl_ms(const hs_fleet_daemon *daemon) {
     return (uint64_t)hs_daemon_directory_ttl_s(daemon->directory) * (uint64_t)MS_PER_S;
 }
 
-static uint64_t grace_ms(const hs_fleet_daemon *daemon) {
-    return (uint64_t)(current(daemon)->fleet_grace_s * MS_PER_S);
+static uint64_t get_grace_ms(const hs_fleet_daemon *daemon) {
+    return (uint64_t)(get_current_settings(daemon)->fleet_grace_s * MS_PER_S);
 }
 
 /**
- * Hand the batch items over at once; others can go on with them. While the store is away nobody
- * could: the items run on until it is back or the time for it is up.
+ * Hands the batch items over to other daemons. While the store is disconnected no daemon can take
+ * them over: they continue until it reconnects, for at most half of the grace time.
  */
 static gpointer hand_over_jobs(gpointer data) {
     hs_fleet_daemon *daemon = data;
-    uint64_t began_ms = hs_clock_monotonic_ms();
-    hs_deadline deadline = began_ms + (uint64_t)((double)grace_ms(daemon) * HANDOVER_SHARE);
+    uint64_t started_ms = hs_clock_monotonic_ms();
+    hs_deadline deadline = started_ms + (uint64_t)((double)get_grace_ms(daemon) * HANDOVER_SHARE);
     while (hs_engine_source_is_disconnected(daemon->engine_source) &&
-           hs_clock_monotonic_ms() < began_ms + grace_ms(daemon) / 2)
+           hs_clock_monotonic_ms() < started_ms + get_grace_ms(daemon) / 2)
         hs_clock_sleep_ms(DRAIN_POLL_MS);
     hs_job_owner_drain(daemon->owner, deadline);
     while (hs_job_owner_running_count(daemon->owner) > 0 && hs_clock_monotonic_ms() < deadline)
         hs_clock_sleep_ms(DRAIN_POLL_MS);
     hs_log_info("items_handed_over", "left=%u took_ms=%u",
                 hs_job_owner_running_count(daemon->owner),
-                (unsigned)(hs_clock_monotonic_ms() - began_ms));
+                (unsigned)(hs_clock_monotonic_ms() - started_ms));
     hs_job_owner_leave(daemon->owner);
     return NULL;
 }
 
-/** Take requests as long as callers may know no better, then finish what is open. */
+/** Accepts requests while callers may use old resolve answers, then waits for open requests. */
 static void finish_requests(hs_fleet_daemon *daemon, uint64_t stopped_ms) {
-    uint64_t time_ms = grace_ms(daemon);
-    uint64_t taking_ms = MIN(named_ms(daemon), (uint64_t)((double)time_ms * TAKING_SHARE));
-    uint64_t limit_ms = stopped_ms + (time_ms > END_MS ? time_ms - END_MS : 0);
-    while (hs_clock_monotonic_ms() < stopped_ms + taking_ms)
+    uint64_t total_ms = get_grace_ms(daemon);
+    uint64_t accepting_ms =
+        MIN(get_resolve_ttl_ms(daemon), (uint64_t)((double)total_ms * ACCEPTING_SHARE));
+    uint64_t deadline_ms =
+        stopped_ms + (total_ms > SHUTDOWN_RESERVE_MS ? total_ms - SHUTDOWN_RESERVE_MS : 0);
+    while (hs_clock_monotonic_ms() < stopped_ms + accepting_ms)
         hs_clock_sleep_ms(DRAIN_POLL_MS);
     do {
         hs_fleet_surface_quiesce(daemon->surface);
         hs_clock_sleep_ms(DRAIN_POLL_MS);
     } while (hs_fleet_surface_open_requests(daemon->surface) > 0 &&
-             hs_clock_monotonic_ms() < limit_ms);
+             hs_clock_monotonic_ms() < deadline_ms);
 }
 
 void hs_fleet_daemon_stop(hs_fleet_daemon *daemon) {
--- a/src/daemon/listing.c
+++ b/src/daemon/listing.c
@@ -10,34 +10,34 @@
 
 #include <string.h>
 
-#define TICK_MS 50
-#define RENEW_NOTICES_MS 2000
-#define SLEEP_JUMP_MS 1500
-#define TRIM_INTERVAL_MS 1000
+#define ROUND_INTERVAL_MS 50
+#define RENEW_INTERVAL_MS 2000
+#define MIN_SLEEP_MS 1500
+#define EVICT_INTERVAL_MS 1000
 
 struct hs_listing {
     hs_node *node;
     uint64_t next_list_ms;
     uint64_t next_renew_ms;
-    uint64_t next_trim_ms;
-    uint64_t last_tick_ms; /**< When the last round ended; 0: none yet. */
+    uint64_t next_evict_ms;
+    uint64_t last_round_ms; /**< End of the last round; 0: none yet. */
     hs_config_sync *sync;
-    char *etag; /**< Of the list last read; NULL: none yet. */
+    char *etag; /**< ETag of the last list read; NULL: none yet. */
     gint stopping;
     GThread *thread;
 };
 
-static bool names_an_engine(const GPtrArray *machines) {
+static bool has_any_engine(const GPtrArray *machines) {
     for (guint index = 0; index < machines->len; index++)
         if (((hs_machine *)machines->pdata[index])->kind == HS_MACHINE_ENGINE)
             return true;
     return false;
 }
 
-static void take_machines(hs_node *node, GPtrArray *machines) {
+static void apply_machine_list(hs_node *node, GPtrArray *machines) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    /* A list without any engine is a fault of the list: it must not end all serving. */
-    if (!names_an_engine(machines)) {
+    /* A list without engines is taken for faulty, as applying it would stop all service. */
+    if (!has_any_engine(machines)) {
         hs_log_warning("list_without_engines", "machines=%u", machines->len);
         return;
     }
@@ -59,14 +59,14 @@
     hs_membership_service_unlock(node->membership);
 }
 
-/** Peers named in the settings, for a start while the list cannot be read. */
+/** Proposes the seed peers of the settings, so that a daemon can start without the machine list. */
 static void propose_seeds(hs_node *node) {
     g_auto(GStrv) seeds = g_strsplit(node->settings->peer_seeds, ",", -1);
     for (int index = 0; seeds[index] != NULL; index++) {
         hs_endpoint seed;
         if (!hs_endpoint_parse(g_strstrip(seeds[index]), &seed))
             continue;
-        /* Its real name comes with its first answer; until then it goes by its address. */
+        /* The member is listed under its address until its first answer gives its name. */
         g_autofree char *name = g_strdup_printf("seed-%s:%u", seed.host, seed.port);
         hs_membership *membership = hs_membership_service_lock(node->membership);
         hs_membership_propose(membership, name, seed.address, seed.port, hs_clock_monotonic_ms());
@@ -74,7 +74,7 @@
     }
 }
 
-/** Take over what peers know at first hand of engines that leave. */
+/** Marks engines as leaving that live peers report as leaving. */
 static void learn_leaving_engines(hs_node *node) {
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     g_autoptr(GPtrArray) names = g_ptr_array_new_with_free_func(g_free);
@@ -94,21 +94,21 @@
 }
 
 /**
- * A jump of the clock between two ticks means that the process slept: what it knows may be old, so
- * that it takes no new work until the configuration's offset is confirmed again.
+ * Detects by the time between two rounds that the process was suspended. Its state may be outdated,
+ * so that it accepts no new work until the configuration offset is confirmed again.
  */
-static void notice_sleep(hs_listing *listing, uint64_t now_ms) {
-    bool slept = listing->last_tick_ms != 0 && now_ms > listing->last_tick_ms + SLEEP_JUMP_MS;
+static void detect_sleep(hs_listing *listing, uint64_t now_ms) {
+    bool slept = listing->last_round_ms != 0 && now_ms > listing->last_round_ms + MIN_SLEEP_MS;
     if (slept && hs_node_state_of(listing->node) == HS_NODE_READY) {
-        hs_log_warning("slept", "ms=%" G_GUINT64_FORMAT, now_ms - listing->last_tick_ms);
+        hs_log_warning("slept", "ms=%" G_GUINT64_FORMAT, now_ms - listing->last_round_ms);
         hs_config_store_doubt(listing->node->config);
         hs_config_sync_restart(listing->sync, now_ms);
         hs_config_store_catch_up(listing->node->config);
     }
-    listing->last_tick_ms = hs_clock_monotonic_ms();
+    listing->last_round_ms = hs_clock_monotonic_ms();
 }
 
-/** Counts go out again from time to time, so that a lost notice does not linger. */
+/** Sends the counts of open online requests again, in case a notice was lost. */
 static void renew_notices(hs_node *node) {
     GArray *infos = hs_engine_table_infos(node->engines, hs_clock_monotonic_ms());
     for (guint index = 0; index < infos->len; index++) {
@@ -119,7 +119,7 @@
     hs_engine_infos_free(infos);
 }
 
-/** Read the list; while that fails and no list was ever read, a peer's will do. */
+/** Reads the machine list; until the first success, a failure falls back to a peer's engines. */
 static void read_list(hs_listing *listing) {
     hs_node *node = listing->node;
     GPtrArray *machines = NULL;
@@ -128,7 +128,7 @@
                                       (uint32_t)node->settings->platform_timeout_s, &listing->etag,
                                       &machines, &error);
     if (machines != NULL) {
-        take_machines(node, machines);
+        apply_machine_list(node, machines);
         g_ptr_array_unref(machines);
     }
     if (result != 0 && listing->etag == NULL)
@@ -141,24 +141,24 @@
     propose_seeds(node);
     while (g_atomic_int_get(&listing->stopping) == 0) {
         uint64_t now_ms = hs_clock_monotonic_ms();
-        notice_sleep(listing, now_ms);
+        detect_sleep(listing, now_ms);
         if (now_ms >= listing->next_list_ms) {
             listing->next_list_ms = now_ms + (uint64_t)node->settings->machine_list_interval_ms;
             read_list(listing);
         }
-        if (now_ms >= listing->next_trim_ms) {
-            listing->next_trim_ms = now_ms + TRIM_INTERVAL_MS;
+        if (now_ms >= listing->next_evict_ms) {
+            listing->next_evict_ms = now_ms + EVICT_INTERVAL_MS;
             hs_replica_set_trim(node->replicas, now_ms,
                                 (uint64_t)node->settings->replica_idle_s * 1000);
         }
         if (now_ms >= listing->next_renew_ms) {
-            listing->next_renew_ms = now_ms + RENEW_NOTICES_MS;
+            listing->next_renew_ms = now_ms + RENEW_INTERVAL_MS;
             renew_notices(node);
         }
         learn_leaving_engines(node);
         hs_config_sync_step(listing->sync, now_ms);
-        listing->last_tick_ms = hs_clock_monotonic_ms();
-        hs_clock_sleep_ms(TICK_MS);
+        listing->last_round_ms = hs_clock_monotonic_ms();
+        hs_clock_sleep_ms(ROUND_INTERVAL_MS);
     }
     return NULL;
 }
--- a/src/daemon/listing.h
+++ b/src/daemon/listing.h
@@ -1,8 +1,8 @@
 /**
  * @file listing.h
- * Reads the platform's machine list again and again: engines into the engine table, daemons as
- * proposals to membership. While it is at it, it renews the counts of open online requests and,
- * when a peer holds a newer configuration, fetches it.
+ * Thread that polls the platform's machine list: engines go to the engine table, daemons are
+ * proposed to membership. The thread also evicts idle replicas, renews the counts of open online
+ * requests, applies peers' knowledge of leaving engines and synchronizes the configuration.
  */
 #ifndef HS_DAEMON_LISTING_H
 #define HS_DAEMON_LISTING_H
@@ -11,7 +11,9 @@
 
 typedef struct hs_listing hs_listing;
 
+/** Starts the thread. @p node is borrowed. */
 hs_listing *hs_listing_start(hs_node *node);
+/** Stops and joins the thread and frees @p listing. */
 void hs_listing_stop(hs_listing *listing);
 
 #endif
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,4 +1,4 @@
-/** @file main.c  heathsaild: command line, settings, signals. */
+/** @file main.c  Entry point of heathsaild: command line, settings, signals. */
 #include "base/log.h"
 #include "daemon/daemon.h"
 #include "daemon/fleet_daemon.h"
@@ -15,16 +15,16 @@
 const char *argp_program_version = "heathsaild 0.1.0";
 
 #define EXIT_BAD_SETTINGS 2
-/** Names the settings file where the command line names none. */
+/** Environment variable with the settings file's path; --settings overrides it. */
 #define SETTINGS_VARIABLE "HEATHSAIL_CONFIG"
-/** A file that changed without a signal is noticed within this time. */
+/** A file that modified without a signal is noticed within this time. */
 #define SETTINGS_CHECK_S 2
 
 typedef struct {
     hs_settings *settings;
     bool check_only;
     const char *path;     /**< Settings file; NULL: none. */
-    GPtrArray *overrides; /**< of const char*: --set, in their order. */
+    GPtrArray *overrides; /**< Arguments of --set (const char *), in order. */
 } command_line;
 
 enum { OPTION_REFERENCE = 256 };
@@ -57,7 +57,7 @@
     }
 }
 
-static GLogLevelFlags log_level_of(const char *name) {
+static GLogLevelFlags parse_log_level(const char *name) {
     if (strcmp(name, "debug") == 0)
         return G_LOG_LEVEL_DEBUG;
     return strcmp(name, "warning") == 0 ? G_LOG_LEVEL_WARNING : G_LOG_LEVEL_INFO;
@@ -77,28 +77,28 @@
     return result == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-/** Identity of a settings file's content, to notice a change that no signal told. */
+/** Size and modification time of the settings file, to detect changes without a signal. */
 typedef struct {
     off_t size;
-    struct timespec changed;
-} file_mark;
+    struct timespec modified;
+} file_stamp;
 
-static file_mark mark_file(const char *path) {
+static file_stamp read_file_stamp(const char *path) {
     struct stat status;
-    file_mark mark = {0};
+    file_stamp stamp = {0};
     if (path != NULL && stat(path, &status) == 0) {
-        mark.size = status.st_size;
-        mark.changed = status.st_mtim;
+        stamp.size = status.st_size;
+        stamp.modified = status.st_mtim;
     }
-    return mark;
+    return stamp;
 }
 
-static bool same_mark(const file_mark *one, const file_mark *other) {
-    return one->size == other->size && one->changed.tv_sec == other->changed.tv_sec &&
-           one->changed.tv_nsec == other->changed.tv_nsec;
+static bool is_same_stamp(const file_stamp *one, const file_stamp *other) {
+    return one->size == other->size && one->modified.tv_sec == other->modified.tv_sec &&
+           one->modified.tv_nsec == other->modified.tv_nsec;
 }
 
-/** The file's settings, then those of the command line; checked. 0, or the error's code. */
+/** Reads the file, applies the command line's overrides and checks the result. */
 static int read_settings(const command_line *line, hs_settings *settings, hs_error *error) {
     int result = line->path != NULL ? hs_settings_load(settings, line->path, error) : 0;
     for (guint index = 0; result == 0 && index < line->overrides->len; index++)
@@ -106,38 +106,39 @@
     return result == 0 ? hs_settings_check(settings, error) : result;
 }
 
-/** Read the settings anew; a broken file is logged and the old ones stay. */
+/** Reloads the settings. If they are invalid, logs the error and keeps the previous ones. */
 static void reload(hs_fleet_daemon *daemon, const command_line *line, const char *cause) {
     hs_error error = {0};
     if (line->path == NULL) {
-        hs_fleet_daemon_refuse_reload(daemon, cause, "no settings file");
+        hs_fleet_daemon_report_failed_reload(
+            daemon, cause, "no settings file is given by --settings or HEATHSAIL_CONFIG");
         return;
     }
     hs_settings *settings = hs_settings_new();
     if (read_settings(line, settings, &error) != 0) {
-        hs_fleet_daemon_refuse_reload(daemon, cause, error.message);
+        hs_fleet_daemon_report_failed_reload(daemon, cause, error.message);
         hs_settings_free(settings);
         return;
     }
-    hs_log_set_level(log_level_of(settings->log_level));
+    hs_log_set_level(parse_log_level(settings->log_level));
     hs_fleet_daemon_reload(daemon, settings, cause);
 }
 
-/** Wait for the signal to stop; reload in between. */
+/** Waits for SIGTERM or SIGINT; reloads on SIGHUP and when the file has changed. */
 static void wait_for_stop(hs_fleet_daemon *daemon, const command_line *line,
                           const sigset_t *signals) {
     static const struct timespec check_interval = {.tv_sec = SETTINGS_CHECK_S};
-    file_mark seen = mark_file(line->path);
+    file_stamp last_stamp = read_file_stamp(line->path);
     while (true) {
         int received = sigtimedwait(signals, NULL, &check_interval);
         if (received == SIGTERM || received == SIGINT)
             return;
-        file_mark now = mark_file(line->path);
-        bool changed = !same_mark(&seen, &now);
-        seen = now;
+        file_stamp current_stamp = read_file_stamp(line->path);
+        bool modified = !is_same_stamp(&last_stamp, &current_stamp);
+        last_stamp = current_stamp;
         if (received == SIGHUP)
             reload(daemon, line, "signal");
-        else if (changed)
+        else if (modified)
             reload(daemon, line, "file");
     }
 }
@@ -166,7 +167,7 @@
     sigaddset(&stop_signals, SIGHUP);
     pthread_sigmask(SIG_BLOCK, &stop_signals, NULL);
     signal(SIGPIPE, SIG_IGN);
-    hs_log_open(settings->daemon_id, log_level_of(settings->log_level));
+    hs_log_open(settings->daemon_id, parse_log_level(settings->log_level));
     ulfius_global_init();
     return strcmp(settings->surface, "fleet") == 0 ? serve_fleet(line, &stop_signals)
                                                    : serve_openai(settings, &stop_signals);
--- a/src/daemon/peer_engines.c
+++ b/src/daemon/peer_engines.c
@@ -7,8 +7,8 @@
 #define FETCH_TIMEOUT_S 2
 #define HTTP_OK 200
 
-/** URL of some live peer's listing; NULL when no peer is known. Free with g_free. */
-static char *peer_url(hs_node *node) {
+/** Returns the URL of a live peer's engine list; NULL if no peer is known. Free with g_free. */
+static char *find_peer_url(hs_node *node) {
     g_autoptr(GPtrArray) members = g_ptr_array_new();
     char *url = NULL;
     hs_membership *membership = hs_membership_service_lock(node->membership);
@@ -24,7 +24,7 @@
     return url;
 }
 
-static void list_engines(hs_node *node, const json_t *engines) {
+static void apply_engine_list(hs_node *node, const json_t *engines) {
     hs_engine_table_begin_listing(node->engines);
     size_t index;
     json_t *engine;
@@ -41,7 +41,7 @@
 }
 
 bool hs_peer_engines_fetch(hs_node *node) {
-    g_autofree char *url = peer_url(node);
+    g_autofree char *url = find_peer_url(node);
     if (url == NULL)
         return false;
     hs_http_request request = {.method = "GET", .url = url, .timeout_s = FETCH_TIMEOUT_S};
@@ -53,8 +53,8 @@
     const json_t *engines = json_object_get(document, "engines");
     size_t count = json_array_size(engines);
     if (count > 0) {
-        list_engines(node, engines);
-        hs_log_info("engines_from_peer", "engines=%zu", count);
+        apply_engine_list(node, engines);
+        hs_log_info("engines_fetched_from_peer", "engines=%zu", count);
     }
     json_decref(document);
     return count > 0;
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -1,7 +1,7 @@
 /**
  * @file settings.c
- * One table describes every key; reading, overriding, checking and the reference all walk it, so
- * that the reference cannot differ from what is accepted.
+ * See settings.h. One table describes every key; the parser and the printed reference both use it,
+ * so that they cannot differ.
  */
 #include "daemon/settings.h"
 
@@ -19,12 +19,12 @@
     const char *group;
     const char *key;
     setting_type type;
-    size_t position; /**< Offset of the field in hs_settings. */
+    size_t field_offset; /**< Offset of the field in hs_settings. */
     const char *unit;
     int64_t minimum;
     int64_t maximum;
     int64_t default_number;
-    const char *default_text; /**< Of a decimal too. */
+    const char *default_text; /**< Also the default of a decimal. */
     const char *meaning;
 } setting;
 
@@ -41,7 +41,7 @@
 #define TEXT(group, key, field, unit, initial, meaning)                                            \
     { group, key, SETTING_TEXT, offsetof(hs_settings, field), unit, 0, 0, 0, initial, meaning }
 
-#define PORT_MAX 65535
+#define MAX_PORT 65535
 #define HOUR_MS 3600000
 #define GIB (1LL << 30)
 
@@ -59,7 +59,7 @@
     TEXT("daemon", "surface", surface, "openai|fleet", "openai",
          "Which callers are served: the OpenAI forms, or the fleet surface of [fleet]."),
     NUMBER("caller", "enabled", caller_enabled, "0|1", 0, 1, 1, "Whether callers are listened to."),
-    NUMBER("caller", "port", caller_port, "port", 1, PORT_MAX, 8080,
+    NUMBER("caller", "port", caller_port, "port", 1, MAX_PORT, 8080,
            "Port of the callers' listener."),
     NUMBER("caller", "max_body_bytes", max_body_bytes, "bytes", 1024, GIB, 4194304,
            "Largest body of a completion request."),
@@ -73,9 +73,9 @@
            "Longest deadline a request may name."),
     NUMBER("caller", "max_tokens", max_tokens, "tokens", 1, 1000000, 32768,
            "Largest max_tokens a request may ask for."),
-    NUMBER("admin", "port", admin_port, "port", 1, PORT_MAX, 8090,
+    NUMBER("admin", "port", admin_port, "port", 1, MAX_PORT, 8090,
            "Port of the operators' listener; peers fetch configuration from it too."),
-    NUMBER("peer", "port", peer_port, "port", 1, PORT_MAX, 8100, "UDP port between daemons."),
+    NUMBER("peer", "port", peer_port, "port", 1, MAX_PORT, 8100, "UDP port between daemons."),
     TEXT("peer", "seeds", peer_seeds, "IPv4:port,...", "",
          "Peers to ask while the machine list cannot be read. Empty: the list alone."),
     NUMBER("peer", "probe_interval_ms", probe_interval_ms, "ms", 20, 60000, 500,
@@ -215,15 +215,15 @@
 };
 
 static char **text_field(hs_settings *settings, const setting *entry) {
-    return (char **)(void *)((char *)settings + entry->position);
+    return (char **)(void *)((char *)settings + entry->field_offset);
 }
 
 static int64_t *number_field(hs_settings *settings, const setting *entry) {
-    return (int64_t *)(void *)((char *)settings + entry->position);
+    return (int64_t *)(void *)((char *)settings + entry->field_offset);
 }
 
 static double *decimal_field(hs_settings *settings, const setting *entry) {
-    return (double *)(void *)((char *)settings + entry->position);
+    return (double *)(void *)((char *)settings + entry->field_offset);
 }
 
 hs_settings *hs_settings_new(void) {
@@ -258,7 +258,7 @@
     return NULL;
 }
 
-static int set_decimal(hs_settings *settings, const setting *entry, const char *place,
+static int set_decimal(hs_settings *settings, const setting *entry, const char *location,
                        const char *value, hs_error *error) {
     char *end = NULL;
     double number = g_ascii_strtod(value, &end);
@@ -267,14 +267,14 @@
         return hs_error_set(error, HS_LAYER_SETTINGS, HS_INVALID,
                             "%s: key %s.%s: \"%s\" is not a number from %" G_GINT64_FORMAT
                             " to %" G_GINT64_FORMAT " (%s)",
-                            place, entry->group, entry->key, value, entry->minimum, entry->maximum,
-                            entry->unit);
+                            location, entry->group, entry->key, value, entry->minimum,
+                            entry->maximum, entry->unit);
     *decimal_field(settings, entry) = number;
     return 0;
 }
 
-/** A whole number; a platform may tell one with a fraction, which is rounded. */
-static int set_number(hs_settings *settings, const setting *entry, const char *place,
+/** Sets an integer; a fraction is rounded, as deployment templates may produce one. */
+static int set_number(hs_settings *settings, const setting *entry, const char *location,
                       const char *value, hs_error *error) {
     char *end = NULL;
     double number = round(g_ascii_strtod(value, &end));
@@ -283,33 +283,33 @@
         return hs_error_set(error, HS_LAYER_SETTINGS, HS_INVALID,
                             "%s: key %s.%s: \"%s\" is not a whole number from %" G_GINT64_FORMAT
                             " to %" G_GINT64_FORMAT " (%s)",
-                            place, entry->group, entry->key, value, entry->minimum, entry->maximum,
-                            entry->unit);
+                            location, entry->group, entry->key, value, entry->minimum,
+                            entry->maximum, entry->unit);
     *number_field(settings, entry) = (int64_t)number;
     return 0;
 }
 
-/** Set one value; @p place names where it stands, for the error. */
-static int set_value(hs_settings *settings, const char *place, const char *group, const char *key,
-                     const char *value, hs_error *error) {
+/** Sets one value; @p location is its file and line, or "command line", for the error. */
+static int set_value(hs_settings *settings, const char *location, const char *group,
+                     const char *key, const char *value, hs_error *error) {
     const setting *entry = find_setting(group, key);
     if (entry == NULL)
-        return hs_error_set(error, HS_LAYER_SETTINGS, HS_INVALID, "%s: unknown key %s.%s", place,
+        return hs_error_set(error, HS_LAYER_SETTINGS, HS_INVALID, "%s: unknown key %s.%s", location,
                             group, key);
     if (entry->type == SETTING_TEXT) {
         g_free(*text_field(settings, entry));
         *text_field(settings, entry) = g_strdup(value);
         return 0;
     }
-    if (*value == '\0') /* A template's gap without a value: the default holds. */
+    if (*value == '\0') /* An empty value, as from an unset template variable, keeps the default. */
         return 0;
     if (entry->type == SETTING_DECIMAL)
-        return set_decimal(settings, entry, place, value, error);
-    return set_number(settings, entry, place, value, error);
+        return set_decimal(settings, entry, location, value, error);
+    return set_number(settings, entry, location, value, error);
 }
 
-/** Line of @p key in @p group in the file's text, counted from 1; 0 when not found. */
-static int line_of_key(const char *text, const char *group, const char *key) {
+/** Returns the line of @p key in @p group, or of the group's header if @p key is NULL; 0: none. */
+static int find_key_line(const char *text, const char *group, const char *key) {
     g_auto(GStrv) lines = g_strsplit(text, "\n", -1);
     g_autofree char *header = g_strdup_printf("[%s]", group);
     bool inside = false;
@@ -332,9 +332,9 @@
     g_auto(GStrv) keys = g_key_file_get_keys(file, group, NULL, NULL);
     for (int index = 0; keys != NULL && keys[index] != NULL; index++) {
         g_autofree char *value = g_key_file_get_string(file, group, keys[index], NULL);
-        g_autofree char *place =
-            g_strdup_printf("%s:%d", path, line_of_key(text, group, keys[index]));
-        int result = set_value(settings, place, group, keys[index],
+        g_autofree char *location =
+            g_strdup_printf("%s:%d", path, find_key_line(text, group, keys[index]));
+        int result = set_value(settings, location, group, keys[index],
                                value != NULL ? g_strstrip(value) : "", error);
         if (result != 0)
             return result;
@@ -361,7 +361,7 @@
     for (int index = 0; groups[index] != NULL; index++) {
         if (!is_known_group(groups[index]))
             return hs_error_set(error, HS_LAYER_SETTINGS, HS_INVALID, "%s:%d: unknown group [%s]",
-                                path, line_of_key(text, groups[index], NULL), groups[index]);
+                                path, find_key_line(text, groups[index], NULL), groups[index]);
         int result = load_group(settings, file, path, text, groups[index], error);
         if (result != 0)
             return result;
@@ -384,7 +384,7 @@
     return hs_error_set(error, HS_LAYER_SETTINGS, HS_INVALID, "%s", message);
 }
 
-/** One address of [fleet]. */
+/** A key of [fleet] with an address. */
 typedef struct {
     const char *key;
     const char *value;
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -1,6 +1,7 @@
 /**
  * @file settings.h
- * Reading and checking of the settings file (a GLib key file) and of flags that override it.
+ * Reads and checks the settings file (a GLib key file) and the command line's overrides. Functions
+ * return 0, or set @p error, which names the location and the key.
  */
 #ifndef HS_DAEMON_SETTINGS_H
 #define HS_DAEMON_SETTINGS_H
@@ -10,24 +11,24 @@
 
 #include <stdio.h>
 
-/** Settings with every default filled in. Free with hs_settings_free. */
+/** Returns settings with default values. Free with hs_settings_free. */
 hs_settings *hs_settings_new(void);
 
 void hs_settings_free(hs_settings *settings);
 
 /**
- * Read @p path over the present values. Unknown groups, unknown keys and bad values are refused
- * with file, line and key in the error.
+ * Reads the file @p path into @p settings; keys that the file lacks keep their values. Unknown
+ * groups, unknown keys and invalid values are errors.
  */
 int hs_settings_load(hs_settings *settings, const char *path, hs_error *error);
 
-/** Set one value given as "group.key=value" on the command line. */
+/** Sets one value given as "group.key=value" on the command line. */
 int hs_settings_override(hs_settings *settings, const char *assignment, hs_error *error);
 
-/** Check what concerns several keys or must be given: ids, addresses, port clashes. */
+/** Checks required keys, addresses and combinations of keys. */
 int hs_settings_check(const hs_settings *settings, hs_error *error);
 
-/** Print the reference of all keys as Markdown. */
+/** Prints a reference of all keys as Markdown. */
 void hs_settings_print_reference(FILE *output);
 
 #endif
