--- a/src/daemon/fleet_daemon.h
+++ b/src/daemon/fleet_daemon.h
@@ -27,8 +27,7 @@
 void hs_fleet_daemon_report_failed_reload(hs_fleet_daemon *daemon, const char *cause,
                                           const char *reason);
 
-/** Leaves the fleet, waits up to the grace time for open requests and items, and frees the daemon.
- */
+/** Leaves the fleet, waits up to the grace time for requests and items, and frees the daemon. */
 void hs_fleet_daemon_stop(hs_fleet_daemon *daemon);
 
 #endif
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -17,7 +17,7 @@
 #define EXIT_BAD_SETTINGS 2
 /** Environment variable with the settings file's path; --settings overrides it. */
 #define SETTINGS_VARIABLE "HEATHSAIL_CONFIG"
-/** A file that modified without a signal is noticed within this time. */
+/** Interval of the checks whether the settings file has changed. */
 #define SETTINGS_CHECK_S 2
 
 typedef struct {
@@ -67,7 +67,7 @@
     hs_error error = {0};
     hs_daemon *daemon = hs_daemon_start(settings, &error);
     if (daemon == NULL) {
-        fprintf(stderr, "heathsaild: %s\n", error.message);
+        fprintf(stderr, "heathsaild: start failed: %s\n", error.message);
         return EXIT_FAILURE;
     }
     int received = SIGHUP; /* The OpenAI surface has nothing to reload. */
@@ -148,7 +148,7 @@
     hs_log_start_writer();
     hs_fleet_daemon *daemon = hs_fleet_daemon_start(line->settings, &error);
     if (daemon == NULL) {
-        fprintf(stderr, "heathsaild: %s\n", error.message);
+        fprintf(stderr, "heathsaild: start failed: %s\n", error.message);
         hs_log_flush();
         return EXIT_FAILURE;
     }
@@ -185,7 +185,7 @@
         line.path = getenv(SETTINGS_VARIABLE);
     hs_error error = {0};
     if (read_settings(&line, line.settings, &error) != 0) {
-        fprintf(stderr, "heathsaild: %s\n", error.message);
+        fprintf(stderr, "heathsaild: invalid settings: %s\n", error.message);
         return EXIT_BAD_SETTINGS;
     }
     if (line.check_only) {
--- a/src/daemon/settings.c
+++ b/src/daemon/settings.c
@@ -374,7 +374,8 @@
     const char *equals = dot != NULL ? strchr(dot, '=') : NULL;
     if (equals == NULL)
         return hs_error_set(error, HS_LAYER_SETTINGS, HS_INVALID,
-                            "command line: \"%s\" is not group.key=value", assignment);
+                            "command line: --set \"%s\" is not of the form group.key=value",
+                            assignment);
     g_autofree char *group = g_strndup(assignment, (gsize)(dot - assignment));
     g_autofree char *key = g_strndup(dot + 1, (gsize)(equals - dot - 1));
     return set_value(settings, "command line", group, key, equals + 1, error);
@@ -411,9 +412,9 @@
 
 int hs_settings_check(const hs_settings *settings, hs_error *error) {
     if (*settings->daemon_id == '\0')
-        return invalid(error, "key daemon.id: must be given");
+        return invalid(error, "key daemon.id: no value given; each daemon needs a unique id");
     if (hs_endpoint_address(settings->address) == 0)
-        return invalid(error, "key daemon.address: not an IPv4 number");
+        return invalid(error, "key daemon.address: not an IPv4 address such as 10.0.0.1");
     if (!g_str_has_prefix(settings->platform_url, "http://"))
         return invalid(error, "key platform.url: must start with http://");
     if (strcmp(settings->log_level, "debug") != 0 && strcmp(settings->log_level, "info") != 0 &&
