--- a/src/config/config_fold.c
+++ b/src/config/config_fold.c
@@ -1,4 +1,4 @@
-/** @file config_fold.c  The fold; see config_fold.h. */
+/** @file config_fold.c  See config_fold.h. */
 #include "config/config_fold.h"
 
 #include "config/config_object.h"
@@ -31,7 +31,10 @@
     return g_hash_table_lookup(fold->objects, key);
 }
 
-/** The change's content, or NULL when it does not stand the schema. A deletion has none. */
+/**
+ * Parses the change's object into @p content (owned by the caller; NULL for a deletion). Returns
+ * false if the kind is unknown or the object does not match its schema.
+ */
 static bool parse_content(const Hs__ConfigChange *change, json_t **content) {
     *content = NULL;
     if (change->deleted)
--- a/src/config/config_object.c
+++ b/src/config/config_object.c
@@ -1,4 +1,4 @@
-/** @file config_object.c  Schemas and selectors; see config_object.h. */
+/** @file config_object.c  See config_object.h. */
 #include "config/config_object.h"
 
 #include <string.h>
@@ -12,11 +12,11 @@
     const char *name;
     field_type type;
     bool required;
-    double minimum;
+    double minimum; /**< Of FIELD_NUMBER, inclusive. */
     double maximum;
 } field;
 
-/** Every field an object may have. A field not listed for the kind is refused. */
+/** All fields of all kinds. A field that is not listed for the kind is rejected. */
 static const field field_table[] = {
     {HS_KIND_SERVICE, "labels", FIELD_LABELS, false, 0, 0},
     {HS_KIND_SERVICE, "models", FIELD_TEXT_LIST, true, 0, 0},
@@ -45,7 +45,7 @@
     return false;
 }
 
-static bool all_text(const json_t *list) {
+static bool has_only_strings(const json_t *list) {
     size_t index;
     json_t *entry;
     json_array_foreach(list, index, entry) {
@@ -55,7 +55,7 @@
     return true;
 }
 
-static bool all_text_values(json_t *labels) {
+static bool has_only_string_values(json_t *labels) {
     const char *key;
     json_t *value;
     json_object_foreach(labels, key, value) {
@@ -70,9 +70,9 @@
     case FIELD_TEXT:
         return json_is_string(value) && *json_string_value(value) != '\0';
     case FIELD_TEXT_LIST:
-        return json_is_array(value) && json_array_size(value) > 0 && all_text(value);
+        return json_is_array(value) && json_array_size(value) > 0 && has_only_strings(value);
     case FIELD_LABELS:
-        return json_is_object(value) && all_text_values(value);
+        return json_is_object(value) && has_only_string_values(value);
     case FIELD_NUMBER:
         return json_is_number(value) && json_number_value(value) >= expected->minimum &&
                json_number_value(value) <= expected->maximum;
@@ -131,8 +131,8 @@
     const char *key;
     json_t *wanted;
     json_object_foreach((json_t *)selector, key, wanted) {
-        const char *present = json_string_value(json_object_get(labels, key));
-        if (present == NULL || strcmp(present, json_string_value(wanted)) != 0)
+        const char *actual = json_string_value(json_object_get(labels, key));
+        if (actual == NULL || strcmp(actual, json_string_value(wanted)) != 0)
             return false;
     }
     return true;
--- a/src/config/config_object.h
+++ b/src/config/config_object.h
@@ -1,9 +1,7 @@
 /**
  * @file config_object.h
- * The operators' objects, their schemas and label selectors. Pure.
- *
- * Kinds: services, engine-groups, routing-rules, limits. Objects select engines by labels, never
- * by machine name.
+ * Checks the operators' configuration objects against the schemas of their kinds, and matches label
+ * selectors. Objects select engines by labels, not by machine name. The functions have no state.
  */
 #ifndef HS_CONFIG_CONFIG_OBJECT_H
 #define HS_CONFIG_CONFIG_OBJECT_H
@@ -18,14 +16,20 @@
 #define HS_KIND_ROUTING_RULE "routing-rules"
 #define HS_KIND_LIMIT "limits"
 
-/** True for one of the four kinds. */
+/** Returns whether @p kind is one of the HS_KIND_ names. */
 bool hs_config_kind_is_known(const char *kind);
 
-/** Check the object's fields against its kind's schema; the error names the field. */
+/**
+ * Checks the name and the fields of @p object against the schema of @p kind. Returns 0 or
+ * HS_INVALID; the error names the field. @p error may be NULL.
+ */
 int hs_config_object_check(const char *kind, const char *name, const json_t *object,
                            hs_error *error);
 
-/** True when every label of @p selector (JSON object of strings) stands in @p labels. */
+/**
+ * Returns whether @p labels has every label of @p selector with the same value. Both are JSON
+ * objects of strings. An empty selector matches all.
+ */
 bool hs_selector_matches(const json_t *selector, const json_t *labels);
 
 #endif
--- a/src/config/config_state.c
+++ b/src/config/config_state.c
@@ -1,4 +1,4 @@
-/** @file config_state.c  Encoding of the folded configuration; see config_state.h. */
+/** @file config_state.c  See config_state.h. */
 #include "config/config_state.h"
 
 #include "config/config_object.h"
@@ -6,7 +6,8 @@
 
 #include <stdlib.h>
 
-static Hs__ConfigObjectState *describe_object(const hs_config_object *object) {
+/** Returns the message of @p object, which borrows all strings but content_json. */
+static Hs__ConfigObjectState *new_object_state(const hs_config_object *object) {
     Hs__ConfigObjectState *state = g_new(Hs__ConfigObjectState, 1);
     hs__config_object_state__init(state);
     state->kind = object->kind;
@@ -19,7 +20,7 @@
     return state;
 }
 
-static void free_described(gpointer data) {
+static void free_object_state(gpointer data) {
     Hs__ConfigObjectState *state = data;
     if (!state->deleted)
         free(state->content_json);
@@ -27,16 +28,16 @@
 }
 
 GByteArray *hs_config_state_encode(const hs_config_fold *fold) {
-    g_autoptr(GPtrArray) described = g_ptr_array_new_with_free_func(free_described);
+    g_autoptr(GPtrArray) states = g_ptr_array_new_with_free_func(free_object_state);
     GHashTableIter iterator;
     gpointer object;
     g_hash_table_iter_init(&iterator, fold->objects);
     while (g_hash_table_iter_next(&iterator, NULL, &object))
-        g_ptr_array_add(described, describe_object(object));
+        g_ptr_array_add(states, new_object_state(object));
     Hs__ConfigState message = HS__CONFIG_STATE__INIT;
     message.next_offset = fold->next_offset;
-    message.n_objects = described->len;
-    message.objects = (Hs__ConfigObjectState **)described->pdata;
+    message.n_objects = states->len;
+    message.objects = (Hs__ConfigObjectState **)states->pdata;
     GByteArray *bytes = g_byte_array_new();
     g_byte_array_set_size(bytes, (guint)hs__config_state__get_packed_size(&message));
     hs__config_state__pack(&message, bytes->data);
--- a/src/config/config_store.c
+++ b/src/config/config_store.c
@@ -1,4 +1,4 @@
-/** @file config_store.c  Reader thread and view of the configuration; see config_store.h. */
+/** @file config_store.c  See config_store.h. */
 #include "config/config_store.h"
 
 #include "base/clock.h"
@@ -7,12 +7,11 @@
 #include <string.h>
 
 #define READ_WAIT_MS 10000
-#define READ_MAX_BYTES (4U << 20)
-#define RETRY_MS 100
+#define MAX_READ_BYTES (4U << 20)
+#define RETRY_INTERVAL_MS 100
 
-/** What is known of a watched change. */
 typedef struct {
-    bool known;
+    bool known; /**< Whether the verdict is known. */
     hs_change_verdict verdict;
     uint64_t revision;
 } watched_change;
@@ -20,7 +19,7 @@
 struct hs_config_store {
     const hs_log_client *log;
     GMutex lock;
-    GCond changed;
+    GCond changed; /**< The view was replaced. */
     hs_config_fold *fold;
     hs_config_view *view;
     GHashTable *watched; /**< change id -> watched_change */
@@ -49,7 +48,7 @@
     g_free(store);
 }
 
-/** Note the verdict for a waiting publisher. The first verdict of a change stands. */
+/** Records the verdict on a watched change. Later verdicts on the same change are ignored. */
 static void note_verdict(hs_config_store *store, const Hs__ConfigChange *change,
                          hs_change_verdict verdict) {
     watched_change *watched = g_hash_table_lookup(store->watched, change->change_id);
@@ -75,7 +74,7 @@
     hs__config_change__free_unpacked(change, NULL);
 }
 
-/** Replace the view after the fold moved. The caller holds the lock. */
+/** Replaces the view after the fold has changed. The caller holds the lock. */
 static void refresh_view(hs_config_store *store) {
     hs_config_view_release(store->view);
     store->view = hs_config_view_new(store->fold);
@@ -98,7 +97,7 @@
         hs_log_slice slice;
         hs_error error = {0};
         if (hs_log_read(store->log, HS_CONFIG_STREAM, hs_config_store_offset(store), 0,
-                        READ_MAX_BYTES, &slice, &error) != 0)
+                        MAX_READ_BYTES, &slice, &error) != 0)
             return false;
         bool at_end = slice.records->len == 0;
         apply_slice(store, &slice);
@@ -115,9 +114,9 @@
         hs_error error = {0};
         uint64_t offset = hs_config_store_offset(store);
         uint32_t wait_ms = hs_config_store_is_confirmed(store) ? READ_WAIT_MS : 0;
-        if (hs_log_read(store->log, HS_CONFIG_STREAM, offset, wait_ms, READ_MAX_BYTES, &slice,
+        if (hs_log_read(store->log, HS_CONFIG_STREAM, offset, wait_ms, MAX_READ_BYTES, &slice,
                         &error) != 0) {
-            hs_clock_sleep_ms(RETRY_MS);
+            hs_clock_sleep_ms(RETRY_INTERVAL_MS);
             continue;
         }
         apply_slice(store, &slice);
@@ -131,7 +130,7 @@
 }
 
 void hs_config_store_stop(hs_config_store *store) {
-    /* Its read may wait for long; the process does not wait for it. */
+    /* A long poll may take up to READ_WAIT_MS, so the thread is not joined. */
     g_atomic_int_set(&store->stopping, true);
     g_thread_unref(store->reader);
 }
@@ -169,8 +168,9 @@
     g_mutex_unlock(&store->lock);
 }
 
-/** A watched change that a peer's state already holds was accepted. */
-static void note_adopted(hs_config_store *store) {
+/** Records watched changes that the adopted fold contains as accepted. The caller holds the lock.
+ */
+static void note_adopted_changes(hs_config_store *store) {
     GHashTableIter iterator;
     gpointer data;
     g_hash_table_iter_init(&iterator, store->fold->objects);
@@ -190,7 +190,7 @@
     if (ahead) {
         unused = store->fold;
         store->fold = fold;
-        note_adopted(store);
+        note_adopted_changes(store);
         refresh_view(store);
     }
     g_mutex_unlock(&store->lock);
--- a/src/config/config_store.h
+++ b/src/config/config_store.h
@@ -1,7 +1,9 @@
 /**
  * @file config_store.h
- * The configuration in force on this daemon: folded from the log by a thread of its own, or taken
- * from a peer that is ahead. The folded offset only ever grows.
+ * Holds the current configuration of this daemon. A thread folds the configuration stream; a state
+ * with a higher offset may also be adopted from a peer. The offset never decreases.
+ *
+ * The functions may be called from any thread, except for new, free, start and stop.
  */
 #ifndef HS_CONFIG_CONFIG_STORE_H
 #define HS_CONFIG_CONFIG_STORE_H
@@ -13,50 +15,67 @@
 
 typedef struct hs_config_store hs_config_store;
 
-/** @p log is borrowed and must outlive the store. */
+/** Creates a store with an empty configuration at offset 0. @p log must outlive the store. */
 hs_config_store *hs_config_store_new(const hs_log_client *log);
+
+/** Frees a store whose reader thread was never started. */
 void hs_config_store_free(hs_config_store *store);
 
+/** Starts the reader thread. */
 void hs_config_store_start(hs_config_store *store);
-/** Ask the reader to end; it may still be in its last read, so that the store is not freed. */
+
+/**
+ * Requests the reader thread to end, without waiting for it. The thread may still be in a read, so
+ * the store must not be freed afterwards.
+ */
 void hs_config_store_stop(hs_config_store *store);
 
-/** The view in force. Release with hs_config_view_release. */
+/** Returns a reference to the current view; release with hs_config_view_release. */
 hs_config_view *hs_config_store_view(hs_config_store *store);
 
+/** Returns the offset of the next record to fold. */
 uint64_t hs_config_store_offset(hs_config_store *store);
 
-/** True once the stream's end was reached, or a peer's state was confirmed. */
+/**
+ * Returns whether the configuration is confirmed as current: the end of the stream was read, or
+ * hs_config_store_confirm was called, since the start or the last hs_config_store_doubt.
+ */
 bool hs_config_store_is_confirmed(hs_config_store *store);
 
-/** What is known may be old: the offset must be confirmed anew. */
+/** Marks the configuration as possibly outdated until it is confirmed again. */
 void hs_config_store_doubt(hs_config_store *store);
 
-/** Read the stream to its end at once, on the caller's thread; confirms. False when it fails. */
+/**
+ * Reads the stream to its end on the caller's thread and confirms the configuration. Returns false
+ * if a read fails.
+ */
 bool hs_config_store_catch_up(hs_config_store *store);
 
-/** Say that enough peers hold no higher offset (see daemon/config_sync.c). */
+/** Confirms the configuration, as enough peers report no higher offset. */
 void hs_config_store_confirm(hs_config_store *store);
 
-/** Take over a peer's state if it is ahead; takes ownership of @p fold. True when adopted. */
+/**
+ * Replaces the configuration by @p fold, a peer's state, if its offset is higher. Takes ownership
+ * of @p fold in any case. Returns whether the state was adopted.
+ */
 bool hs_config_store_adopt(hs_config_store *store, hs_config_fold *fold);
 
-/** Run @p reader on the fold under the lock. */
+/** Calls @p reader with the fold while the store is locked; the fold must not be kept. */
 void hs_config_store_read(hs_config_store *store,
                           void (*reader)(const hs_config_fold *fold, void *user_data),
                           void *user_data);
 
-/** Register interest in a change before it is appended. */
+/** Watches for the verdict on a change. Call before the change is appended. */
 void hs_config_store_watch(hs_config_store *store, const char *change_id);
 
 /**
- * Wait for the verdict on a watched change, at most until @p deadline_ms of the monotonic clock.
- * @return true when known; @p verdict and the object's @p revision are set.
+ * Waits for the verdict on a watched change until @p deadline_ms of the monotonic clock. Returns
+ * whether the verdict is known; then @p verdict and the object's @p revision are set.
  */
 bool hs_config_store_await(hs_config_store *store, const char *change_id, uint64_t deadline_ms,
                            hs_change_verdict *verdict, uint64_t *revision);
 
-/** End the interest in a change. */
+/** Stops watching a change. */
 void hs_config_store_unwatch(hs_config_store *store, const char *change_id);
 
 #endif
--- a/src/config/config_view.c
+++ b/src/config/config_view.c
@@ -1,4 +1,4 @@
-/** @file config_view.c  Reading the fold into typed objects; see config_view.h. */
+/** @file config_view.c  See config_view.h. */
 #include "config/config_view.h"
 
 #include "config/config_object.h"
@@ -35,8 +35,8 @@
     return strcmp(first->name, second->name);
 }
 
-/** Live objects of a kind, by name. Borrowed. */
-static GPtrArray *objects_of_kind(const hs_config_fold *fold, const char *kind) {
+/** Returns the objects of a kind that are not deleted, sorted by name; the objects are borrowed. */
+static GPtrArray *list_objects(const hs_config_fold *fold, const char *kind) {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer data;
@@ -51,7 +51,7 @@
 }
 
 static void add_groups(hs_config_view *view, const hs_config_fold *fold) {
-    g_autoptr(GPtrArray) objects = objects_of_kind(fold, HS_KIND_ENGINE_GROUP);
+    g_autoptr(GPtrArray) objects = list_objects(fold, HS_KIND_ENGINE_GROUP);
     for (guint index = 0; index < objects->len; index++) {
         const hs_config_object *object = objects->pdata[index];
         hs_engine_group *group = g_new0(hs_engine_group, 1);
@@ -81,14 +81,14 @@
 }
 
 static void add_rules(hs_config_view *view, const hs_config_fold *fold) {
-    g_autoptr(GPtrArray) rules = objects_of_kind(fold, HS_KIND_ROUTING_RULE);
+    g_autoptr(GPtrArray) rules = list_objects(fold, HS_KIND_ROUTING_RULE);
     for (guint index = 0; index < rules->len; index++) {
         const json_t *content = ((hs_config_object *)rules->pdata[index])->content;
         add_rule(view, json_string_value(json_object_get(content, "model")),
                  json_string_value(json_object_get(content, "tenant")),
                  json_string_value(json_object_get(content, "engine_group")));
     }
-    g_autoptr(GPtrArray) services = objects_of_kind(fold, HS_KIND_SERVICE);
+    g_autoptr(GPtrArray) services = list_objects(fold, HS_KIND_SERVICE);
     for (guint index = 0; index < services->len; index++) {
         const json_t *content = ((hs_config_object *)services->pdata[index])->content;
         size_t position;
@@ -100,7 +100,7 @@
 }
 
 static void add_limits(hs_config_view *view, const hs_config_fold *fold) {
-    g_autoptr(GPtrArray) objects = objects_of_kind(fold, HS_KIND_LIMIT);
+    g_autoptr(GPtrArray) objects = list_objects(fold, HS_KIND_LIMIT);
     for (guint index = 0; index < objects->len; index++) {
         const hs_config_object *object = objects->pdata[index];
         hs_tenant_limit *limit = g_new0(hs_tenant_limit, 1);
@@ -143,7 +143,7 @@
         g_atomic_rc_box_release_full(view, clear_view);
 }
 
-const hs_engine_group *hs_config_view_group(const hs_config_view *view, const char *name) {
+const hs_engine_group *hs_config_view_find_group(const hs_config_view *view, const char *name) {
     for (guint index = 0; index < view->groups->len; index++) {
         const hs_engine_group *group = view->groups->pdata[index];
         if (strcmp(group->name, name) == 0)
@@ -160,7 +160,7 @@
             continue;
         if (rule->tenant != NULL && strcmp(rule->tenant, tenant) != 0)
             continue;
-        return hs_config_view_group(view, rule->engine_group);
+        return hs_config_view_find_group(view, rule->engine_group);
     }
     return NULL;
 }
