--- a/src/config/config_store.c
+++ b/src/config/config_store.c
@@ -168,8 +168,7 @@
     g_mutex_unlock(&store->lock);
 }
 
-/** Records watched changes that the adopted fold contains as accepted. The caller holds the lock.
- */
+/** Records acceptance of the watched changes found in the fold. The caller holds the lock. */
 static void note_adopted_changes(hs_config_store *store) {
     GHashTableIter iterator;
     gpointer data;
--- a/src/store/appender.c
+++ b/src/store/appender.c
@@ -1,4 +1,4 @@
-/** @file appender.c  Group commit; see appender.h. */
+/** @file appender.c  See appender.h. */
 #include "store/appender.h"
 
 #include "base/clock.h"
@@ -7,18 +7,18 @@
 
 #include <string.h>
 
-#define TAKE_WAIT_MS 100
+#define IDLE_WAIT_MS 100
 #define GROUP_WAIT_MS 2
 #define MAX_GROUP_BYTES (4U << 20)
-#define RETRY_MS 50
+#define RETRY_INTERVAL_MS 50
 
-/** A record on its way; it lives on the waiting caller's stack. */
+/** A record to append, on the stack of the waiting caller. */
 typedef struct {
     const char *stream;
     const void *record;
     uint32_t length;
     uint64_t deadline_ms;
-    bool maybe_appended; /**< Some try had no answer. */
+    bool maybe_appended; /**< Some attempt failed other than by a refusal. */
     bool finished;
     int result;
     uint64_t offset;
@@ -30,7 +30,7 @@
     const hs_log_client *log;
     hs_ring *ring;
     GMutex lock;
-    GPtrArray *pending; /**< Taken from the ring, not answered yet; of the thread alone. */
+    GPtrArray *pending; /**< Taken from the ring, not finished; used by the thread only. */
     gint stopping;
     GThread *thread;
 };
@@ -60,9 +60,9 @@
     g_mutex_unlock(&appender->lock);
 }
 
-/** Move waiting records from the ring; waits briefly so that neighbours share one append. */
+/** Moves waiting records from the ring, waiting briefly for more to join the same append. */
 static void take_group(hs_appender *appender) {
-    uint32_t wait_ms = appender->pending->len == 0 ? TAKE_WAIT_MS : GROUP_WAIT_MS;
+    uint32_t wait_ms = appender->pending->len == 0 ? IDLE_WAIT_MS : GROUP_WAIT_MS;
     pending_append *entry = hs_ring_take(appender->ring, wait_ms);
     size_t bytes = 0;
     while (entry != NULL) {
@@ -74,8 +74,8 @@
     }
 }
 
-/** Take the pending records of the first one's stream out, in order. */
-static GPtrArray *split_stream(GPtrArray *pending) {
+/** Removes and returns the pending records of the first record's stream, in order. */
+static GPtrArray *take_first_stream(GPtrArray *pending) {
     GPtrArray *group = g_ptr_array_new();
     GPtrArray *rest = g_ptr_array_new();
     const char *stream = ((pending_append *)pending->pdata[0])->stream;
@@ -90,23 +90,23 @@
     return group;
 }
 
-/** Keep the group's records for another try, or answer those whose deadline has passed. */
-static void retry_or_give_up(hs_appender *appender, GPtrArray *group, GPtrArray *kept, int result,
-                             const hs_error *error) {
+/** Adds the group's records to @p retries, or finishes those whose deadline has passed. */
+static void retry_or_fail(hs_appender *appender, GPtrArray *group, GPtrArray *retries, int result,
+                          const hs_error *error) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (guint index = 0; index < group->len; index++) {
         pending_append *entry = group->pdata[index];
         entry->maybe_appended |= result != HS_PLATFORM_REFUSED;
         entry->error = *error;
         if (now_ms < entry->deadline_ms)
-            g_ptr_array_add(kept, entry);
+            g_ptr_array_add(retries, entry);
         else
             finish(appender, entry,
                    entry->maybe_appended ? HS_PLATFORM_UNKNOWN : HS_PLATFORM_REFUSED, 0);
     }
 }
 
-static void append_group(hs_appender *appender, GPtrArray *group, GPtrArray *kept) {
+static void append_group(hs_appender *appender, GPtrArray *group, GPtrArray *retries) {
     GByteArray *batch = g_byte_array_new();
     for (guint index = 0; index < group->len; index++) {
         const pending_append *entry = group->pdata[index];
@@ -120,7 +120,7 @@
     if (result != 0) {
         hs_log_warning("append_failed", "stream=%s records=%u cause=\"%s\"", stream, group->len,
                        error.message);
-        retry_or_give_up(appender, group, kept, result, &error);
+        retry_or_fail(appender, group, retries, result, &error);
         return;
     }
     for (guint index = 0; index < group->len; index++)
@@ -129,7 +129,7 @@
 
 static gpointer append_records(gpointer data) {
     hs_appender *appender = data;
-    GPtrArray *kept = g_ptr_array_new();
+    GPtrArray *retries = g_ptr_array_new();
     for (;;) {
         take_group(appender);
         if (appender->pending->len == 0) {
@@ -138,17 +138,17 @@
             continue;
         }
         while (appender->pending->len > 0) {
-            GPtrArray *group = split_stream(appender->pending);
-            append_group(appender, group, kept);
+            GPtrArray *group = take_first_stream(appender->pending);
+            append_group(appender, group, retries);
             g_ptr_array_free(group, TRUE);
         }
-        for (guint index = 0; index < kept->len; index++)
-            g_ptr_array_add(appender->pending, kept->pdata[index]);
-        if (kept->len > 0)
-            hs_clock_sleep_ms(RETRY_MS);
-        g_ptr_array_set_size(kept, 0);
+        for (guint index = 0; index < retries->len; index++)
+            g_ptr_array_add(appender->pending, retries->pdata[index]);
+        if (retries->len > 0)
+            hs_clock_sleep_ms(RETRY_INTERVAL_MS);
+        g_ptr_array_set_size(retries, 0);
     }
-    g_ptr_array_free(kept, TRUE);
+    g_ptr_array_free(retries, TRUE);
     return NULL;
 }
 
@@ -162,11 +162,11 @@
 }
 
 int hs_appender_append(hs_appender *appender, const char *stream, const void *record,
-                       uint32_t length, uint32_t patience_ms, uint64_t *offset, hs_error *error) {
+                       uint32_t length, uint32_t timeout_ms, uint64_t *offset, hs_error *error) {
     pending_append entry = {.stream = stream,
                             .record = record,
                             .length = length,
-                            .deadline_ms = hs_clock_monotonic_ms() + patience_ms};
+                            .deadline_ms = hs_clock_monotonic_ms() + timeout_ms};
     g_cond_init(&entry.answered);
     if (!hs_ring_put(appender->ring, &entry)) {
         g_cond_clear(&entry.answered);
--- a/src/store/keyed_topic.c
+++ b/src/store/keyed_topic.c
@@ -3,16 +3,16 @@
 
 #include "base/clock.h"
 
-/** One page of records after the key @p after, which is replaced by the last one read. */
-static bool read_page(hs_store_client *store, hs_topic topic, uint32_t call_limit_ms, char **after,
+/** Reads the page of records after the key @p after, and sets @p after to the last key read. */
+static bool read_page(hs_store_client *store, hs_topic topic, uint32_t timeout_ms, char **after,
                       GArray *entries, bool *has_more) {
     hs_store_call call = hs_platform_newest(topic, *after);
-    hs_deadline deadline = hs_clock_monotonic_ms() + call_limit_ms;
-    GByteArray *answer = g_byte_array_new();
+    hs_deadline deadline = hs_clock_monotonic_ms() + timeout_ms;
+    GByteArray *response = g_byte_array_new();
     uint64_t end = 0;
-    bool is_read = hs_store_client_send(store, &call, deadline, NULL, answer) == HS_STORE_DONE &&
-                   hs_platform_read_newest(answer, entries, has_more, &end);
-    g_byte_array_free(answer, TRUE);
+    bool is_read = hs_store_client_send(store, &call, deadline, NULL, response) == HS_STORE_DONE &&
+                   hs_platform_read_newest(response, entries, has_more, &end);
+    g_byte_array_free(response, TRUE);
     *has_more = is_read && *has_more && entries->len > 0;
     if (is_read && entries->len > 0) {
         g_free(*after);
@@ -21,30 +21,30 @@
     return is_read;
 }
 
-bool hs_keyed_topic_read(hs_store_client *store, hs_topic topic, uint32_t call_limit_ms,
-                         hs_keyed_taker take, void *user_data) {
+bool hs_keyed_topic_read(hs_store_client *store, hs_topic topic, uint32_t timeout_ms,
+                         hs_keyed_topic_callback on_record, void *user_data) {
     g_autofree char *after = NULL;
     bool has_more = true;
     bool is_read = true;
     while (has_more && is_read) {
         GArray *entries = hs_newest_entries_new();
-        is_read = read_page(store, topic, call_limit_ms, &after, entries, &has_more);
+        is_read = read_page(store, topic, timeout_ms, &after, entries, &has_more);
         for (guint index = 0; is_read && index < entries->len; index++)
-            take(&g_array_index(entries, hs_newest_entry, index), user_data);
+            on_record(&g_array_index(entries, hs_newest_entry, index), user_data);
         g_array_free(entries, TRUE);
     }
     return is_read;
 }
 
 hs_store_outcome hs_keyed_topic_write(hs_store_client *store, hs_topic topic, const char *key,
-                                      const void *value, size_t length, uint32_t call_limit_ms) {
+                                      const void *value, size_t length, uint32_t timeout_ms) {
     GByteArray *records = g_byte_array_new();
     hs_platform_frame_keyed(records, key, value, length);
     hs_store_call call = hs_platform_append(topic, 0, records);
-    GByteArray *answer = g_byte_array_new();
+    GByteArray *response = g_byte_array_new();
     hs_store_outcome outcome =
-        hs_store_client_send(store, &call, hs_clock_monotonic_ms() + call_limit_ms, NULL, answer);
+        hs_store_client_send(store, &call, hs_clock_monotonic_ms() + timeout_ms, NULL, response);
     g_byte_array_free(records, TRUE);
-    g_byte_array_free(answer, TRUE);
+    g_byte_array_free(response, TRUE);
     return outcome;
 }
--- a/src/store/log_client.c
+++ b/src/store/log_client.c
@@ -1,4 +1,4 @@
-/** @file log_client.c  The log's wire form; see log_client.h. */
+/** @file log_client.c  See log_client.h. */
 #include "store/log_client.h"
 
 #include "base/http_exchange.h"
@@ -19,7 +19,7 @@
     g_byte_array_append(batch, record, length);
 }
 
-static int read_number(const char *body, const char *key, uint64_t *number, hs_error *error) {
+static int parse_number(const char *body, const char *key, uint64_t *number, hs_error *error) {
     json_t *root = json_loads(body, 0, NULL);
     json_t *value = json_object_get(root, key);
     bool found = json_is_integer(value);
@@ -47,7 +47,7 @@
         return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN, "append: no answer");
     int result = 0;
     if (answer.status == HTTP_OK)
-        result = read_number(answer.body, "first_offset", first_offset, error);
+        result = parse_number(answer.body, "first_offset", first_offset, error);
     else if (answer.status == HTTP_SERVICE_UNAVAILABLE)
         result = hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_REFUSED, "append refused");
     else
@@ -57,7 +57,7 @@
     return result;
 }
 
-/** Split @p slice->storage into records; false when a frame is cut. */
+/** Splits @p slice->storage into records. Returns false if a frame is truncated. */
 static bool split_frames(hs_log_slice *slice, size_t length) {
     const uint8_t *cursor = (const uint8_t *)slice->storage;
     const uint8_t *end = cursor + length;
@@ -115,7 +115,7 @@
     if (!hs_http_exchange(&request, &answer))
         return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN, "end: no answer");
     int result = answer.status == HTTP_OK
-                     ? read_number(answer.body, "end_offset", end_offset, error)
+                     ? parse_number(answer.body, "end_offset", end_offset, error)
                      : hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_REFUSED,
                                     "end: status %ld", answer.status);
     hs_http_answer_clear(&answer);
--- a/src/store/log_client.h
+++ b/src/store/log_client.h
@@ -1,13 +1,14 @@
 /**
  * @file log_client.h
- * Port to the platform's append-only log: append, read from an offset, wait for more.
+ * Client of the platform's append-only log: appends records and reads them from an offset, with
+ * long polls. The functions may be called from any thread.
  *
- * Wire form. Append: POST of frames, each a 32-bit big-endian length and the record's bytes.
- * Read: the same frames, each preceded by its 64-bit big-endian offset. Offsets of a stream are
- * dense from 0. The log's order is the only arbiter of every single decision.
+ * Wire format. Append: POST of frames, each a 32-bit big-endian length and the record's bytes.
+ * Read: the same frames, each preceded by its record's 64-bit big-endian offset. The offsets of a
+ * stream are consecutive from 0. All readers see the records of a stream in the same order.
  */
-#ifndef HS_PLATFORM_LOG_CLIENT_H
-#define HS_PLATFORM_LOG_CLIENT_H
+#ifndef HS_STORE_LOG_CLIENT_H
+#define HS_STORE_LOG_CLIENT_H
 
 #include "heathsail/error.h"
 
@@ -16,43 +17,46 @@
 
 typedef struct {
     char *base_url;     /**< http://address:port of the platform. */
-    uint32_t timeout_s; /**< Limit of one exchange, beyond a read's own wait. */
+    uint32_t timeout_s; /**< Of one call; a read may take its wait time in addition. */
 } hs_log_client;
 
-/** A record as read; bytes point into the slice that holds it. */
+/** A record that was read. Its bytes belong to the slice. */
 typedef struct {
     uint64_t offset;
     const uint8_t *bytes;
     uint32_t length;
 } hs_log_record;
 
-/** What one read brought. Free with hs_log_slice_clear. */
+/** The records of one read. Free the contents with hs_log_slice_clear. */
 typedef struct {
-    GArray *records; /**< of hs_log_record */
-    char *storage;
+    GArray *records; /**< Of hs_log_record. */
+    char *storage;   /**< The response body. */
 } hs_log_slice;
 
-/** Append one frame to @p batch. */
+/** Adds one frame with @p record to @p batch. */
 void hs_log_frame_append(GByteArray *batch, const void *record, uint32_t length);
 
 /**
- * Append the frames of @p batch as one contiguous run.
- * @return 0, HS_PLATFORM_REFUSED (nothing was done) or HS_PLATFORM_UNKNOWN (may have taken effect).
+ * Appends the frames of @p batch at consecutive offsets.
+ * @return 0 with @p first_offset set; HS_PLATFORM_REFUSED: nothing was appended;
+ *         HS_PLATFORM_UNKNOWN or HS_PLATFORM_MALFORMED: the records may have been appended.
  */
 int hs_log_append(const hs_log_client *client, const char *stream, const GByteArray *batch,
                   uint64_t *first_offset, hs_error *error);
 
 /**
- * Read records from @p offset on, waiting at most @p wait_ms for the first.
- * An empty slice means that the stream ends at @p offset.
+ * Reads records from @p offset on, at most about @p max_bytes, and waits up to @p wait_ms for the
+ * first. An empty slice means that the stream ends at @p offset. On failure the slice is empty.
+ * @return 0, HS_PLATFORM_REFUSED, HS_PLATFORM_UNKNOWN or HS_PLATFORM_MALFORMED.
  */
 int hs_log_read(const hs_log_client *client, const char *stream, uint64_t offset, uint32_t wait_ms,
                 uint32_t max_bytes, hs_log_slice *slice, hs_error *error);
 
-/** The offset the next record of the stream will get. */
+/** Reads the offset that the stream's next record will get. Errors as for hs_log_read. */
 int hs_log_end(const hs_log_client *client, const char *stream, uint64_t *end_offset,
                hs_error *error);
 
+/** Frees the contents of @p slice, not the slice itself. */
 void hs_log_slice_clear(hs_log_slice *slice);
 
 #endif
--- a/src/store/machine_list.c
+++ b/src/store/machine_list.c
@@ -1,4 +1,4 @@
-/** @file machine_list.c  Reading the machine list; see machine_list.h. */
+/** @file machine_list.c  See machine_list.h. */
 #include "store/machine_list.h"
 
 #include "base/endpoint.h"
@@ -18,12 +18,12 @@
     g_free(machine);
 }
 
-static char *text_of(const json_t *entry, const char *key) {
+static char *copy_text(const json_t *entry, const char *key) {
     const char *text = json_string_value(json_object_get(entry, key));
     return g_strdup(text != NULL ? text : "");
 }
 
-static uint32_t address_of(const json_t *entry) {
+static uint32_t read_address(const json_t *entry) {
     const char *text = json_string_value(json_object_get(entry, "address"));
     return text != NULL ? hs_endpoint_address(text) : 0;
 }
@@ -35,14 +35,14 @@
     const char *state = json_string_value(json_object_get(entry, "state"));
     hs_machine *machine = g_new0(hs_machine, 1);
     machine->kind = strcmp(kind, "engine") == 0 ? HS_MACHINE_ENGINE : HS_MACHINE_DAEMON;
-    machine->id = text_of(entry, "id");
-    machine->zone = text_of(entry, "zone");
-    machine->url = text_of(entry, "url");
+    machine->id = copy_text(entry, "id");
+    machine->zone = copy_text(entry, "zone");
+    machine->url = copy_text(entry, "url");
     machine->leaving = state != NULL && strcmp(state, "leaving") == 0;
     machine->labels = json_deep_copy(json_object_get(entry, "labels"));
     if (machine->labels == NULL)
         machine->labels = json_object();
-    machine->address = address_of(entry);
+    machine->address = read_address(entry);
     machine->peer_port = (uint16_t)json_integer_value(json_object_get(entry, "peer_port"));
     machine->admin_port = (uint16_t)json_integer_value(json_object_get(entry, "admin_port"));
     return machine;
@@ -57,7 +57,8 @@
     hs_http_answer answer;
     *machines = NULL;
     if (!hs_http_exchange(&request, &answer))
-        return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN, "list: no answer");
+        return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN,
+                            "machine list: no response");
     if (answer.status == HTTP_NOT_MODIFIED) {
         hs_http_answer_clear(&answer);
         return 0;
@@ -68,7 +69,8 @@
     const json_t *entries = json_object_get(root, "machines");
     if (!json_is_array(entries)) {
         json_decref(root);
-        return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_REFUSED, "list: no machines");
+        return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_REFUSED,
+                            "machine list: unexpected response");
     }
     *machines = g_ptr_array_new_with_free_func(free_machine);
     size_t index;
--- a/src/store/machine_list.h
+++ b/src/store/machine_list.h
@@ -1,10 +1,10 @@
 /**
  * @file machine_list.h
- * Port to the platform's lagging list of machines: daemons and engines, live and leaving.
- * The list only proposes; what a machine itself says goes before it.
+ * Client of the platform's list of machines: daemons and engines, live and leaving. The list may be
+ * outdated; the state that a machine itself reports takes precedence.
  */
-#ifndef HS_PLATFORM_MACHINE_LIST_H
-#define HS_PLATFORM_MACHINE_LIST_H
+#ifndef HS_STORE_MACHINE_LIST_H
+#define HS_STORE_MACHINE_LIST_H
 
 #include "heathsail/error.h"
 
@@ -20,16 +20,18 @@
     char *id;
     char *zone;
     bool leaving;
-    char *url;           /**< Engines: http://address:port. */
-    json_t *labels;      /**< Engines: object of strings. */
-    uint32_t address;    /**< Daemons: IPv4 number in host order. */
-    uint16_t peer_port;  /**< Daemons. */
-    uint16_t admin_port; /**< Daemons. */
+    char *url;           /**< Engines only: http://address:port. */
+    json_t *labels;      /**< Engines only: JSON object of strings. */
+    uint32_t address;    /**< Daemons only: IPv4 address in host byte order. */
+    uint16_t peer_port;  /**< Daemons only. */
+    uint16_t admin_port; /**< Daemons only. */
 } hs_machine;
 
 /**
- * Read the list if it changed since the answer that @p etag names (owned; replaced on change).
- * The caller frees @p machines (of hs_machine*) with g_ptr_array_unref; NULL: unchanged.
+ * Reads the list if its ETag differs from @p etag, which is owned by the caller, NULL at first, and
+ * replaced by the new ETag. Sets @p machines (of hs_machine*; free with g_ptr_array_unref), or NULL
+ * if the list is unchanged or could not be read.
+ * @return 0; HS_PLATFORM_UNKNOWN: no response; HS_PLATFORM_REFUSED: the response has no list.
  */
 int hs_machine_list_read(const char *platform_url, uint32_t timeout_s, char **etag,
                          GPtrArray **machines, hs_error *error);
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -1,9 +1,10 @@
 /**
  * @file store_client.h
- * Calls to the platform's log store over kept connections; shared by all duties of a daemon.
+ * Client of the platform's log store over a pool of reused connections. A client may be used by any
+ * thread; all components of a daemon share it.
  *
- * A call that got no answer may have been done, or may be done later. That is HS_STORE_UNKNOWN and
- * never anything else, so that a caller can't take it for a refusal.
+ * A call without a response may have taken effect, or may do so later. Its outcome is always
+ * HS_STORE_UNKNOWN, so that it cannot be mistaken for a refusal.
  */
 #ifndef HS_STORE_STORE_CLIENT_H
 #define HS_STORE_STORE_CLIENT_H
@@ -15,20 +16,20 @@
 #include <glib.h>
 #include <stdint.h>
 
-/** What is known of a call's effect. */
+/** What is known about the effect of a call. */
 typedef enum {
     HS_STORE_DONE,
-    HS_STORE_REFUSED,  /**< Nothing was done; later it may be. */
-    HS_STORE_FULL,     /**< Nothing was done: no room. */
-    HS_STORE_CONFLICT, /**< Nothing was done: a condition did not hold. */
-    HS_STORE_GONE,     /**< The records asked for were removed. */
-    HS_STORE_INVALID,  /**< Nothing was done: the call was wrong. */
-    HS_STORE_UNKNOWN,  /**< No answer. */
+    HS_STORE_REFUSED,  /**< No effect; a retry may succeed. */
+    HS_STORE_FULL,     /**< No effect: the store has no capacity left. */
+    HS_STORE_CONFLICT, /**< No effect: a condition of the call did not hold. */
+    HS_STORE_GONE,     /**< The requested records have been removed. */
+    HS_STORE_INVALID,  /**< No effect: the call is invalid. */
+    HS_STORE_UNKNOWN,  /**< No usable response: the call may have taken effect. */
 } hs_store_outcome;
 
 typedef struct hs_store_client hs_store_client;
 
-/** Counters of calls, for metrics. */
+/** Totals since the client was created. */
 typedef struct {
     uint64_t calls;
     uint64_t refused;
@@ -37,37 +38,38 @@
     uint64_t bytes_received;
 } hs_store_counters;
 
-/** Make a client of the store at an IPv4 address. Nothing is sent yet. */
+/** Creates a client of the store at an IPv4 address (host byte order), without connecting to it. */
 hs_store_client *hs_store_client_new(uint32_t address, uint16_t port);
 
-/** NULL is allowed. No call may be under way. */
+/** Frees a client without calls in progress. NULL is allowed. */
 void hs_store_client_free(hs_store_client *client);
 
 /**
- * Send @p call, free its parts and put the answer's body into @p answer (emptied first). While the
- * store is away (hs_store_client_is_failing) an append may be held back for a moment and end as
- * HS_STORE_REFUSED without being sent.
- * @p interrupt: see hs_wait; may be NULL.
+ * Sends @p call, clears it, and replaces the contents of @p response by the response body. While
+ * hs_store_client_is_failing, most appends are not sent: they wait for a short time and end as
+ * HS_STORE_REFUSED. A read or a refused call that gets no body on a reused connection is repeated
+ * once on a new connection.
+ * @p interrupt: ends the call, see hs_wait. If NULL, hs_store_client_abandon ends the call.
  */
 hs_store_outcome hs_store_client_send(hs_store_client *client, hs_store_call *call,
                                       hs_deadline deadline, hs_interrupt *interrupt,
-                                      GByteArray *answer);
+                                      GByteArray *response);
 
 /**
- * Time in ms to wait for the answer of the @p attempt-th try (from 0) of a write of @p bytes: a few
- * times what answers to writes took of late, since a lost answer never comes, and longer each time.
+ * Returns the timeout in ms for attempt @p attempt (from 0) of a write of @p bytes. The timeout is
+ * a multiple of the recent mean response time of writes, doubles with each attempt and is bounded.
  */
 uint64_t hs_store_client_patience_ms(hs_store_client *client, uint32_t attempt, size_t bytes);
 
-/** Whether calls failed of late, several in a row: the store is away, or turns this daemon away. */
+/** Returns whether the last calls failed, several in a row. */
 bool hs_store_client_is_failing(hs_store_client *client);
 
-/** Interrupt all calls, now and from now on; for the daemon's stop. */
+/** Ends all current and future calls that have no interrupt of their own; for shutdown. */
 void hs_store_client_abandon(hs_store_client *client);
 
 hs_store_counters hs_store_client_counters(hs_store_client *client);
 
-/** Text of an outcome, for logs. */
+/** Returns the name of an outcome for log lines. */
 const char *hs_store_outcome_name(hs_store_outcome outcome);
 
 #endif
--- a/src/store/store_contact.c
+++ b/src/store/store_contact.c
@@ -15,33 +15,33 @@
 
 void hs_store_contact_ask(hs_store_contact *contact) {
     g_mutex_lock(&contact->lock);
-    contact->asked_ms = hs_clock_monotonic_ms();
+    contact->call_sent_ms = hs_clock_monotonic_ms();
     g_mutex_unlock(&contact->lock);
 }
 
 void hs_store_contact_note(hs_store_contact *contact, hs_store_outcome outcome) {
-    bool heard = outcome == HS_STORE_DONE || outcome == HS_STORE_GONE;
+    bool is_success = outcome == HS_STORE_DONE || outcome == HS_STORE_GONE;
     uint64_t now_ms = hs_clock_monotonic_ms();
     g_mutex_lock(&contact->lock);
-    bool changed = contact->lost == heard;
-    uint64_t silent_ms = contact->heard_ms != 0 ? now_ms - contact->heard_ms : 0;
-    contact->lost = !heard;
-    if (heard) {
-        contact->heard_ms = now_ms;
-        contact->as_of_ms = contact->asked_ms;
+    bool has_changed = contact->is_disconnected == is_success;
+    uint64_t silent_ms = contact->last_success_ms != 0 ? now_ms - contact->last_success_ms : 0;
+    contact->is_disconnected = !is_success;
+    if (is_success) {
+        contact->last_success_ms = now_ms;
+        contact->as_of_ms = contact->call_sent_ms;
     }
     g_mutex_unlock(&contact->lock);
-    if (changed)
-        hs_log_warning(heard ? "store_regained" : "store_lost",
+    if (has_changed)
+        hs_log_warning(is_success ? "store_regained" : "store_lost",
                        "duty=%s outcome=%s silent_ms=%" G_GUINT64_FORMAT, contact->duty,
                        hs_store_outcome_name(outcome), (guint64)silent_ms);
 }
 
 uint64_t hs_store_contact_heard_ms(hs_store_contact *contact) {
     g_mutex_lock(&contact->lock);
-    uint64_t heard_ms = contact->heard_ms;
+    uint64_t last_success_ms = contact->last_success_ms;
     g_mutex_unlock(&contact->lock);
-    return heard_ms;
+    return last_success_ms;
 }
 
 uint64_t hs_store_contact_as_of_ms(hs_store_contact *contact) {
@@ -53,7 +53,7 @@
 
 bool hs_store_contact_is_lost(hs_store_contact *contact) {
     g_mutex_lock(&contact->lock);
-    bool lost = contact->lost;
+    bool is_disconnected = contact->is_disconnected;
     g_mutex_unlock(&contact->lock);
-    return lost;
+    return is_disconnected;
 }
--- a/src/store/store_contact.h
+++ b/src/store/store_contact.h
@@ -1,7 +1,8 @@
 /**
  * @file store_contact.h
- * When a duty last heard from the store. A loss and a return are logged once each, so that an
- * operator sees from one line how old the duty's knowledge was.
+ * Tracks when a component last received a successful response from the store. Logs once when calls
+ * begin to fail and once when they succeed again, with the time since the last successful response.
+ * All functions but init and clear may be called from any thread.
  */
 #ifndef HS_STORE_STORE_CONTACT_H
 #define HS_STORE_STORE_CONTACT_H
@@ -11,32 +12,35 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/** One duty's contact. */
 typedef struct {
-    const char *duty; /**< Name for logs; a literal. */
+    const char *duty; /**< Name of the component in log lines; a literal. */
     GMutex lock;
-    uint64_t heard_ms; /**< Monotonic; 0: never. */
-    uint64_t asked_ms; /**< When the call under way was sent. */
-    uint64_t as_of_ms; /**< When the last call that was answered was sent; 0: none was. */
-    bool lost;
+    uint64_t last_success_ms; /**< Monotonic time of the last success; 0: none yet. */
+    uint64_t call_sent_ms;    /**< When the current call was sent. */
+    uint64_t as_of_ms;        /**< When the last successful call was sent; 0: none yet. */
+    bool is_disconnected;
 } hs_store_contact;
 
+/** Initializes @p contact; clear with hs_store_contact_clear. @p duty is borrowed. */
 void hs_store_contact_init(hs_store_contact *contact, const char *duty);
 void hs_store_contact_clear(hs_store_contact *contact);
 
-/** A call is about to be sent. */
+/** Records that a call is about to be sent. */
 void hs_store_contact_ask(hs_store_contact *contact);
 
-/** Note how a call ended. */
+/** Records how a call ended. HS_STORE_DONE and HS_STORE_GONE count as successes. */
 void hs_store_contact_note(hs_store_contact *contact, hs_store_outcome outcome);
 
-/** When the store was heard last; 0: never. */
+/** Returns the monotonic time of the last successful response in ms; 0: none yet. */
 uint64_t hs_store_contact_heard_ms(hs_store_contact *contact);
 
-/** What was heard is as of this time or later: when the call that got it was sent. 0: never. */
+/**
+ * Returns the monotonic time in ms at which the last successful call was sent: its response
+ * reflects the store at that time or later. 0: none yet.
+ */
 uint64_t hs_store_contact_as_of_ms(hs_store_contact *contact);
 
-/** Whether the last call got no answer that says it was done. */
+/** Returns whether the last call failed. */
 bool hs_store_contact_is_lost(hs_store_contact *contact);
 
 #endif
--- a/src/store/weight_store.c
+++ b/src/store/weight_store.c
@@ -6,7 +6,7 @@
 #include <glib.h>
 
 #define HTTP_OK 200
-#define HTTP_TOO_MANY 429
+#define HTTP_TOO_MANY_REQUESTS 429
 
 int hs_weight_store_take(const char *platform_url, const char *model, uint32_t timeout_s,
                          uint32_t *retry_after_s, hs_error *error) {
@@ -15,15 +15,16 @@
     hs_http_answer answer;
     *retry_after_s = 0;
     if (!hs_http_exchange(&request, &answer))
-        return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN, "weights: no answer");
+        return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN,
+                            "weight store: no response");
     long status = answer.status;
     *retry_after_s = answer.retry_after_s;
     hs_http_answer_clear(&answer);
     if (status == HTTP_OK)
         return 0;
-    if (status == HTTP_TOO_MANY)
+    if (status == HTTP_TOO_MANY_REQUESTS)
         return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_REFUSED,
-                            "weights: over the rate");
-    return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN, "weights: status %ld",
-                        status);
+                            "weight store: rate limit reached");
+    return hs_error_set(error, HS_LAYER_PLATFORM, HS_PLATFORM_UNKNOWN,
+                        "weight store: unexpected status %ld", status);
 }
--- a/tests/unit/test_config.c
+++ b/tests/unit/test_config.c
@@ -1,4 +1,4 @@
-/** @file test_config.c  Configuration: schema, selectors, the fold, its transfer to a peer. */
+/** @file test_config.c  Configuration: schemas, selectors, the fold and its transfer to a peer. */
 #include "config/config_object.h"
 #include "config/config_state.h"
 #include "config/config_store.h"
@@ -20,7 +20,7 @@
     return hs_config_fold_apply(fold, offset, &change);
 }
 
-static void first_of_two_racing_changes_wins(void) {
+static void first_of_two_concurrent_changes_is_accepted(void) {
     hs_config_fold *fold = hs_config_fold_new();
     CU_ASSERT_EQUAL(apply(fold, 0, "a", "g", 0, false, GROUP_JSON), HS_CHANGE_ACCEPTED);
     CU_ASSERT_EQUAL(apply(fold, 1, "b", "g", 1, false, GROUP_JSON), HS_CHANGE_ACCEPTED);
@@ -30,7 +30,7 @@
     hs_config_fold_free(fold);
 }
 
-static void repeated_change_changes_nothing(void) {
+static void repeated_change_is_rejected(void) {
     hs_config_fold *fold = hs_config_fold_new();
     apply(fold, 0, "a", "g", 0, false, GROUP_JSON);
     CU_ASSERT_EQUAL(apply(fold, 1, "a", "g", 0, false, GROUP_JSON), HS_CHANGE_REJECTED);
@@ -38,7 +38,7 @@
     hs_config_fold_free(fold);
 }
 
-static void late_repeat_does_not_undo_a_deletion(void) {
+static void late_repeat_does_not_restore_a_deleted_object(void) {
     hs_config_fold *fold = hs_config_fold_new();
     apply(fold, 0, "a", "g", 0, false, GROUP_JSON);
     CU_ASSERT_EQUAL(apply(fold, 1, "b", "g", 1, true, ""), HS_CHANGE_ACCEPTED);
@@ -54,7 +54,7 @@
     hs_config_fold_free(fold);
 }
 
-static void schema_names_the_field(void) {
+static void schema_errors_name_the_field(void) {
     static const struct {
         const char *json;
         const char *expected;
@@ -74,7 +74,7 @@
     }
 }
 
-static void selector_matches_all_its_labels(void) {
+static void selector_requires_all_its_labels(void) {
     json_t *labels = json_pack("{s:s,s:s}", "service", "quote-desk", "tier", "a");
     json_t *selector = json_pack("{s:s}", "service", "quote-desk");
     CU_ASSERT_TRUE(hs_selector_matches(selector, labels));
@@ -84,7 +84,7 @@
     json_decref(labels);
 }
 
-static void state_survives_the_way_to_a_peer(void) {
+static void state_is_unchanged_by_encoding_and_decoding(void) {
     hs_config_fold *fold = hs_config_fold_new();
     apply(fold, 0, "a", "g", 0, false, GROUP_JSON);
     apply(fold, 1, "b", "h", 0, false, GROUP_JSON);
@@ -99,7 +99,7 @@
     hs_config_fold_free(fold);
 }
 
-static void store_never_adopts_an_older_state(void) {
+static void store_does_not_adopt_an_older_state(void) {
     hs_log_client log = {.base_url = (char *)"http://127.0.0.1:1", .timeout_s = 1};
     hs_config_store *store = hs_config_store_new(&log);
     hs_config_fold *newer = hs_config_fold_new();
@@ -113,12 +113,13 @@
 }
 
 const test_case config_tests[] = {
-    {"first_of_two_racing_changes_wins", first_of_two_racing_changes_wins},
-    {"repeated_change_changes_nothing", repeated_change_changes_nothing},
-    {"late_repeat_does_not_undo_a_deletion", late_repeat_does_not_undo_a_deletion},
+    {"first_of_two_concurrent_changes_is_accepted", first_of_two_concurrent_changes_is_accepted},
+    {"repeated_change_is_rejected", repeated_change_is_rejected},
+    {"late_repeat_does_not_restore_a_deleted_object",
+     late_repeat_does_not_restore_a_deleted_object},
     {"out_of_order_record_is_ignored", out_of_order_record_is_ignored},
-    {"schema_names_the_field", schema_names_the_field},
-    {"selector_matches_all_its_labels", selector_matches_all_its_labels},
-    {"state_survives_the_way_to_a_peer", state_survives_the_way_to_a_peer},
-    {"store_never_adopts_an_older_state", store_never_adopts_an_older_state},
+    {"schema_errors_name_the_field", schema_errors_name_the_field},
+    {"selector_requires_all_its_labels", selector_requires_all_its_labels},
+    {"state_is_unchanged_by_encoding_and_decoding", state_is_unchanged_by_encoding_and_decoding},
+    {"store_does_not_adopt_an_older_state", store_does_not_adopt_an_older_state},
     {NULL, NULL}};
