--- a/src/config/config_store.h
+++ b/src/config/config_store.h
@@ -38,7 +38,7 @@
 
 /**
  * Returns whether the configuration is confirmed as current: the end of the stream was read, or
- * hs_config_store_confirm was called, since the start or the last hs_config_store_doubt.
+ * hs_config_store_confirm was called. hs_config_store_doubt resets this.
  */
 bool hs_config_store_is_confirmed(hs_config_store *store);
 
--- a/src/store/store_client.h
+++ b/src/store/store_client.h
@@ -49,7 +49,7 @@
  * hs_store_client_is_failing, most appends are not sent: they wait for a short time and end as
  * HS_STORE_REFUSED. A read or a refused call that gets no body on a reused connection is repeated
  * once on a new connection.
- * @p interrupt: ends the call, see hs_wait. If NULL, hs_store_client_abandon ends the call.
+ * @p interrupt ends the call; if NULL, hs_store_client_abandon does. See hs_wait.
  */
 hs_store_outcome hs_store_client_send(hs_store_client *client, hs_store_call *call,
                                       hs_deadline deadline, hs_interrupt *interrupt,
@@ -67,6 +67,7 @@
 /** Ends all current and future calls that have no interrupt of their own; for shutdown. */
 void hs_store_client_abandon(hs_store_client *client);
 
+/** Returns a copy of the counters. */
 hs_store_counters hs_store_client_counters(hs_store_client *client);
 
 /** Returns the name of an outcome for log lines. */
