--- a/src/batch/replica.c
+++ b/src/batch/replica.c
@@ -121,7 +121,7 @@
     if (snapshot_loaded)
         return 0;
     uint64_t end_offset = 0;
-    int result = hs_log_end(replica->log, replica->snapshot_stream, &end_offset, error);
+    int result = hs_log_get_end_offset(replica->log, replica->snapshot_stream, &end_offset, error);
     if (result != 0)
         return result;
     hs_partition *state = find_snapshot(replica, end_offset);
--- a/src/commands/complete.c
+++ b/src/commands/complete.c
@@ -84,8 +84,8 @@
 
 /** Checks tenant, route and tenant limit. If the request is refused, answers and returns false. */
 static bool admit(hs_node *node, hs_online_request *fields, struct _u_response *response) {
-    fields->view = hs_config_store_view(node->config);
-    if (!hs_config_view_knows_tenant(fields->view, fields->tenant)) {
+    fields->view = hs_config_store_acquire_view(node->config);
+    if (!hs_config_view_is_known_tenant(fields->view, fields->tenant)) {
         hs_refuse_invalid(response, 401, "unknown_tenant", "this tenant is not listed");
         return false;
     }
--- a/src/commands/upload.c
+++ b/src/commands/upload.c
@@ -166,8 +166,8 @@
 }
 
 static bool tenant_is_known(hs_node *node, const char *tenant) {
-    hs_config_view *view = hs_config_store_view(node->config);
-    bool known = hs_config_view_knows_tenant(view, tenant);
+    hs_config_view *view = hs_config_store_acquire_view(node->config);
+    bool known = hs_config_view_is_known_tenant(view, tenant);
     hs_config_view_release(view);
     return known;
 }
--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -356,6 +356,6 @@
     hs_log_info("daemon_stopped", "open_requests=%u took_ms=%u",
                 hs_fleet_surface_open_request_count(daemon->surface),
                 (unsigned)(hs_clock_monotonic_ms() - stopped_ms));
-    hs_store_client_abandon(daemon->store);
+    hs_store_client_interrupt_calls(daemon->store);
     free_daemon(daemon);
 }
--- a/src/daemon/listing.c
+++ b/src/daemon/listing.c
@@ -101,7 +101,7 @@
     bool slept = listing->last_round_ms != 0 && now_ms > listing->last_round_ms + MIN_SLEEP_MS;
     if (slept && hs_node_get_state(listing->node) == HS_NODE_READY) {
         hs_log_warning("slept", "ms=%" G_GUINT64_FORMAT, now_ms - listing->last_round_ms);
-        hs_config_store_doubt(listing->node->config);
+        hs_config_store_mark_unconfirmed(listing->node->config);
         hs_config_sync_restart(listing->sync, now_ms);
         hs_config_store_catch_up(listing->node->config);
     }
--- a/src/fleet/config_source.c
+++ b/src/fleet/config_source.c
@@ -66,7 +66,7 @@
 }
 
 uint64_t hs_config_source_last_received_ms(hs_config_source *source) {
-    return hs_store_contact_heard_ms(&source->contact);
+    return hs_store_contact_last_received_ms(&source->contact);
 }
 
 uint64_t hs_config_source_as_of_ms(hs_config_source *source) {
@@ -147,10 +147,10 @@
     bool is_positioned = false;
     uint64_t retry_delay_ms = MIN_RETRY_DELAY_MS;
     while (!g_atomic_int_get(&source->is_stopping)) {
-        hs_store_contact_ask(&source->contact);
+        hs_store_contact_note_call(&source->contact);
         hs_store_outcome outcome =
             is_positioned ? follow(source, answer, &next) : read_newest(source, answer, &next);
-        hs_store_contact_note(&source->contact, outcome);
+        hs_store_contact_note_outcome(&source->contact, outcome);
         if (outcome == HS_STORE_DONE || outcome == HS_STORE_GONE) {
             is_positioned = outcome == HS_STORE_DONE;
             retry_delay_ms = MIN_RETRY_DELAY_MS;
--- a/src/fleet/engine_source.c
+++ b/src/fleet/engine_source.c
@@ -63,7 +63,7 @@
  */
 static void detect_outage(hs_engine_source *source) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint64_t last_response_ms = hs_store_contact_heard_ms(&source->contact);
+    uint64_t last_response_ms = hs_store_contact_last_received_ms(&source->contact);
     uint64_t expiry_ms = (uint64_t)source->heartbeat_ms * HEARTBEATS_TO_EXPIRY;
     if (last_response_ms != 0 && source->failure_count > 0 && now_ms > last_response_ms + expiry_ms)
         source->trust_removals_from_ms = now_ms + REGISTRATION_MS;
@@ -191,10 +191,10 @@
     uint64_t next = 0;
     bool is_positioned = false;
     do {
-        hs_store_contact_ask(&source->contact);
+        hs_store_contact_note_call(&source->contact);
         hs_store_outcome outcome =
             is_positioned ? follow(source, answer, &next) : read_newest(source, answer, &next);
-        hs_store_contact_note(&source->contact, outcome);
+        hs_store_contact_note_outcome(&source->contact, outcome);
         if (outcome == HS_STORE_DONE)
             is_positioned = true;
         else if (outcome == HS_STORE_GONE)
@@ -223,7 +223,7 @@
 }
 
 uint64_t hs_engine_source_last_received_ms(hs_engine_source *source) {
-    return hs_store_contact_heard_ms(&source->contact);
+    return hs_store_contact_last_received_ms(&source->contact);
 }
 
 uint64_t hs_engine_source_as_of_ms(hs_engine_source *source) {
@@ -231,7 +231,7 @@
 }
 
 bool hs_engine_source_is_disconnected(hs_engine_source *source) {
-    return hs_store_contact_is_lost(&source->contact);
+    return hs_store_contact_is_disconnected(&source->contact);
 }
 
 uint32_t hs_engine_source_rejected_count(hs_engine_source *source, hs_entry_fault fault) {
--- a/src/jobs/job_partition.h
+++ b/src/jobs/job_partition.h
@@ -97,7 +97,7 @@
 
 /**
  * Returns the deadline of an append of @p bytes, at most @p limit; @p attempt: number of earlier
- * attempts. See hs_store_client_patience_ms.
+ * attempts. See hs_store_client_write_timeout_ms.
  */
 hs_deadline hs_job_partition_append_deadline(const hs_job_partition *partition, uint32_t attempt,
                                              size_t bytes, hs_deadline limit);
--- a/src/jobs/job_quota.c
+++ b/src/jobs/job_quota.c
@@ -70,7 +70,7 @@
     uint64_t stored_offset = 0;
     uint32_t attempt = 0;
     while (hs_clock_monotonic_ms() < deadline) {
-        uint64_t timeout_ms = hs_store_client_patience_ms(quota->store, attempt++, 0);
+        uint64_t timeout_ms = hs_store_client_write_timeout_ms(quota->store, attempt++, 0);
         hs_deadline attempt_deadline = MIN(deadline, hs_clock_monotonic_ms() + timeout_ms);
         hs_store_outcome outcome = append(quota, record, attempt_deadline, &stored_offset);
         if (outcome == HS_STORE_DONE && offset != NULL)
--- a/src/node/limit_exchange.c
+++ b/src/node/limit_exchange.c
@@ -33,7 +33,7 @@
     hs_limit_exchange *exchange = data;
     hs_node *node = exchange->node;
     while (g_atomic_int_get(&exchange->stopping) == 0) {
-        hs_config_view *view = hs_config_store_view(node->config);
+        hs_config_view *view = hs_config_store_acquire_view(node->config);
         hs_tenant_limits_send_requests(node->limits, view, hs_clock_monotonic_ms(), send_request,
                                        node);
         hs_config_view_release(view);
@@ -60,8 +60,8 @@
                        const struct sockaddr_in *from) {
     hs_node *node = exchange->node;
     const Hs__LimitAsk *body = message->limit_ask;
-    hs_config_view *view = hs_config_store_view(node->config);
-    const hs_tenant_limit *limit = hs_config_view_limit(view, body->tenant);
+    hs_config_view *view = hs_config_store_acquire_view(node->config);
+    const hs_tenant_limit *limit = hs_config_view_find_limit(view, body->tenant);
     hs_allowance_request request = {.edge_id = message->sender_id,
                                     .tenant = body->tenant,
                                     .wanted = body->wanted,
--- a/src/placement/controller.c
+++ b/src/placement/controller.c
@@ -151,8 +151,9 @@
     uint32_t retry_after_s = 0;
     hs_error error = {0};
     const hs_settings *settings = controller->context.settings;
-    if (hs_weight_store_take(settings->platform_url, model, (uint32_t)settings->platform_timeout_s,
-                             &retry_after_s, &error) == 0)
+    if (hs_weight_store_request_load(settings->platform_url, model,
+                                     (uint32_t)settings->platform_timeout_s, &retry_after_s,
+                                     &error) == 0)
         return true;
     controller->loads_after_ms = now_ms + MAX(retry_after_s, 1U) * 1000ULL;
     return false;
@@ -197,7 +198,7 @@
 }
 
 static void control_groups(hs_placement_controller *controller) {
-    hs_config_view *view = hs_config_store_view(controller->context.config);
+    hs_config_view *view = hs_config_store_acquire_view(controller->context.config);
     for (guint index = 0; index < view->groups->len; index++) {
         const hs_engine_group *group = view->groups->pdata[index];
         uint32_t epoch = hs_coordinator_get_epoch(controller->context.coordinator,
--- a/src/queries/status_queries.c
+++ b/src/queries/status_queries.c
@@ -12,7 +12,7 @@
                         void *user_data) {
     (void)request;
     hs_node *node = user_data;
-    hs_config_view *view = hs_config_store_view(node->config);
+    hs_config_view *view = hs_config_store_acquire_view(node->config);
     g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
     json_t *list = json_array();
     for (guint index = 0; index < view->rules->len; index++) {
--- a/src/routing/tenant_limits.c
+++ b/src/routing/tenant_limits.c
@@ -99,7 +99,7 @@
 
 uint32_t hs_tenant_limits_enter(hs_tenant_limits *limits, const hs_config_view *view,
                                 const char *tenant, uint32_t daemon_count, uint64_t now_ms) {
-    const hs_tenant_limit *limit = hs_config_view_limit(view, tenant);
+    const hs_tenant_limit *limit = hs_config_view_find_limit(view, tenant);
     bool limited = is_limited(limit);
     bool admitted = true;
     g_mutex_lock(&limits->lock);
@@ -157,7 +157,7 @@
     gpointer use;
     g_hash_table_iter_init(&iterator, limits->tenants);
     while (g_hash_table_iter_next(&iterator, &tenant, &use)) {
-        if (!is_limited(hs_config_view_limit(view, tenant)) || !is_request_due(use, now_ms))
+        if (!is_limited(hs_config_view_find_limit(view, tenant)) || !is_request_due(use, now_ms))
             continue;
         hs_allowance_request request = make_request(use, tenant, now_ms);
         send(&request, user_data);
--- a/src/scheduling/scheduler_engines.c
+++ b/src/scheduling/scheduler_engines.c
@@ -73,7 +73,7 @@
     g_hash_table_iter_init(&iterator, scheduler->engines);
     while (g_hash_table_iter_next(&iterator, NULL, &data))
         ((hs_batch_engine *)data)->assigned = false;
-    hs_config_view *view = hs_config_store_view(scheduler->context.config);
+    hs_config_view *view = hs_config_store_acquire_view(scheduler->context.config);
     GArray *infos = hs_engine_table_infos(scheduler->context.engines, now_ms);
     for (guint index = 0; index < infos->len; index++) {
         const hs_engine_info *info = &g_array_index(infos, hs_engine_info, index);
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -133,7 +133,7 @@
 
 /** Writes open requests, machine use, and calls to the store and to engines. */
 static void write_calls(GString *text, const hs_fleet_metrics_sources *sources) {
-    hs_store_counters calls = hs_store_client_counters(sources->store);
+    hs_store_counters calls = hs_store_client_get_counters(sources->store);
     g_string_append_printf(
         text,
         "heathsail_open_requests %u\nheathsail_members_live %u\n"
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -292,18 +292,18 @@
 static void append_time_grows_up_to_the_limit(void) {
     partition_fixture fixture;
     open_fixture(&fixture);
-    uint64_t first = hs_store_client_patience_ms(fixture.client, 0, 0);
-    CU_ASSERT_EQUAL(hs_store_client_patience_ms(fixture.client, 1, 0), 2 * first);
-    CU_ASSERT_EQUAL(hs_store_client_patience_ms(fixture.client, 2, 0), 4 * first);
-    CU_ASSERT(hs_store_client_patience_ms(fixture.client, 0, 4000000) > first);
-    CU_ASSERT(hs_store_client_patience_ms(fixture.client, 60, 0) <= 2000);
+    uint64_t first = hs_store_client_write_timeout_ms(fixture.client, 0, 0);
+    CU_ASSERT_EQUAL(hs_store_client_write_timeout_ms(fixture.client, 1, 0), 2 * first);
+    CU_ASSERT_EQUAL(hs_store_client_write_timeout_ms(fixture.client, 2, 0), 4 * first);
+    CU_ASSERT(hs_store_client_write_timeout_ms(fixture.client, 0, 4000000) > first);
+    CU_ASSERT(hs_store_client_write_timeout_ms(fixture.client, 60, 0) <= 2000);
     uint64_t now_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(hs_job_partition_append_deadline(fixture.partition, 9, 0, now_ms + 5),
                     now_ms + 5);
     log_store_set_delay(fixture.store, 80);
     for (int write = 0; write < 8; write++)
         append_manifest(&fixture);
-    CU_ASSERT(hs_store_client_patience_ms(fixture.client, 0, 0) > 2 * first);
+    CU_ASSERT(hs_store_client_write_timeout_ms(fixture.client, 0, 0) > 2 * first);
     close_fixture(&fixture);
 }
 
--- a/tests/unit/test_routing.c
+++ b/tests/unit/test_routing.c
@@ -184,7 +184,7 @@
     char edge_id[8];
     g_snprintf(edge_id, sizeof edge_id, "edge-%d", fixture->sending_edge);
     request_with_edge.edge_id = edge_id;
-    const hs_tenant_limit *limit = hs_config_view_limit(fixture->view, request->tenant);
+    const hs_tenant_limit *limit = hs_config_view_find_limit(fixture->view, request->tenant);
     uint32_t allowance =
         hs_limit_owner_grant(fixture->owner, limit, &request_with_edge, fixture->now_ms);
     /* The edge's lock is held here, so run_one_ms adds the allowance afterwards. */
@@ -269,7 +269,7 @@
 
 static void in_flight_limit_counts_all_edges(void) {
     hs_config_view *view = view_with_limit("{\"max_in_flight\":8}");
-    const hs_tenant_limit *limit = hs_config_view_limit(view, "tenant");
+    const hs_tenant_limit *limit = hs_config_view_find_limit(view, "tenant");
     hs_limit_owner *owner = hs_limit_owner_new();
     hs_allowance_request first = {.edge_id = "a", .tenant = "tenant", .wanted = 5};
     hs_allowance_request second = {.edge_id = "b", .tenant = "tenant", .wanted = 5};
