--- a/tests/system/test_fleet.c
+++ b/tests/system/test_fleet.c
@@ -1,4 +1,7 @@
-/** @file test_fleet.c  The fleet surface over real daemons: promises, streams, engines, stops. */
+/**
+ * @file test_fleet.c
+ * System tests of the fleet surface: forwarding, streams, engine failures, drains and restarts.
+ */
 #include "base/build_info.h"
 #include "base/clock.h"
 #include "http/http_fields.h"
@@ -11,37 +14,39 @@
 #include <signal.h>
 #include <string.h>
 
-/** An engine that failed is tried again after one to eight seconds. */
-/** A daemon is stopped up to so long after its start, in steps, in ms: over all of its beginning.
- */
-#define START_STOPS_MOST_MS 40
-#define START_STOPS_STEP_MS 4
-#define TRUST_LIMIT_MS 12000
-/** Until every daemon has read what the store lists. */
-#define LIST_READ_MS 1500
+/** Delays in ms from the start of a daemon to its stop, which cover its whole start-up. */
+#define MAX_STOP_DELAY_MS 40
+#define STOP_DELAY_STEP_MS 4
+/** Limit in ms for suspicions of engines to end; a failed engine is probed within 8 s. */
+#define SUSPICION_LIMIT_MS 12000
+/** Time in ms within which every daemon has read a change of the engines' entries. */
+#define ENTRY_PROPAGATION_MS 1500
 
-/** Every event once, in order, from runs that were asked to go on where they do. */
+/**
+ * Checks that each event of a stream arrives once and in order, and that each run after the first
+ * was requested to resume at the event at which its output begins.
+ */
 static void check_events(const char *request_id, const char *body) {
     event_trace trace = event_trace_stream(request_id, body, true);
     check_trace(&trace);
 }
 
-static void whole_answers_are_passed_on(void) {
+static void answers_are_forwarded_unchanged(void) {
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/plain/%2F?a=%20b", "whole");
         CU_ASSERT_EQUAL(answer.status, 200);
         CU_ASSERT_STRING_EQUAL(answer.body, "/plain/%2F?a=%20b");
         CU_ASSERT_STRING_EQUAL(hs_http_fields_find(answer.fields, HEADER_SIGNATURE), "sig.1");
-        int twice = 0;
+        int repeated_fields = 0;
         for (guint index = 0; index < answer.fields->len; index++)
-            twice +=
+            repeated_fields +=
                 strcmp(g_array_index(answer.fields, hs_http_field, index).name, "X-Twice") == 0;
-        CU_ASSERT_EQUAL(twice, 2);
+        CU_ASSERT_EQUAL(repeated_fields, 2);
         bench_answer_clear(&answer);
     }
 }
 
-static void streams_are_whole_on_every_daemon(void) {
+static void streams_are_complete_on_every_daemon(void) {
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/once/s", "stream");
         CU_ASSERT_EQUAL(answer.status, 200);
@@ -63,7 +68,7 @@
     CU_ASSERT_EQUAL(bench_runs("nowhere") + bench_runs("large"), 0);
 }
 
-static void a_refusal_did_not_run_and_says_when_to_come_back(void) {
+static void a_refused_request_does_not_run_and_gets_retry_after(void) {
     bench_set_engines(TOKEN_ENGINE_FULL);
     bench_answer answer = post_request(1, "/once/s", "full");
     bench_set_engines(TOKEN_ENGINE_SOUND);
@@ -74,19 +79,19 @@
     bench_answer_clear(&answer);
 }
 
-static gpointer heal_engines(gpointer data) {
+static gpointer restore_engines(gpointer data) {
     hs_clock_sleep_ms(*(const uint64_t *)data);
     bench_set_engines(TOKEN_ENGINE_SOUND);
     return NULL;
 }
 
-/** Engines that turn all away for three times the target, while their places are free. */
-static void engines_with_free_places_are_waited_for(void) {
-    uint64_t away_ms = 900;
+/** For three times the target latency the engines refuse all requests although slots are free. */
+static void requests_wait_for_engines_with_free_slots(void) {
+    uint64_t refusing_ms = 900;
     bench_set_engines(TOKEN_ENGINE_FULL);
-    GThread *healer = g_thread_new("healer", heal_engines, &away_ms);
+    GThread *restorer = g_thread_new("restorer", restore_engines, &refusing_ms);
     bench_answer answer = post_request(1, "/once/s", "waited-for");
-    g_thread_join(healer);
+    g_thread_join(restorer);
     CU_ASSERT_EQUAL(answer.status, 200);
     CU_ASSERT_EQUAL(bench_runs("waited-for"), 1);
     bench_answer_clear(&answer);
@@ -97,29 +102,29 @@
     return text != NULL ? g_ascii_strtod(text, NULL) : -1;
 }
 
-/** Without an engine a request is refused at once, and told the longer the longer none is there. */
-static void a_service_without_engines_refuses_at_once(void) {
+/** The longer no engine is available, the longer is the Retry-After of the refusals. */
+static void requests_without_engines_are_refused_at_once(void) {
     for (int index = 0; index < BENCH_ENGINES; index++)
         token_engine_announce(bench.engines[index], bench.store, true);
-    hs_clock_sleep_ms(LIST_READ_MS);
-    double told_s[2];
+    hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
+    double retry_after_s[2];
     for (int call = 0; call < 2; call++) {
-        uint64_t began_ms = hs_clock_monotonic_ms();
+        uint64_t start_ms = hs_clock_monotonic_ms();
         bench_answer answer = post_request(0, "/plain/x", "nobody");
-        CU_ASSERT(hs_clock_monotonic_ms() - began_ms < 60);
+        CU_ASSERT(hs_clock_monotonic_ms() - start_ms < 60);
         CU_ASSERT_EQUAL(answer.status, 503);
-        told_s[call] = retry_after_of(&answer);
+        retry_after_s[call] = retry_after_of(&answer);
         bench_answer_clear(&answer);
         hs_clock_sleep_ms(400);
     }
-    CU_ASSERT(told_s[0] > 0 && told_s[0] < 0.1);
-    CU_ASSERT(told_s[1] >= 0.4 && told_s[1] < 1.0);
+    CU_ASSERT(retry_after_s[0] > 0 && retry_after_s[0] < 0.1);
+    CU_ASSERT(retry_after_s[1] >= 0.4 && retry_after_s[1] < 1.0);
     for (int index = 0; index < BENCH_ENGINES; index++)
         token_engine_announce(bench.engines[index], bench.store, false);
-    hs_clock_sleep_ms(LIST_READ_MS);
+    hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
 }
 
-static void a_stream_that_breaks_runs_once_and_looks_broken(void) {
+static void a_broken_run_once_stream_ends_incomplete(void) {
     bench_set_engines(TOKEN_ENGINE_BREAKS);
     bench_answer answer = post_request(0, "/once/s", "broken");
     bench_set_engines(TOKEN_ENGINE_SOUND);
@@ -128,7 +133,7 @@
     bench_answer_clear(&answer);
 }
 
-static void a_resumable_stream_goes_on_elsewhere(void) {
+static void a_broken_resumable_stream_is_resumed(void) {
     bench_set_engines(TOKEN_ENGINE_BREAKS);
     bench_answer answer = post_request(2, "/again/s", "resumed");
     bench_set_engines(TOKEN_ENGINE_SOUND);
@@ -138,7 +143,7 @@
     bench_answer_clear(&answer);
 }
 
-static void an_engines_failure_is_passed_on(void) {
+static void an_engine_error_is_forwarded(void) {
     bench_set_engines(TOKEN_ENGINE_FAILS);
     bench_answer answer = post_request(0, "/once/s", "fails");
     bench_set_engines(TOKEN_ENGINE_SOUND);
@@ -149,44 +154,43 @@
 }
 
 static void a_deadline_ends_a_stream_in_time(void) {
-    uint64_t began = hs_clock_monotonic_ms();
+    uint64_t start_ms = hs_clock_monotonic_ms();
     bench_answer answer = bench_send(&(bench_call){.method = "POST",
                                                    .target = "/once/s",
                                                    .request_id = "deadline",
                                                    .body = "x",
                                                    .timeout_ms = 60});
     CU_ASSERT_FALSE(answer.whole);
-    CU_ASSERT(hs_clock_monotonic_ms() - began < 500);
+    CU_ASSERT(hs_clock_monotonic_ms() - start_ms < 500);
     bench_answer_clear(&answer);
 }
 
-/** Whether a daemon trusts all engines. */
-static bool all_are_trusted(int daemon) {
+static bool is_no_engine_suspected(int daemon) {
     bench_answer metrics = bench_send(
         &(bench_call){.method = "GET", .target = "/metrics", .port = bench_metrics_port(daemon)});
-    bool trusted = true;
+    bool none_suspected = true;
     for (int index = 0; index < BENCH_ENGINES; index++) {
         g_autofree char *line =
             g_strdup_printf("heathsail_engine_suspected{engine=\"engine-%d\"} 0\n", index);
-        trusted = trusted && strstr(metrics.body, line) != NULL;
+        none_suspected = none_suspected && strstr(metrics.body, line) != NULL;
     }
     bench_answer_clear(&metrics);
-    return trusted;
+    return none_suspected;
 }
 
-/** Serve requests until what engines failed in tests before is forgotten. */
-static void regain_trust(int daemon) {
-    uint64_t until_ms = hs_clock_monotonic_ms() + TRUST_LIMIT_MS;
-    while (!all_are_trusted(daemon) && hs_clock_monotonic_ms() < until_ms) {
+/** Sends requests until the suspicions caused by failures in earlier tests have ended. */
+static void wait_for_suspicions_to_end(int daemon) {
+    uint64_t until_ms = hs_clock_monotonic_ms() + SUSPICION_LIMIT_MS;
+    while (!is_no_engine_suspected(daemon) && hs_clock_monotonic_ms() < until_ms) {
         bench_answer answer = post_request(daemon, "/once/s", "trust");
         bench_answer_clear(&answer);
     }
-    CU_ASSERT_TRUE(all_are_trusted(daemon));
+    CU_ASSERT_TRUE(is_no_engine_suspected(daemon));
 }
 
-/** A caller's short time-out says nothing of the engine. */
-static void a_short_timeout_makes_no_engine_suspected(void) {
-    regain_trust(0);
+/** A request that ends by its caller's short timeout is no failure of the engine. */
+static void a_short_caller_timeout_makes_no_engine_suspected(void) {
+    wait_for_suspicions_to_end(0);
     bench_set_engines(TOKEN_ENGINE_SLOW);
     for (int request = 0; request < 6; request++) {
         bench_answer answer = bench_send(&(bench_call){.method = "POST",
@@ -198,10 +202,10 @@
         bench_answer_clear(&answer);
     }
     bench_set_engines(TOKEN_ENGINE_SOUND);
-    CU_ASSERT_TRUE(all_are_trusted(0));
+    CU_ASSERT_TRUE(is_no_engine_suspected(0));
 }
 
-static void a_leaving_engine_gets_nothing_new(void) {
+static void a_draining_engine_gets_no_new_requests(void) {
     token_engine_announce(bench.engines[0], bench.store, true);
     hs_clock_sleep_ms(1000);
     uint32_t before = token_engine_total(bench.engines[0]);
@@ -215,8 +219,8 @@
     hs_clock_sleep_ms(600);
 }
 
-/** Entries that ran out while the store was away say nothing of the engines. */
-static void engines_outlast_a_store_that_was_away(void) {
+/** Engine entries that expire while the store is unavailable do not remove the engines. */
+static void engines_are_kept_while_the_store_is_unavailable(void) {
     log_store_set_mode(bench.store, LOG_STORE_DROPS, CALL_READ, G_MAXUINT32);
     hs_clock_sleep_ms(1500);
     for (int index = 0; index < BENCH_ENGINES; index++)
@@ -229,7 +233,8 @@
         bench_answer_clear(&answer);
     }
     token_engine_announce(bench.engines[0], bench.store, false);
-    hs_clock_sleep_ms(2200); /* Two beats and a read later: one came back, one is gone. */
+    /* Two announcement intervals and a read: engine 0 is listed again, engine 1 is removed. */
+    hs_clock_sleep_ms(2200);
     uint32_t before = token_engine_total(bench.engines[1]);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/plain/x", "came-back");
@@ -241,7 +246,7 @@
     hs_clock_sleep_ms(900);
 }
 
-static void a_new_configuration_is_in_force_everywhere(void) {
+static void a_new_configuration_is_applied_by_every_daemon(void) {
     bench_configure(2);
     hs_clock_sleep_ms(300);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
@@ -259,25 +264,26 @@
     return NULL;
 }
 
-static bool is_named(int asked, int wanted) {
-    g_autofree char *address = g_strdup_printf("127.0.0.1:%u", bench_front_port(wanted));
+/** Whether the directory of one daemon resolves to the front address of another. */
+static bool is_resolvable(int resolver, int daemon) {
+    g_autofree char *address = g_strdup_printf("127.0.0.1:%u", bench_front_port(daemon));
     bench_answer answer = bench_send(&(bench_call){.method = "GET",
                                                    .target = PATH_RESOLVE "?name=a&zone=zone-a",
-                                                   .port = bench_directory_port(asked)});
-    bool named = answer.status == 200 && strstr(answer.body, address) != NULL;
+                                                   .port = bench_directory_port(resolver)});
+    bool is_listed = answer.status == 200 && strstr(answer.body, address) != NULL;
     bench_answer_clear(&answer);
-    return named;
+    return is_listed;
 }
 
-static void a_stop_cuts_nothing_and_is_told(void) {
-    CU_ASSERT_TRUE(is_named(0, 1));
+static void a_stop_drains_requests_and_updates_the_directory(void) {
+    CU_ASSERT_TRUE(is_resolvable(0, 1));
     CU_ASSERT_EQUAL(submit_job(1, "job8", 12), 202);
     bench_answer answer = {0};
     GThread *caller = g_thread_new("caller", run_stream, &answer);
     hs_clock_sleep_ms(60);
     CU_ASSERT_EQUAL(kill(bench.pids[1], SIGTERM), 0);
     hs_clock_sleep_ms(500);
-    CU_ASSERT_FALSE(is_named(0, 1));
+    CU_ASSERT_FALSE(is_resolvable(0, 1));
     CU_ASSERT_EQUAL(bench_signal(1, SIGTERM), 0);
     g_thread_join(caller);
     CU_ASSERT_TRUE(answer.whole);
@@ -292,7 +298,7 @@
     CU_ASSERT_TRUE(bench_wait_ready(1));
 }
 
-static void a_hangup_reloads_and_serves_on(void) {
+static void a_hangup_signal_does_not_interrupt_service(void) {
     CU_ASSERT_EQUAL(bench_signal(0, SIGHUP), 0);
     hs_clock_sleep_ms(100);
     bench_answer answer = post_request(0, "/once/s", "hangup");
@@ -300,8 +306,8 @@
     bench_answer_clear(&answer);
 }
 
-/** Log lines fill the pipe long before the last request; none waits for its reader. */
-static void a_stopped_log_reader_holds_nobody_up(void) {
+/** The log lines of these requests fill the pipe, which nothing reads. */
+static void a_stalled_log_reader_blocks_no_request(void) {
     bench_signal(2, SIGKILL);
     CU_ASSERT_TRUE(bench_start_daemon(2, true));
     CU_ASSERT_TRUE(bench_wait_ready(2));
@@ -312,9 +318,9 @@
     }
 }
 
-/** A stop that comes while a daemon starts: whatever it has begun it ends in order. */
-static void a_stop_right_after_the_start_is_in_order(void) {
-    for (unsigned after_ms = 0; after_ms <= START_STOPS_MOST_MS; after_ms += START_STOPS_STEP_MS) {
+/** A daemon that is stopped during its start-up exits cleanly. */
+static void a_stop_during_startup_is_clean(void) {
+    for (unsigned after_ms = 0; after_ms <= MAX_STOP_DELAY_MS; after_ms += STOP_DELAY_STEP_MS) {
         CU_ASSERT_EQUAL(bench_signal(2, SIGTERM), 0);
         CU_ASSERT_TRUE(bench_start_daemon(2, false));
         hs_clock_sleep_ms(after_ms);
@@ -325,24 +331,27 @@
 }
 
 const test_case fleet_system_tests[] = {
-    {"whole_answers_are_passed_on", whole_answers_are_passed_on},
-    {"streams_are_whole_on_every_daemon", streams_are_whole_on_every_daemon},
+    {"answers_are_forwarded_unchanged", answers_are_forwarded_unchanged},
+    {"streams_are_complete_on_every_daemon", streams_are_complete_on_every_daemon},
     {"unknown_routes_and_large_bodies_are_refused", unknown_routes_and_large_bodies_are_refused},
-    {"a_refusal_did_not_run_and_says_when_to_come_back",
-     a_refusal_did_not_run_and_says_when_to_come_back},
-    {"engines_with_free_places_are_waited_for", engines_with_free_places_are_waited_for},
-    {"a_service_without_engines_refuses_at_once", a_service_without_engines_refuses_at_once},
-    {"a_stream_that_breaks_runs_once_and_looks_broken",
-     a_stream_that_breaks_runs_once_and_looks_broken},
-    {"a_resumable_stream_goes_on_elsewhere", a_resumable_stream_goes_on_elsewhere},
-    {"an_engines_failure_is_passed_on", an_engines_failure_is_passed_on},
+    {"a_refused_request_does_not_run_and_gets_retry_after",
+     a_refused_request_does_not_run_and_gets_retry_after},
+    {"requests_wait_for_engines_with_free_slots", requests_wait_for_engines_with_free_slots},
+    {"requests_without_engines_are_refused_at_once", requests_without_engines_are_refused_at_once},
+    {"a_broken_run_once_stream_ends_incomplete", a_broken_run_once_stream_ends_incomplete},
+    {"a_broken_resumable_stream_is_resumed", a_broken_resumable_stream_is_resumed},
+    {"an_engine_error_is_forwarded", an_engine_error_is_forwarded},
     {"a_deadline_ends_a_stream_in_time", a_deadline_ends_a_stream_in_time},
-    {"a_short_timeout_makes_no_engine_suspected", a_short_timeout_makes_no_engine_suspected},
-    {"a_leaving_engine_gets_nothing_new", a_leaving_engine_gets_nothing_new},
-    {"engines_outlast_a_store_that_was_away", engines_outlast_a_store_that_was_away},
-    {"a_new_configuration_is_in_force_everywhere", a_new_configuration_is_in_force_everywhere},
-    {"a_stop_right_after_the_start_is_in_order", a_stop_right_after_the_start_is_in_order},
-    {"a_stop_cuts_nothing_and_is_told", a_stop_cuts_nothing_and_is_told},
-    {"a_hangup_reloads_and_serves_on", a_hangup_reloads_and_serves_on},
-    {"a_stopped_log_reader_holds_nobody_up", a_stopped_log_reader_holds_nobody_up},
+    {"a_short_caller_timeout_makes_no_engine_suspected",
+     a_short_caller_timeout_makes_no_engine_suspected},
+    {"a_draining_engine_gets_no_new_requests", a_draining_engine_gets_no_new_requests},
+    {"engines_are_kept_while_the_store_is_unavailable",
+     engines_are_kept_while_the_store_is_unavailable},
+    {"a_new_configuration_is_applied_by_every_daemon",
+     a_new_configuration_is_applied_by_every_daemon},
+    {"a_stop_during_startup_is_clean", a_stop_during_startup_is_clean},
+    {"a_stop_drains_requests_and_updates_the_directory",
+     a_stop_drains_requests_and_updates_the_directory},
+    {"a_hangup_signal_does_not_interrupt_service", a_hangup_signal_does_not_interrupt_service},
+    {"a_stalled_log_reader_blocks_no_request", a_stalled_log_reader_blocks_no_request},
     {NULL, NULL}};
--- a/tests/system/test_fleet_callers.c
+++ b/tests/system/test_fleet_callers.c
@@ -1,4 +1,7 @@
-/** @file test_fleet_callers.c  The fleet surface with callers that leave. */
+/**
+ * @file test_fleet_callers.c
+ * System tests of the fleet surface with callers that disconnect before their answers are complete.
+ */
 #include "base/clock.h"
 #include "platform/names.h"
 #include "tests/support/raw_caller.h"
@@ -11,20 +14,23 @@
 
 #define CALLERS 200
 #define SEED 20261202
-#define STAY_MOST_MS 800
-#define ARRIVE_MOST_MS 2000
-/** Between two changes of what engines do. */
-#define CHANGE_MS 120
-/** How long engines refuse everybody after all have left, and how long they are watched then. */
-#define REFUSE_MS 1500
-#define WATCH_MS 2500
+#define MAX_STAY_MS 800
+#define MAX_ARRIVAL_DELAY_MS 2000
+/** Interval in ms between two changes of the engines' modes. */
+#define MODE_CHANGE_MS 120
+/** Time in ms for which the engines refuse all requests after the last caller has disconnected, and
+ * time for which their calls are recorded afterwards. */
+#define REFUSAL_MS 1500
+#define OBSERVATION_MS 2500
 #define UNREAD_CALLERS 40
 #define WAITING_CALLERS 24
-/** From the arrival of callers until engines refuse all: within the first events of a stream. */
-#define BROKEN_MS 60
-#define FROZEN_MS 900
+/** Delay in ms from the callers' arrival until the engines refuse all requests; it ends within the
+ * first events of a stream. */
+#define REFUSAL_DELAY_MS 60
+#define STOPPED_MS 900
 
-/** Routes on which requests wait long: for an engine (a quarter of the aim), and for a retry. */
+/** Configures routes on which requests wait long: for an engine (a quarter of the target latency),
+ * and for a retry. */
 int begin_patient_bench(void) {
     if (begin_bench() != 0)
         return -1;
@@ -53,26 +59,27 @@
                            target, id, body);
 }
 
-/** Callers on all routes and daemons; some send half of their body, some leave at once. */
+/** Callers on all routes and daemons; some send half of their body, some disconnect at once. */
 static void make_callers(leaving_caller *callers) {
     static const char *const targets[] = {"/plain/x", "/again/x", "/once/x", "/again/x"};
     GRand *random = g_rand_new_with_seed(SEED);
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (guint index = 0; index < CALLERS; index++) {
         leaving_caller *caller = &callers[index];
-        bool sends_half = index % 11 == 0;
-        bool leaves_at_once = index % 7 == 0;
+        bool sends_half_body = index % 11 == 0;
+        bool disconnects_at_once = index % 7 == 0;
         const char *target = targets[index % G_N_ELEMENTS(targets)];
         g_snprintf(caller->id, sizeof caller->id, "leaver-%u", index);
         caller->port = bench_front_port((int)(index % BENCH_DAEMONS));
-        caller->bytes = request_bytes(target, caller->id, sends_half ? "he" : "hello");
-        caller->arrives_ms = now_ms + (uint64_t)g_rand_int_range(random, 0, ARRIVE_MOST_MS);
-        caller->stays_ms = leaves_at_once ? 0 : (uint32_t)g_rand_int_range(random, 0, STAY_MOST_MS);
+        caller->bytes = request_bytes(target, caller->id, sends_half_body ? "he" : "hello");
+        caller->arrives_ms = now_ms + (uint64_t)g_rand_int_range(random, 0, MAX_ARRIVAL_DELAY_MS);
+        caller->stays_ms =
+            disconnects_at_once ? 0 : (uint32_t)g_rand_int_range(random, 0, MAX_STAY_MS);
     }
     g_rand_free(random);
 }
 
-/** What engines do changes until told to stop. */
+/** Changes the engines' modes until the test sets @p data. */
 static gpointer change_engines(gpointer data) {
     static const token_engine_mode modes[] = {TOKEN_ENGINE_SLOW, TOKEN_ENGINE_FULL,
                                               TOKEN_ENGINE_FULL, TOKEN_ENGINE_BREAKS,
@@ -82,7 +89,7 @@
         for (guint index = 0; index < BENCH_ENGINES; index++)
             token_engine_set_mode(bench.engines[index],
                                   modes[(turn + index) % G_N_ELEMENTS(modes)]);
-        hs_clock_sleep_ms(CHANGE_MS);
+        hs_clock_sleep_ms(MODE_CHANGE_MS);
     }
     return NULL;
 }
@@ -102,8 +109,8 @@
         g_free(callers[index].bytes);
 }
 
-/** Waiting for an engine, for a body, for a retry, or in a stream: who has left is left alone. */
-static void engines_are_left_alone_once_callers_left(void) {
+/** The callers disconnect while their requests wait for an engine, a body or a retry, or stream. */
+static void engines_get_no_requests_of_disconnected_callers(void) {
     leaving_caller callers[CALLERS] = {0};
     gint stopping = 0;
     make_callers(callers);
@@ -112,73 +119,72 @@
     g_atomic_int_set(&stopping, 1);
     g_thread_join(changes);
     bench_set_engines(TOKEN_ENGINE_FULL);
-    hs_clock_sleep_ms(REFUSE_MS);
+    hs_clock_sleep_ms(REFUSAL_MS);
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
-    hs_clock_sleep_ms(WATCH_MS);
+    hs_clock_sleep_ms(OBSERVATION_MS);
     check_engines(callers, CALLERS, "fleet, callers that leave");
     bench_set_engines(TOKEN_ENGINE_SOUND);
     free_bytes(callers, CALLERS);
 }
 
-/** Callers of one route that leave at random moments while all engines refuse. */
-static void leave_while_full(const char *target, const char *prefix, const char *title) {
+/** Runs callers of one route that disconnect at random times while all engines refuse requests. */
+static void disconnect_during_refusals(const char *target, const char *prefix, const char *title) {
     leaving_caller callers[WAITING_CALLERS] = {0};
     GRand *random = g_rand_new_with_seed(SEED);
     for (guint index = 0; index < WAITING_CALLERS; index++) {
         g_snprintf(callers[index].id, sizeof callers[index].id, "%s-%u", prefix, index);
         callers[index].port = bench_front_port((int)(index % BENCH_DAEMONS));
         callers[index].bytes = request_bytes(target, callers[index].id, "hello");
-        callers[index].stays_ms = (uint32_t)g_rand_int_range(random, BROKEN_MS, STAY_MOST_MS);
+        callers[index].stays_ms = (uint32_t)g_rand_int_range(random, REFUSAL_DELAY_MS, MAX_STAY_MS);
     }
     g_rand_free(random);
     leaving_callers_run(callers, WAITING_CALLERS);
-    hs_clock_sleep_ms(REFUSE_MS);
+    hs_clock_sleep_ms(REFUSAL_MS);
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
-    hs_clock_sleep_ms(REFUSE_MS);
+    hs_clock_sleep_ms(REFUSAL_MS);
     check_engines(callers, WAITING_CALLERS, title);
     bench_set_engines(TOKEN_ENGINE_SOUND);
     free_bytes(callers, WAITING_CALLERS);
 }
 
-/** Callers that wait for an engine that takes them. */
-static void a_wait_for_an_engine_ends_with_its_caller(void) {
+static void a_wait_for_an_engine_ends_when_the_caller_disconnects(void) {
     bench_set_engines(TOKEN_ENGINE_FULL);
-    leave_while_full("/plain/x", "waiter", "fleet, waiting for an engine");
+    disconnect_during_refusals("/plain/x", "waiter", "fleet, waiting for an engine");
 }
 
-static gpointer refuse_soon(gpointer unused) {
+static gpointer refuse_after_delay(gpointer unused) {
     (void)unused;
-    hs_clock_sleep_ms(BROKEN_MS);
+    hs_clock_sleep_ms(REFUSAL_DELAY_MS);
     bench_set_engines(TOKEN_ENGINE_FULL);
     return NULL;
 }
 
-/** Streams that broke and wait for an engine to go on at. */
-static void a_wait_for_a_retry_ends_with_its_caller(void) {
+/** The streams broke and wait for an engine to resume on. */
+static void a_wait_for_a_retry_ends_when_the_caller_disconnects(void) {
     bench_set_engines(TOKEN_ENGINE_BREAKS);
-    GThread *refuses = g_thread_new("refuses", refuse_soon, NULL);
-    leave_while_full("/again/x", "retrier", "fleet, waiting for a retry");
-    g_thread_join(refuses);
+    GThread *refusal = g_thread_new("refusal", refuse_after_delay, NULL);
+    disconnect_during_refusals("/again/x", "retrier", "fleet, waiting for a retry");
+    g_thread_join(refusal);
 }
 
-/** One that ends its sending side alone cannot be told from one that closed: it has left. */
-static void a_caller_that_ends_its_sending_has_left(void) {
+/** A caller that closes only its sending side can't be distinguished from one that disconnected. */
+static void a_half_closed_connection_counts_as_disconnected(void) {
     g_autofree char *bytes = request_bytes("/once/x", "half", "hello");
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
     raw_caller *caller = raw_caller_open(bench_front_port(1));
     CU_ASSERT_PTR_NOT_NULL_FATAL(caller);
     raw_caller_send(caller, bytes);
-    CU_ASSERT_TRUE(raw_caller_read_until(caller, "id: 2\n", STAY_MOST_MS));
+    CU_ASSERT_TRUE(raw_caller_read_until(caller, "id: 2\n", MAX_STAY_MS));
     raw_caller_end_sending(caller);
     CU_ASSERT_NOT_EQUAL(raw_caller_read_to_end(caller, LEAVING_LIMIT_MS), RAW_OPEN);
-    /* The engine's own thread notices the end of its connection a moment later. */
+    /* The engine's thread notices the end of its connection asynchronously. */
     CU_ASSERT_TRUE(engine_runs_end_within(LEAVING_LIMIT_MS));
     raw_caller_close(caller);
     bench_set_engines(TOKEN_ENGINE_SOUND);
 }
 
-/** Begin kept connections to the engines, on which a request leaves at once. */
-static void keep_connections(int daemon) {
+/** Opens reusable connections to the engines, on which a daemon sends a request without delay. */
+static void open_reusable_connections(int daemon) {
     for (int request = 0; request < 8; request++) {
         bench_answer answer = bench_send(&(bench_call){.daemon = daemon,
                                                        .method = "POST",
@@ -189,11 +195,11 @@
     }
 }
 
-/** Requests that lie unread while their callers leave are not sent to engines at all. */
-static void requests_left_unread_are_not_sent(void) {
+/** The daemon is stopped until all callers have disconnected. */
+static void unread_requests_of_disconnected_callers_are_not_sent(void) {
     static const char *const targets[] = {"/plain/x", "/again/x", "/once/x"};
     leaving_caller callers[UNREAD_CALLERS] = {0};
-    keep_connections(0);
+    open_reusable_connections(0);
     for (guint index = 0; index < UNREAD_CALLERS; index++) {
         g_snprintf(callers[index].id, sizeof callers[index].id, "unread-%u", index);
         callers[index].port = bench_front_port(0);
@@ -202,17 +208,22 @@
     }
     CU_ASSERT_EQUAL(bench_signal(0, SIGSTOP), 0);
     leaving_callers_run(callers, UNREAD_CALLERS);
-    hs_clock_sleep_ms(FROZEN_MS);
+    hs_clock_sleep_ms(STOPPED_MS);
     CU_ASSERT_EQUAL(bench_signal(0, SIGCONT), 0);
-    hs_clock_sleep_ms(FROZEN_MS);
+    hs_clock_sleep_ms(STOPPED_MS);
     check_engines(callers, UNREAD_CALLERS, "fleet, requests left unread");
     free_bytes(callers, UNREAD_CALLERS);
 }
 
 const test_case fleet_caller_system_tests[] = {
-    {"engines_are_left_alone_once_callers_left", engines_are_left_alone_once_callers_left},
-    {"a_wait_for_an_engine_ends_with_its_caller", a_wait_for_an_engine_ends_with_its_caller},
-    {"a_wait_for_a_retry_ends_with_its_caller", a_wait_for_a_retry_ends_with_its_caller},
-    {"a_caller_that_ends_its_sending_has_left", a_caller_that_ends_its_sending_has_left},
-    {"requests_left_unread_are_not_sent", requests_left_unread_are_not_sent},
+    {"engines_get_no_requests_of_disconnected_callers",
+     engines_get_no_requests_of_disconnected_callers},
+    {"a_wait_for_an_engine_ends_when_the_caller_disconnects",
+     a_wait_for_an_engine_ends_when_the_caller_disconnects},
+    {"a_wait_for_a_retry_ends_when_the_caller_disconnects",
+     a_wait_for_a_retry_ends_when_the_caller_disconnects},
+    {"a_half_closed_connection_counts_as_disconnected",
+     a_half_closed_connection_counts_as_disconnected},
+    {"unread_requests_of_disconnected_callers_are_not_sent",
+     unread_requests_of_disconnected_callers_are_not_sent},
     {NULL, NULL}};
--- a/tests/system/test_fleet_entries.c
+++ b/tests/system/test_fleet_entries.c
@@ -1,4 +1,7 @@
-/** @file test_fleet_entries.c  Entries of other writers among the engines', over real daemons. */
+/**
+ * @file test_fleet_entries.c
+ * System tests of invalid entries that other writers store among the engines' entries.
+ */
 #include "base/clock.h"
 #include "http/listener.h"
 #include "platform/names.h"
@@ -10,12 +13,12 @@
 #include <signal.h>
 #include <string.h>
 
-/** Longer in ms than an entry needs to reach all daemons. */
-#define KNOWN_MS 2000
+/** Time in ms within which an entry reaches all daemons. */
+#define ENTRY_PROPAGATION_MS 2000
 #define REQUESTS 60
 
-/** What other writers left; %u is the port of a listener that must see nothing. */
-static const char *const strays[] = {
+/** Invalid entries; %u is the port of a listener that must get no connection. */
+static const char *const invalid_entries[] = {
     "{\"address\":\"127.0.0.1:%u\",\"zone\":\"zone-a\",\"version\":\"v1\",\"slots\":8,"
     "\"state\":\"ready\",\"warmup-left-ms\":0,\"sequence\":1}",
     "{\"service\":7,\"address\":\"127.0.0.1:%u\",\"zone\":\"zone-a\",\"version\":\"v1\",\"slots\":"
@@ -68,21 +71,21 @@
     }
 }
 
-static char *stray_id(size_t index) {
+static char *invalid_entry_id(size_t index) {
     return g_strdup_printf("stray-%zu", index);
 }
 
-/** They get no request, and the engines beside them serve on. */
-static void entries_of_other_writers_name_no_engine(void) {
+/** Invalid entries get no requests and don't disturb the valid engines. */
+static void invalid_entries_get_no_requests(void) {
     uint16_t port = port_lease_take(1);
     hs_error error = {0};
     hs_listener *listener = hs_listener_start("127.0.0.1", port, &(hs_listener_limits){0},
                                               count_connection, NULL, &error);
     CU_ASSERT_PTR_NOT_NULL_FATAL(listener);
-    for (size_t index = 0; index < G_N_ELEMENTS(strays); index++) {
-        g_autofree char *id = stray_id(index);
+    for (size_t index = 0; index < G_N_ELEMENTS(invalid_entries); index++) {
+        g_autofree char *id = invalid_entry_id(index);
         g_autofree char *number = g_strdup_printf("%u", port);
-        g_auto(GStrv) parts = g_strsplit(strays[index], "%u", 2);
+        g_auto(GStrv) parts = g_strsplit(invalid_entries[index], "%u", 2);
         g_autofree char *entry = g_strjoinv(number, parts);
         log_store_put(bench.store, TOPIC_ENGINES, id, entry);
     }
@@ -90,7 +93,7 @@
                   "{\"service\":\"llm\",\"address\":\"127.0.0.1:9\",\"zone\":\"zone-a\","
                   "\"version\":\"v1\",\"slots\":8,\"state\":\"ready\",\"warmup-left-ms\":0,"
                   "\"sequence\":1}");
-    hs_clock_sleep_ms(KNOWN_MS);
+    hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
     send_requests("beside");
     CU_ASSERT_EQUAL(g_atomic_int_get(&connections), 0);
     CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"bad_number\"} ") >= 6);
@@ -98,15 +101,14 @@
     CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"bad_state\"} ") >= 3);
     CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"unreadable\"} ") >= 2);
     CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"bad_id\"} ") >= 1);
-    for (size_t index = 0; index < G_N_ELEMENTS(strays); index++) {
-        g_autofree char *id = stray_id(index);
+    for (size_t index = 0; index < G_N_ELEMENTS(invalid_entries); index++) {
+        g_autofree char *id = invalid_entry_id(index);
         log_store_put(bench.store, TOPIC_ENGINES, id, "");
     }
     hs_listener_stop(listener);
 }
 
-/** A daemon that starts reads past them, and knows the engines after them. */
-static void a_daemon_that_starts_reads_past_them(void) {
+static void a_starting_daemon_ignores_invalid_entries(void) {
     log_store_put(bench.store, TOPIC_ENGINES, "a-stray", "\xff\xfe no text");
     bench_signal(1, SIGKILL);
     bench_start_daemon(1, false);
@@ -115,25 +117,25 @@
     log_store_put(bench.store, TOPIC_ENGINES, "a-stray", "");
 }
 
-/** An engine whose entry was written over gets nothing new until its next beat. */
-static void an_engine_whose_entry_was_written_over_is_back_with_its_beat(void) {
+/** An engine with an overwritten entry gets no new requests until its next announcement. */
+static void an_overwritten_entry_is_restored_by_the_next_announcement(void) {
     const char *id = token_engine_id(bench.engines[0]);
     log_store_put(bench.store, TOPIC_ENGINES, id, "{\"service\":\"llm\"}");
-    hs_clock_sleep_ms(KNOWN_MS);
+    hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
     uint32_t before = token_engine_total(bench.engines[0]);
     send_requests("written-over");
     CU_ASSERT_EQUAL(token_engine_total(bench.engines[0]), before);
     token_engine_announce(bench.engines[0], bench.store, false);
-    token_engine_announce(bench.engines[1], bench.store, true); /* All must go to the other. */
-    hs_clock_sleep_ms(KNOWN_MS);
+    token_engine_announce(bench.engines[1], bench.store, true); /* Engine 0 alone is left. */
+    hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
     send_requests("back");
     CU_ASSERT_EQUAL(token_engine_total(bench.engines[0]), before + REQUESTS);
     token_engine_announce(bench.engines[1], bench.store, false);
 }
 
 const test_case fleet_entry_system_tests[] = {
-    {"entries_of_other_writers_name_no_engine", entries_of_other_writers_name_no_engine},
-    {"a_daemon_that_starts_reads_past_them", a_daemon_that_starts_reads_past_them},
-    {"an_engine_whose_entry_was_written_over_is_back_with_its_beat",
-     an_engine_whose_entry_was_written_over_is_back_with_its_beat},
+    {"invalid_entries_get_no_requests", invalid_entries_get_no_requests},
+    {"a_starting_daemon_ignores_invalid_entries", a_starting_daemon_ignores_invalid_entries},
+    {"an_overwritten_entry_is_restored_by_the_next_announcement",
+     an_overwritten_entry_is_restored_by_the_next_announcement},
     {NULL, NULL}};
--- a/tests/system/test_fleet_jobs.c
+++ b/tests/system/test_fleet_jobs.c
@@ -1,4 +1,4 @@
-/** @file test_fleet_jobs.c  Batch jobs of the fleet surface over real daemons. */
+/** @file test_fleet_jobs.c  System tests of the fleet surface's batch jobs. */
 #include "base/clock.h"
 #include "http/http_fields.h"
 #include "platform/names.h"
@@ -9,21 +9,21 @@
 #include <signal.h>
 #include <string.h>
 
-/** Longer than the store's group and the daemons' probes need to know of a daemon. */
-#define CUT_KNOWN_MS 4500
-/** Longest in ms that a deal of the partitions takes: some joins of the group, each third of its
+/** Time in ms for the store's group and the daemons' probes to notice a lost or new daemon. */
+#define MEMBERSHIP_CHANGE_MS 4500
+/** Limit in ms for an assignment of the partitions: several joins of the group, each a third of its
  * TTL. */
-#define DEAL_LIMIT_MS 10000
-#define DEAL_POLL_MS 50
-/** Within this time in ms an owner starts an item of a job that was just taken. */
+#define ASSIGNMENT_LIMIT_MS 10000
+#define ASSIGNMENT_POLL_MS 50
+/** Time in ms within which an owner starts an item of a job that was just accepted. */
 #define RUN_START_MS 500
-/** So many jobs that each of the bench's daemons owns some. */
-#define FAR_JOBS 16
-/** In ms: far less than the time for which items without engines are tried. */
-#define NEAR_LIMIT_MS 4000
+/** Enough jobs that each daemon owns some. */
+#define UNSERVED_JOBS 16
+/** Limit in ms, far below the time for which items without engines are retried. */
+#define SERVED_LIMIT_MS 4000
 #define RUNNING_METRIC "heathsail_job_items_running "
 
-static void a_job_is_taken_once_and_the_same_everywhere(void) {
+static void a_job_is_accepted_once_and_identical_at_every_daemon(void) {
     CU_ASSERT_EQUAL(submit_job(0, "job1", 20), 202);
     CU_ASSERT_EQUAL(submit_job(1, "job1", 20), 202);
     CU_ASSERT_EQUAL(submit_job(0, "job1", 20), 202);
@@ -40,16 +40,16 @@
         g_autofree char *id = g_strdup_printf("job1-%d", item);
         CU_ASSERT_EQUAL(bench_runs(id), 1);
     }
-    bench_answer gone =
+    bench_answer completed =
         bench_send(&(bench_call){.method = "GET", .target = PATH_ITEMS "job1?id=job1-3"});
-    CU_ASSERT_EQUAL(gone.status, 404);
-    bench_answer_clear(&gone);
+    CU_ASSERT_EQUAL(completed.status, 404);
+    bench_answer_clear(&completed);
     bench_answer unknown = bench_send(&(bench_call){.method = "GET", .target = PATH_JOBS "none"});
     CU_ASSERT_EQUAL(unknown.status, 404);
     bench_answer_clear(&unknown);
 }
 
-/** One metric of a daemon; -1: it is not told. */
+/** A metric of a daemon; -1 if the daemon doesn't report it. */
 static int read_metric(int daemon, const char *name) {
     bench_answer metrics = bench_send(
         &(bench_call){.method = "GET", .target = "/metrics", .port = bench_metrics_port(daemon)});
@@ -59,20 +59,20 @@
     return value;
 }
 
-/** Wait until a metric has a value (or more, where @p wanted is over 0). */
+/** Waits until a metric is 0, or at least @p wanted if that is above 0. False after @p limit_ms. */
 static bool wait_for_metric(int daemon, const char *name, int wanted, uint64_t limit_ms) {
     uint64_t until_ms = hs_clock_monotonic_ms() + limit_ms;
-    bool is_there = false;
-    while (!is_there && hs_clock_monotonic_ms() < until_ms) {
+    bool is_reached = false;
+    while (!is_reached && hs_clock_monotonic_ms() < until_ms) {
         int value = read_metric(daemon, name);
-        is_there = wanted > 0 ? value >= wanted : value == 0;
-        if (!is_there)
-            hs_clock_sleep_ms(DEAL_POLL_MS);
+        is_reached = wanted > 0 ? value >= wanted : value == 0;
+        if (!is_reached)
+            hs_clock_sleep_ms(ASSIGNMENT_POLL_MS);
     }
-    return is_there;
+    return is_reached;
 }
 
-/** Whether a daemon owns its even share of the partitions and knows the owners of all others. */
+/** Whether a daemon owns an equal share of the partitions and knows the owners of all others. */
 static bool knows_all_owners(int daemon) {
     int share = BENCH_PARTITIONS / BENCH_DAEMONS;
     return read_metric(daemon, "heathsail_job_partitions_owned ") == share &&
@@ -80,23 +80,24 @@
 }
 
 /**
- * Wait until the store has dealt the partitions to all daemons and each knows it. Between two deals
- * a partition has no owner for a moment, and calls about its jobs are answered from the log.
+ * Waits until the store has assigned the partitions to all daemons and each daemon knows all
+ * owners. During a reassignment a partition has no owner, and calls about its jobs are answered
+ * from the log.
  */
 static bool wait_for_owners(void) {
-    uint64_t limit_ms = hs_clock_monotonic_ms() + DEAL_LIMIT_MS;
+    uint64_t limit_ms = hs_clock_monotonic_ms() + ASSIGNMENT_LIMIT_MS;
     bool is_known = false;
     while (!is_known && hs_clock_monotonic_ms() < limit_ms) {
         is_known = true;
         for (int daemon = 0; daemon < BENCH_DAEMONS && is_known; daemon++)
             is_known = knows_all_owners(daemon);
         if (!is_known)
-            hs_clock_sleep_ms(DEAL_POLL_MS);
+            hs_clock_sleep_ms(ASSIGNMENT_POLL_MS);
     }
     return is_known;
 }
 
-/** Of all daemons one owns the job's partition; the others ask it instead of the log. */
+/** The daemons that don't own the job's partition query its owner instead of the log. */
 static void calls_about_a_job_are_answered_by_its_owner(void) {
     CU_ASSERT_TRUE(wait_for_owners());
     CU_ASSERT_EQUAL(submit_job(0, "job11", 2), 202);
@@ -116,7 +117,7 @@
     CU_ASSERT_EQUAL(from_log, 0);
 }
 
-static void open_items_give_their_bodies_and_ends_stop_them(void) {
+static void open_items_return_their_bodies_and_stop_with_their_job(void) {
     bench_set_engines(TOKEN_ENGINE_FULL);
     CU_ASSERT_EQUAL(submit_job(1, "job2", 3), 202);
     bench_answer body = bench_send(
@@ -136,7 +137,7 @@
     CU_ASSERT_EQUAL(bench_runs("job2-0") + bench_runs("job2-1") + bench_runs("job2-2"), 0);
 }
 
-static void what_cannot_be_done_is_given_up(void) {
+static void impossible_and_failing_items_are_given_up(void) {
     bench_set_engines(TOKEN_ENGINE_IMPOSSIBLE);
     CU_ASSERT_EQUAL(submit_job(0, "job3", 2), 202);
     g_autofree char *page = bench_wait_job(1, "job3", 2, JOB_LIMIT_MS);
@@ -153,7 +154,7 @@
     CU_ASSERT_EQUAL(bench_runs("job4-0"), 2); /* max-attempts of the route. */
 }
 
-static void broken_items_go_on_after_their_last_event(void) {
+static void broken_items_resume_after_their_last_event(void) {
     bench_set_engines(TOKEN_ENGINE_BREAKS);
     CU_ASSERT_EQUAL(submit_job(2, "job5", 4), 202);
     g_autofree char *page = bench_wait_job(0, "job5", 4, JOB_LIMIT_MS);
@@ -164,7 +165,7 @@
     check_job_results(page, 4);
 }
 
-static void a_store_that_refuses_takes_no_job_but_serves_online(void) {
+static void a_refusing_store_rejects_jobs_but_not_online_requests(void) {
     log_store_set_mode(bench.store, LOG_STORE_REFUSES, CALL_APPEND, G_MAXUINT32);
     g_autofree char *body = bench_job("job6", 2);
     bench_answer refused = bench_send(&(bench_call){.method = "POST",
@@ -184,7 +185,7 @@
     bench_answer_clear(&online);
 }
 
-/** Start a daemon anew, with the store at @p store_port (0: directly). */
+/** Kills and starts a daemon, with the store at @p store_port (0: without a proxy). */
 static void restart_daemon(int daemon, uint16_t store_port) {
     bench_signal(daemon, SIGKILL);
     bench.store_port = store_port;
@@ -193,16 +194,16 @@
     CU_ASSERT_TRUE(bench_wait_ready(daemon));
 }
 
-/** A daemon that the store turns away has others take a job, and says so at once. */
-static void a_daemon_cut_from_the_store_passes_jobs_on(void) {
+/** A daemon that can't reach the store has another daemon accept the job, without delay. */
+static void a_daemon_without_store_access_forwards_jobs(void) {
     fault_proxy *proxy = fault_proxy_start(log_store_port(bench.store));
     restart_daemon(0, fault_proxy_port(proxy));
-    hs_clock_sleep_ms(CUT_KNOWN_MS); /* It joins the others. */
+    hs_clock_sleep_ms(MEMBERSHIP_CHANGE_MS); /* It joins the group. */
     fault_proxy_set(proxy, PROXY_RESETS);
-    hs_clock_sleep_ms(CUT_KNOWN_MS); /* What it owned is dealt to others. */
-    uint64_t began_ms = hs_clock_monotonic_ms();
+    hs_clock_sleep_ms(MEMBERSHIP_CHANGE_MS); /* Its partitions are assigned to other daemons. */
+    uint64_t start_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(submit_job(0, "job12", 3), 202);
-    CU_ASSERT(hs_clock_monotonic_ms() - began_ms < 500);
+    CU_ASSERT(hs_clock_monotonic_ms() - start_ms < 500);
     g_autofree char *page = bench_wait_job(1, "job12", 3, JOB_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page != NULL)
@@ -212,8 +213,8 @@
     fault_proxy_stop(proxy);
 }
 
-/** Jobs PREFIX-0 and on until @p daemon runs an item of one; how many; 0: it never does. */
-static int submit_until_it_runs(int daemon, const char *prefix) {
+/** Submits jobs "PREFIX-n" until @p daemon runs an item. Returns their count; 0: it ran none. */
+static int submit_until_daemon_runs_item(int daemon, const char *prefix) {
     for (int index = 0; index < 2 * BENCH_PARTITIONS; index++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, index);
         CU_ASSERT_EQUAL(submit_job(1, id, 1), 202);
@@ -223,28 +224,28 @@
     return 0;
 }
 
-/** Else the new owner and the old one both run the same items in whole. */
-static void an_owner_cut_from_the_store_stops_what_another_was_dealt(void) {
+/** Otherwise the old and the new owner would both run the same items. */
+static void an_owner_without_store_access_stops_reassigned_items(void) {
     fault_proxy *proxy = fault_proxy_start(log_store_port(bench.store));
     restart_daemon(0, fault_proxy_port(proxy));
     CU_ASSERT_TRUE(wait_for_owners());
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
-    CU_ASSERT_TRUE(submit_until_it_runs(0, "job13") > 0);
+    CU_ASSERT_TRUE(submit_until_daemon_runs_item(0, "job13") > 0);
     fault_proxy_set(proxy, PROXY_RESETS);
-    CU_ASSERT_TRUE(wait_for_metric(0, RUNNING_METRIC, 0, DEAL_LIMIT_MS));
+    CU_ASSERT_TRUE(wait_for_metric(0, RUNNING_METRIC, 0, ASSIGNMENT_LIMIT_MS));
     bench_set_engines(TOKEN_ENGINE_SOUND);
     fault_proxy_set(proxy, PROXY_PASSES);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
 }
 
-/** Results of an owner that the store turns away are listed by others, and no item runs again. */
-static void an_owner_cut_from_the_store_lists_its_results(void) {
+/** Other daemons list the results of an owner that can't reach the store; no item runs again. */
+static void results_of_an_owner_without_store_access_are_listed(void) {
     fault_proxy *proxy = fault_proxy_start(log_store_port(bench.store));
     restart_daemon(0, fault_proxy_port(proxy));
     CU_ASSERT_TRUE(wait_for_owners());
     bench_set_engines(TOKEN_ENGINE_SLOW);
-    int count = submit_until_it_runs(0, "job14");
+    int count = submit_until_daemon_runs_item(0, "job14");
     fault_proxy_set(proxy, PROXY_RESETS);
     CU_ASSERT_TRUE(count > 0);
     for (int index = 0; index < count; index++) {
@@ -260,7 +261,7 @@
     fault_proxy_stop(proxy);
 }
 
-static void a_lost_answer_of_the_store_is_no_refusal(void) {
+static void a_lost_store_answer_is_not_a_refusal(void) {
     log_store_set_mode(bench.store, LOG_STORE_LOSES_ANSWER, CALL_APPEND, 3);
     uint32_t status = submit_job(1, "job7", 2);
     log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
@@ -272,7 +273,7 @@
     check_job_results(page, 2);
 }
 
-static void a_read_is_no_404_while_the_store_is_away(void) {
+static void a_read_is_not_404_while_the_store_is_unavailable(void) {
     log_store_set_mode(bench.store, LOG_STORE_REFUSES, CALL_READ, G_MAXUINT32);
     bench_answer answer = bench_send(&(bench_call){.method = "GET", .target = PATH_JOBS "job9"});
     log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
@@ -298,9 +299,9 @@
     CU_ASSERT_PTR_NOT_NULL(older);
 }
 
-/** Jobs for a service that has no engines: at each daemon that owns jobs there are some. */
-static void submit_far_jobs(const char *prefix) {
-    for (int job = 0; job < FAR_JOBS; job++) {
+/** Submits jobs for a service without engines, so that each daemon owns some. */
+static void submit_unserved_jobs(const char *prefix) {
+    for (int job = 0; job < UNSERVED_JOBS; job++) {
         g_autofree char *id = g_strdup_printf("%s%d", prefix, job);
         g_autofree char *body =
             g_strdup_printf("{\"requests\":[{\"id\":\"%s-0\",\"path\":\"/far/run\",\"headers\":{},"
@@ -314,16 +315,16 @@
 }
 
 /**
- * What waits for engines of one service holds up no item of another, and is given up in its time
- * though other items still wait.
+ * Items that wait for engines of one service delay no item of another service, and they are given
+ * up in time while further items wait.
  */
-static void items_without_engines_hold_up_no_others(void) {
-    submit_far_jobs("far");
+static void items_without_engines_delay_no_others(void) {
+    submit_unserved_jobs("far");
     CU_ASSERT_EQUAL(submit_job(0, "near", 20), 202);
-    g_autofree char *page = bench_wait_job(0, "near", 20, NEAR_LIMIT_MS);
+    g_autofree char *page = bench_wait_job(0, "near", 20, SERVED_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
-    submit_far_jobs("later");
-    for (int job = 0; job < FAR_JOBS; job++) {
+    submit_unserved_jobs("later");
+    for (int job = 0; job < UNSERVED_JOBS; job++) {
         g_autofree char *id = g_strdup_printf("far%d", job);
         g_autofree char *given_up = bench_wait_job(0, id, 1, JOB_LIMIT_MS);
         CU_ASSERT_PTR_NOT_NULL(given_up);
@@ -331,21 +332,23 @@
 }
 
 const test_case fleet_job_system_tests[] = {
-    {"a_job_is_taken_once_and_the_same_everywhere", a_job_is_taken_once_and_the_same_everywhere},
+    {"a_job_is_accepted_once_and_identical_at_every_daemon",
+     a_job_is_accepted_once_and_identical_at_every_daemon},
     {"calls_about_a_job_are_answered_by_its_owner", calls_about_a_job_are_answered_by_its_owner},
-    {"open_items_give_their_bodies_and_ends_stop_them",
-     open_items_give_their_bodies_and_ends_stop_them},
-    {"what_cannot_be_done_is_given_up", what_cannot_be_done_is_given_up},
-    {"broken_items_go_on_after_their_last_event", broken_items_go_on_after_their_last_event},
-    {"a_store_that_refuses_takes_no_job_but_serves_online",
-     a_store_that_refuses_takes_no_job_but_serves_online},
-    {"a_daemon_cut_from_the_store_passes_jobs_on", a_daemon_cut_from_the_store_passes_jobs_on},
-    {"an_owner_cut_from_the_store_stops_what_another_was_dealt",
-     an_owner_cut_from_the_store_stops_what_another_was_dealt},
-    {"an_owner_cut_from_the_store_lists_its_results",
-     an_owner_cut_from_the_store_lists_its_results},
-    {"a_lost_answer_of_the_store_is_no_refusal", a_lost_answer_of_the_store_is_no_refusal},
-    {"a_read_is_no_404_while_the_store_is_away", a_read_is_no_404_while_the_store_is_away},
-    {"items_without_engines_hold_up_no_others", items_without_engines_hold_up_no_others},
+    {"open_items_return_their_bodies_and_stop_with_their_job",
+     open_items_return_their_bodies_and_stop_with_their_job},
+    {"impossible_and_failing_items_are_given_up", impossible_and_failing_items_are_given_up},
+    {"broken_items_resume_after_their_last_event", broken_items_resume_after_their_last_event},
+    {"a_refusing_store_rejects_jobs_but_not_online_requests",
+     a_refusing_store_rejects_jobs_but_not_online_requests},
+    {"a_daemon_without_store_access_forwards_jobs", a_daemon_without_store_access_forwards_jobs},
+    {"an_owner_without_store_access_stops_reassigned_items",
+     an_owner_without_store_access_stops_reassigned_items},
+    {"results_of_an_owner_without_store_access_are_listed",
+     results_of_an_owner_without_store_access_are_listed},
+    {"a_lost_store_answer_is_not_a_refusal", a_lost_store_answer_is_not_a_refusal},
+    {"a_read_is_not_404_while_the_store_is_unavailable",
+     a_read_is_not_404_while_the_store_is_unavailable},
+    {"items_without_engines_delay_no_others", items_without_engines_delay_no_others},
     {"jobs_survive_the_loss_of_all_daemons", jobs_survive_the_loss_of_all_daemons},
     {NULL, NULL}};
--- a/tests/system/test_fleet_memory.c
+++ b/tests/system/test_fleet_memory.c
@@ -1,7 +1,7 @@
 /**
  * @file test_fleet_memory.c
- * Callers that read slowly, over real daemons that are told their machines' memory, and an engine
- * that cuts off what nobody reads.
+ * System tests of slow readers with daemons that have a memory budget, and with an engine that cuts
+ * off answers which are not read.
  */
 #include "base/clock.h"
 #include "platform/names.h"
@@ -20,30 +20,30 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** Streams that no kernel's buffers hold, in bytes with their frames. */
+/** Number and size of a stream's events; a stream is larger than the kernel's socket buffers. */
 #define STREAM_EVENTS 220
 #define EVENT_BYTES 1000
-/** An answer unread for this long is cut off, in ms. */
-#define PATIENCE_MS 2000
+/** Time in ms after which the engine cuts off an unread answer. */
+#define UNREAD_LIMIT_MS 2000
 #define SLOW_READERS 300
 #define FEW_READERS 12
-#define LEAVING_READERS 60
-#define LEAVING_ROUNDS 8
-#define LEAVING_STEP_MS 90
-/** A slow reader takes this much at a time, in bytes, and as many times a second: 1 kB/s. */
-#define SIP_BYTES 100
-#define SIPS_A_SECOND 10
-/** How long callers read slowly, in ms: well beyond the engine's patience. */
-#define SLOW_MS 8000
-/** Within this time in ms callers that read on at full speed have all. */
-#define REST_MS 20000
-#define BRISK_CALLERS 4
-#define BRISK_REQUESTS 60
-/** Slow readers beside them may cost brisk callers this much of their p99. */
-#define BRISK_FACTOR 1.2
+#define DISCONNECTING_READERS 60
+#define DISCONNECT_ROUNDS 8
+#define DISCONNECT_STEP_MS 90
+/** Bytes that a slow reader reads at a time, and reads per second: 1 kB/s. */
+#define SLOW_READ_BYTES 100
+#define SLOW_READS_PER_S 10
+/** Time in ms for which callers read slowly, well above the engine's cut-off time. */
+#define SLOW_READING_MS 8000
+/** Limit in ms for callers that then read at full speed to have their complete streams. */
+#define FULL_SPEED_LIMIT_MS 20000
+#define FAST_CALLERS 4
+#define FAST_REQUESTS 60
+/** Factor by which slow readers may increase the p99 of fast callers. */
+#define MAX_P99_FACTOR 1.2
 #define RECEIVE_BYTES 4096
-#define AMPLE_MB 240
-#define SCARCE_MB "26"
+#define LARGE_BUDGET_MB 240
+#define SMALL_BUDGET_MB "26"
 #define SETTINGS_PATH "/tmp/heathsail-memory-%d-%s.toml"
 #define READ_AHEAD "heathsail_streams_read_ahead "
 #define DROPPED "heathsail_streams_dropped "
@@ -52,7 +52,6 @@
 
 static impatient_engine *engine;
 
-/** A caller that reads slowly. */
 typedef struct {
     int descriptor;
     GString *text;
@@ -68,14 +67,14 @@
     return started;
 }
 
-/** Daemon 0 has ample memory, daemon 1 hardly any; daemon 2 is told none. */
+/** Daemon 0 has a large memory budget, daemon 1 a very small one and daemon 2 none. */
 int begin_memory(void) {
     bench_prepare();
     engine = impatient_engine_start(&(impatient_engine_settings){.id = "impatient",
                                                                  .service = "impatient",
                                                                  .events = STREAM_EVENTS,
                                                                  .event_bytes = EVENT_BYTES,
-                                                                 .patience_ms = PATIENCE_MS});
+                                                                 .patience_ms = UNREAD_LIMIT_MS});
     log_store_put(
         bench.store, TOPIC_CONFIG, KEY_CONFIG,
         "{\"version\":9,\"routes\":["
@@ -95,10 +94,10 @@
     impatient_engine_announce(engine, bench.store);
     if (bench_start() != 0)
         return -1;
-    g_autofree char *ample = g_strdup_printf("%d", AMPLE_MB);
+    g_autofree char *large_budget = g_strdup_printf("%d", LARGE_BUDGET_MB);
     bench_signal(0, SIGKILL);
     bench_signal(1, SIGKILL);
-    return start_with_memory(0, ample) && start_with_memory(1, SCARCE_MB) ? 0 : -1;
+    return start_with_memory(0, large_budget) && start_with_memory(1, SMALL_BUDGET_MB) ? 0 : -1;
 }
 
 int end_memory(void) {
@@ -124,8 +123,8 @@
                     (ssize_t)strlen(request));
 }
 
-/** Take up to @p size bytes, without a wait. */
-static void sip(slow_reader *reader, size_t size) {
+/** Reads up to @p size bytes without blocking. */
+static void read_available(slow_reader *reader, size_t size) {
     char bytes[65536];
     if (reader->has_ended)
         return;
@@ -136,37 +135,37 @@
         reader->has_ended = true;
 }
 
-/** All readers, by one thread, until told to stop. */
+/** Readers that one thread serves until @c stopping is set. */
 typedef struct {
     slow_reader *readers;
     guint count;
     gint stopping;
-} crowd;
+} reader_group;
 
 static gpointer read_slowly(gpointer data) {
-    crowd *all = data;
+    reader_group *all = data;
     while (g_atomic_int_get(&all->stopping) == 0) {
         for (guint index = 0; index < all->count; index++)
-            sip(&all->readers[index], SIP_BYTES);
-        hs_clock_sleep_ms(1000 / SIPS_A_SECOND);
+            read_available(&all->readers[index], SLOW_READ_BYTES);
+        hs_clock_sleep_ms(1000 / SLOW_READS_PER_S);
     }
     return NULL;
 }
 
-static void read_the_rest(crowd *all) {
-    uint64_t until_ms = hs_clock_monotonic_ms() + REST_MS;
+static void read_to_end(reader_group *all) {
+    uint64_t until_ms = hs_clock_monotonic_ms() + FULL_SPEED_LIMIT_MS;
     bool has_more = true;
     while (has_more && hs_clock_monotonic_ms() < until_ms) {
         has_more = false;
         for (guint index = 0; index < all->count; index++) {
-            sip(&all->readers[index], 65536);
+            read_available(&all->readers[index], 65536);
             has_more = has_more || !all->readers[index].has_ended;
         }
         hs_clock_sleep_ms(1);
     }
 }
 
-static bool is_whole(const slow_reader *reader) {
+static bool is_complete(const slow_reader *reader) {
     const char *at = reader->text->str;
     const char *end = at + reader->text->len;
     for (int event = 1; event <= STREAM_EVENTS; event++) {
@@ -179,22 +178,22 @@
     return reader->has_ended && strcmp(at, "\n\n") == 0;
 }
 
-static guint count_whole(const crowd *all) {
-    guint whole = 0;
+static guint count_complete(const reader_group *all) {
+    guint complete = 0;
     for (guint index = 0; index < all->count; index++)
-        whole += is_whole(&all->readers[index]);
-    return whole;
+        complete += is_complete(&all->readers[index]);
+    return complete;
 }
 
-/** What came of the readers whose streams are not whole, for whoever reads the output. */
-static void tell_losses(const crowd *all) {
+/** Prints the readers whose streams are incomplete. */
+static void print_incomplete(const reader_group *all) {
     for (guint index = 0; index < all->count; index++)
-        if (!is_whole(&all->readers[index]))
+        if (!is_complete(&all->readers[index]))
             fprintf(stderr, "reader %u: %zu bytes, ended=%d\n", index,
                     all->readers[index].text->len, all->readers[index].has_ended);
 }
 
-static void close_readers(crowd *all) {
+static void close_readers(reader_group *all) {
     for (guint index = 0; index < all->count; index++) {
         close(all->readers[index].descriptor);
         g_string_free(all->readers[index].text, TRUE);
@@ -202,26 +201,26 @@
     g_free(all->readers);
 }
 
-static crowd open_crowd(int daemon, guint count) {
-    crowd all = {.readers = g_new0(slow_reader, count), .count = count};
+static reader_group open_readers(int daemon, guint count) {
+    reader_group all = {.readers = g_new0(slow_reader, count), .count = count};
     for (guint index = 0; index < count; index++)
         open_reader(&all.readers[index], daemon, index);
     return all;
 }
 
-/** One brisk caller's times in ms. */
+/** A fast caller and the times of its requests. */
 typedef struct {
-    uint64_t took_ms[BRISK_REQUESTS];
+    uint64_t latency_ms[FAST_REQUESTS];
     int daemon;
     guint failed;
-} brisk_caller;
+} fast_caller;
 
-static gpointer call_briskly(gpointer data) {
-    brisk_caller *caller = data;
-    for (int index = 0; index < BRISK_REQUESTS; index++) {
-        uint64_t began_ms = hs_clock_monotonic_ms();
+static gpointer send_fast_requests(gpointer data) {
+    fast_caller *caller = data;
+    for (int index = 0; index < FAST_REQUESTS; index++) {
+        uint64_t start_ms = hs_clock_monotonic_ms();
         bench_answer answer = post_request(caller->daemon, "/again/x", "brisk");
-        caller->took_ms[index] = hs_clock_monotonic_ms() - began_ms;
+        caller->latency_ms[index] = hs_clock_monotonic_ms() - start_ms;
         caller->failed += answer.status != 200 || !answer.whole;
         bench_answer_clear(&answer);
     }
@@ -234,26 +233,26 @@
     return (first > second) - (first < second);
 }
 
-/** The p99 in ms of brisk callers; none may fail. */
-static uint64_t brisk_p99_ms(int daemon) {
-    brisk_caller callers[BRISK_CALLERS] = {0};
-    GThread *threads[BRISK_CALLERS];
-    uint64_t times[BRISK_CALLERS * BRISK_REQUESTS];
-    for (int index = 0; index < BRISK_CALLERS; index++) {
+/** Returns the p99 in ms of fast callers, none of whose requests may fail. */
+static uint64_t fast_p99_ms(int daemon) {
+    fast_caller callers[FAST_CALLERS] = {0};
+    GThread *threads[FAST_CALLERS];
+    uint64_t times[FAST_CALLERS * FAST_REQUESTS];
+    for (int index = 0; index < FAST_CALLERS; index++) {
         callers[index].daemon = daemon;
-        threads[index] = g_thread_new("brisk", call_briskly, &callers[index]);
+        threads[index] = g_thread_new("fast", send_fast_requests, &callers[index]);
     }
-    for (int index = 0; index < BRISK_CALLERS; index++) {
+    for (int index = 0; index < FAST_CALLERS; index++) {
         g_thread_join(threads[index]);
         CU_ASSERT_EQUAL(callers[index].failed, 0);
-        memcpy(&times[index * BRISK_REQUESTS], callers[index].took_ms,
-               sizeof callers[index].took_ms);
+        memcpy(&times[index * FAST_REQUESTS], callers[index].latency_ms,
+               sizeof callers[index].latency_ms);
     }
     qsort(times, G_N_ELEMENTS(times), sizeof times[0], compare_times);
     return times[G_N_ELEMENTS(times) * 99 / 100];
 }
 
-/** Most memory that a daemon's process has had, in MB. */
+/** Peak resident memory of a daemon's process in MB; -1 if unknown. */
 static double peak_mb(int daemon) {
     g_autofree char *path = g_strdup_printf("/proc/%d/status", (int)bench.pids[daemon]);
     g_autofree char *text = NULL;
@@ -262,51 +261,52 @@
     return g_ascii_strtod(strstr(text, "VmHWM:") + strlen("VmHWM:"), NULL) / 1024;
 }
 
-/** None loses its stream though its engine is impatient; brisk callers hardly feel them. */
-static void slow_readers_keep_their_streams(void) {
-    uint64_t alone_ms = brisk_p99_ms(0);
+/** No reader loses its stream by the engine's cut-off, and fast callers are barely slowed down. */
+static void slow_readers_get_complete_streams(void) {
+    uint64_t alone_ms = fast_p99_ms(0);
     uint32_t cut_before = impatient_engine_cut(engine);
-    crowd all = open_crowd(0, SLOW_READERS);
-    uint64_t began_ms = hs_clock_monotonic_ms();
+    reader_group all = open_readers(0, SLOW_READERS);
+    uint64_t start_ms = hs_clock_monotonic_ms();
     GThread *thread = g_thread_new("slow", read_slowly, &all);
-    hs_clock_sleep_ms(PATIENCE_MS);
-    uint64_t beside_ms = brisk_p99_ms(0);
-    while (hs_clock_monotonic_ms() < began_ms + SLOW_MS)
-        hs_clock_sleep_ms(SLOW_MS / 100);
+    hs_clock_sleep_ms(UNREAD_LIMIT_MS);
+    uint64_t concurrent_ms = fast_p99_ms(0);
+    while (hs_clock_monotonic_ms() < start_ms + SLOW_READING_MS)
+        hs_clock_sleep_ms(SLOW_READING_MS / 100);
     int charged = metric_of(0, CHARGED);
     int read_ahead = metric_of(0, READ_AHEAD);
     g_atomic_int_set(&all.stopping, 1);
     g_thread_join(thread);
-    read_the_rest(&all);
-    guint whole = count_whole(&all);
-    fprintf(stderr,
-            "slow readers: %u of %u whole, %d read ahead, charged=%d peak_mb=%.1f brisk p99 "
-            "alone=%u beside=%u ms, engine cut %u\n",
-            whole, all.count, read_ahead, charged, peak_mb(0), (unsigned)alone_ms,
-            (unsigned)beside_ms, impatient_engine_cut(engine) - cut_before);
-    tell_losses(&all);
-    CU_ASSERT_EQUAL(whole, SLOW_READERS);
+    read_to_end(&all);
+    guint complete = count_complete(&all);
+    fprintf(
+        stderr,
+        "slow readers: %u of %u complete, %d read ahead, charged=%d peak_mb=%.1f fast callers' p99 "
+        "alone=%u concurrent=%u ms, engine cut %u\n",
+        complete, all.count, read_ahead, charged, peak_mb(0), (unsigned)alone_ms,
+        (unsigned)concurrent_ms, impatient_engine_cut(engine) - cut_before);
+    print_incomplete(&all);
+    CU_ASSERT_EQUAL(complete, SLOW_READERS);
     CU_ASSERT_EQUAL(impatient_engine_cut(engine), cut_before);
     CU_ASSERT(read_ahead >= SLOW_READERS / 2);
     CU_ASSERT_EQUAL(metric_of(0, DROPPED), 0);
-    CU_ASSERT(peak_mb(0) > 0 && peak_mb(0) < AMPLE_MB);
-    CU_ASSERT((double)beside_ms <= BRISK_FACTOR * (double)alone_ms);
+    CU_ASSERT(peak_mb(0) > 0 && peak_mb(0) < LARGE_BUDGET_MB);
+    CU_ASSERT((double)concurrent_ms <= MAX_P99_FACTOR * (double)alone_ms);
     close_readers(&all);
-    hs_clock_sleep_ms(PATIENCE_MS / 4);
+    hs_clock_sleep_ms(UNREAD_LIMIT_MS / 4);
     CU_ASSERT_EQUAL(metric_of(0, CHARGED), 0);
 }
 
-/** Callers that leave while their streams are read ahead: all that was kept is given back. */
-static void held_up_callers_that_leave_take_nothing_with_them(void) {
+/** The callers disconnect while the daemon reads their streams ahead. */
+static void disconnected_readers_free_their_memory(void) {
     uint32_t begun_before = impatient_engine_begun(engine);
-    for (int round = 0; round < LEAVING_ROUNDS; round++) {
-        crowd all = open_crowd(0, LEAVING_READERS);
-        /* Before, within and after the first looks at held-up streams. */
-        hs_clock_sleep_ms((uint64_t)round * LEAVING_STEP_MS);
+    for (int round = 0; round < DISCONNECT_ROUNDS; round++) {
+        reader_group all = open_readers(0, DISCONNECTING_READERS);
+        /* Before, during and after the first checks of blocked streams. */
+        hs_clock_sleep_ms((uint64_t)round * DISCONNECT_STEP_MS);
         close_readers(&all);
     }
     CU_ASSERT(impatient_engine_begun(engine) > begun_before);
-    hs_clock_sleep_ms(PATIENCE_MS / 2);
+    hs_clock_sleep_ms(UNREAD_LIMIT_MS / 2);
     CU_ASSERT_EQUAL(metric_of(0, CHARGED), 0);
     CU_ASSERT_EQUAL(metric_of(0, "heathsail_memory_charged_bytes{kind=\"bodies\"} "), 0);
     CU_ASSERT_EQUAL(kill(bench.pids[0], 0), 0);
@@ -315,12 +315,12 @@
     bench_answer_clear(&answer);
 }
 
-/** With too little memory readers lose streams, with a reason; the process and others live. */
-static void with_too_little_memory_the_slowest_lose_their_streams(void) {
+/** With too little memory some readers lose their streams; the daemon goes on to serve others. */
+static void too_little_memory_drops_slow_streams(void) {
     pid_t pid = bench.pids[1];
-    crowd all = open_crowd(1, FEW_READERS);
+    reader_group all = open_readers(1, FEW_READERS);
     GThread *thread = g_thread_new("slow", read_slowly, &all);
-    hs_clock_sleep_ms(SLOW_MS);
+    hs_clock_sleep_ms(SLOW_READING_MS);
     int dropped = metric_of(1, DROPPED);
     CU_ASSERT(dropped > 0);
     CU_ASSERT_EQUAL(metric_of(1, ENDED_SLOW), dropped);
@@ -330,21 +330,20 @@
     bench_answer_clear(&answer);
     g_atomic_int_set(&all.stopping, 1);
     g_thread_join(thread);
-    read_the_rest(&all);
-    guint whole = count_whole(&all);
-    fprintf(stderr, "too little memory: %d dropped, %u of %u whole, peak_mb=%.1f\n", dropped, whole,
-            all.count, peak_mb(1));
-    CU_ASSERT(whole > 0);
-    CU_ASSERT(whole + (guint)dropped <= FEW_READERS);
+    read_to_end(&all);
+    guint complete = count_complete(&all);
+    fprintf(stderr, "too little memory: %d dropped, %u of %u complete, peak_mb=%.1f\n", dropped,
+            complete, all.count, peak_mb(1));
+    CU_ASSERT(complete > 0);
+    CU_ASSERT(complete + (guint)dropped <= FEW_READERS);
     close_readers(&all);
-    hs_clock_sleep_ms(PATIENCE_MS / 4);
+    hs_clock_sleep_ms(UNREAD_LIMIT_MS / 4);
     answer = post_request(1, "/plain/x", "after");
     CU_ASSERT_EQUAL(answer.status, 200);
     bench_answer_clear(&answer);
 }
 
-/** A body that there is no memory for did not run, and may be sent again. */
-static void a_body_without_memory_is_refused_and_not_run(void) {
+static void a_body_above_the_memory_budget_is_refused_and_not_run(void) {
     g_autofree char *body = g_strnfill(2000000, 'b');
     bench_answer answer = bench_send(&(bench_call){
         .daemon = 1, .method = "POST", .target = "/plain/x", .request_id = "large", .body = body});
@@ -358,8 +357,8 @@
     bench_answer_clear(&answer);
 }
 
-/** Where no memory is told the same body is served, and nothing is read ahead. */
-static void without_a_budget_all_is_as_before(void) {
+/** Without a memory budget the same body is served, and no stream is read ahead. */
+static void without_a_budget_large_bodies_are_served(void) {
     g_autofree char *body = g_strnfill(2000000, 'b');
     bench_answer answer = bench_send(&(bench_call){.daemon = 2,
                                                    .method = "POST",
@@ -373,12 +372,11 @@
 }
 
 const test_case fleet_memory_system_tests[] = {
-    {"slow_readers_keep_their_streams", slow_readers_keep_their_streams},
-    {"held_up_callers_that_leave_take_nothing_with_them",
-     held_up_callers_that_leave_take_nothing_with_them},
-    {"with_too_little_memory_the_slowest_lose_their_streams",
-     with_too_little_memory_the_slowest_lose_their_streams},
-    {"a_body_without_memory_is_refused_and_not_run", a_body_without_memory_is_refused_and_not_run},
-    {"without_a_budget_all_is_as_before", without_a_budget_all_is_as_before},
+    {"slow_readers_get_complete_streams", slow_readers_get_complete_streams},
+    {"disconnected_readers_free_their_memory", disconnected_readers_free_their_memory},
+    {"too_little_memory_drops_slow_streams", too_little_memory_drops_slow_streams},
+    {"a_body_above_the_memory_budget_is_refused_and_not_run",
+     a_body_above_the_memory_budget_is_refused_and_not_run},
+    {"without_a_budget_large_bodies_are_served", without_a_budget_large_bodies_are_served},
     {NULL, NULL},
 };
--- a/tests/system/test_fleet_taking.c
+++ b/tests/system/test_fleet_taking.c
@@ -1,4 +1,8 @@
-/** @file test_fleet_taking.c  The fleet surface: a daemon that is ready takes connections. */
+/**
+ * @file test_fleet_taking.c
+ * System tests that a daemon with many connections either accepts further ones or reports that it
+ * is not ready.
+ */
 #include "platform/names.h"
 #include "tests/system/crowd.h"
 #include "tests/system/system_tests.h"
@@ -8,7 +12,7 @@
 
 #define OPEN_CALLERS 500
 #define QUEUED_CALLERS 1000
-/** More than a listener may have, with what its queue holds. */
+/** More callers than a listener's connection limit and its queue hold together. */
 #define MANY_CALLERS CROWD_MOST
 #define FEW_DESCRIPTORS 300
 
@@ -23,17 +27,17 @@
     "POST /once/x HTTP/1.1\r\nHost: " BENCH_HOST "\r\n" HEADER_REQUEST_ID
     ": silent\r\nContent-Length: 5\r\n\r\nhello";
 
-/** It holds its connection whatever engines do: its body does not come. */
+/** Keeps its connection open, as the rest of its body is never sent. */
 static const char half_request[] = "POST /once/x HTTP/1.1\r\nHost: " BENCH_HOST
                                    "\r\n" HEADER_REQUEST_ID ": half\r\nContent-Length: 5\r\n\r\nhe";
 
-static void restart(int daemon, unsigned descriptors) {
+static void restart_confined(int daemon, unsigned descriptors) {
     bench_signal(daemon, SIGKILL);
     CU_ASSERT_TRUE(bench_start_daemon_confined(daemon, descriptors));
     CU_ASSERT_TRUE(bench_wait_ready(daemon));
 }
 
-static void many_idle_callers_keep_nobody_out(void) {
+static void many_idle_callers_block_no_others(void) {
     crowd_target target = target_of(0);
     crowd_open(&target, OPEN_CALLERS, NULL);
     crowd_check_word(&target, "500 idle callers");
@@ -42,7 +46,7 @@
     crowd_check_recovers(&target);
 }
 
-static void a_full_queue_is_taken_or_told(void) {
+static void a_full_queue_is_accepted_or_reported(void) {
     crowd_target target = target_of(0);
     CU_ASSERT_EQUAL(bench_signal(0, SIGSTOP), 0);
     crowd_open(&target, QUEUED_CALLERS, NULL);
@@ -55,7 +59,7 @@
     crowd_check_recovers(&target);
 }
 
-static void callers_that_wait_on_engines_keep_nobody_out(void) {
+static void callers_waiting_for_engines_block_no_others(void) {
     crowd_target target = target_of(0);
     bench_set_engines(TOKEN_ENGINE_SILENT);
     crowd_open(&target, OPEN_CALLERS, silent_request);
@@ -66,8 +70,8 @@
     crowd_check_recovers(&target);
 }
 
-static void few_descriptors_and_waiting_callers_are_told(void) {
-    restart(1, FEW_DESCRIPTORS);
+static void few_descriptors_and_waiting_callers_are_reported(void) {
+    restart_confined(1, FEW_DESCRIPTORS);
     crowd_target target = target_of(1);
     bench_set_engines(TOKEN_ENGINE_SILENT);
     crowd_open(&target, OPEN_CALLERS, silent_request);
@@ -82,8 +86,8 @@
     crowd_check_recovers(&target);
 }
 
-static void few_descriptors_and_idle_callers_are_told(void) {
-    restart(2, FEW_DESCRIPTORS);
+static void few_descriptors_and_idle_callers_are_reported(void) {
+    restart_confined(2, FEW_DESCRIPTORS);
     crowd_target target = target_of(2);
     crowd_open(&target, OPEN_CALLERS, NULL);
     crowd_check_word(&target, "300 descriptors, 500 idle callers");
@@ -92,9 +96,11 @@
 }
 
 const test_case fleet_taking_system_tests[] = {
-    {"few_descriptors_and_waiting_callers_are_told", few_descriptors_and_waiting_callers_are_told},
-    {"few_descriptors_and_idle_callers_are_told", few_descriptors_and_idle_callers_are_told},
-    {"many_idle_callers_keep_nobody_out", many_idle_callers_keep_nobody_out},
-    {"callers_that_wait_on_engines_keep_nobody_out", callers_that_wait_on_engines_keep_nobody_out},
-    {"a_full_queue_is_taken_or_told", a_full_queue_is_taken_or_told},
+    {"few_descriptors_and_waiting_callers_are_reported",
+     few_descriptors_and_waiting_callers_are_reported},
+    {"few_descriptors_and_idle_callers_are_reported",
+     few_descriptors_and_idle_callers_are_reported},
+    {"many_idle_callers_block_no_others", many_idle_callers_block_no_others},
+    {"callers_waiting_for_engines_block_no_others", callers_waiting_for_engines_block_no_others},
+    {"a_full_queue_is_accepted_or_reported", a_full_queue_is_accepted_or_reported},
     {NULL, NULL}};
--- a/tests/system/test_fleet_tenants.c
+++ b/tests/system/test_fleet_tenants.c
@@ -1,4 +1,4 @@
-/** @file test_fleet_tenants.c  Tenants and their keys over real daemons. */
+/** @file test_fleet_tenants.c  System tests of tenants, their keys and their limits. */
 #include "base/clock.h"
 #include "http/http_fields.h"
 #include "tests/support/fault_proxy.h"
@@ -10,44 +10,45 @@
 #include <signal.h>
 #include <string.h>
 
-/** A version is in force everywhere within this time in ms. */
-#define APPLIED_MS 700
+/** Time in ms within which all daemons apply a configuration. */
+#define APPLY_MS 700
 #define LONG_KEY_BYTES (64 * 1024)
-/** A strict daemon's keys hold for 900 ms; its last word from the store may be a second old. */
-#define STRICT_UNSURE_MS 2500
+/** Time in ms after which a strict daemon without the store accepts no key: its keys are valid for
+ * 900 ms, and its last read of the store may be a second old. */
+#define STRICT_EXPIRY_MS 2500
 #define STREAM_MS 3000
-/** Until partitions are dealt to all daemons, in ms. */
-#define DEALT_MS 2500
+/** Time in ms within which partitions are assigned to all daemons. */
+#define ASSIGNMENT_MS 2500
 
 #define ALPHA_KEY "X-Api-Key: alphasecretkey1"
 #define ALPHA_OTHER_KEY "X-Api-Key: alphasecretkey2"
 #define BETA_KEY "X-Api-Key: betasecretkey1"
-#define BOTH                                                                                       \
+#define BOTH_TENANTS                                                                               \
     "[{\"name\":\"alpha\",\"api-keys\":[\"alphasecretkey1\",\"alphasecretkey2\"]},"                \
     "{\"name\":\"beta\",\"api-keys\":[\"betasecretkey1\"]}]"
-#define WITHOUT_ALPHAS_FIRST                                                                       \
+#define ALPHAS_FIRST_KEY_REVOKED                                                                   \
     "[{\"name\":\"alpha\",\"api-keys\":[\"alphasecretkey2\"]},"                                    \
     "{\"name\":\"beta\",\"api-keys\":[\"betasecretkey1\"]}]"
-#define ALPHAS_FIRST_IS_BETAS                                                                      \
+#define ALPHAS_FIRST_KEY_MOVED_TO_BETA                                                             \
     "[{\"name\":\"alpha\",\"api-keys\":[\"alphasecretkey2\"]},"                                    \
     "{\"name\":\"beta\",\"api-keys\":[\"betasecretkey1\",\"alphasecretkey1\"]}]"
 
-/** Alpha's limit, a second and at one time, far below what the tests send. */
+/** Alpha's rate per second and burst, far below what the tests send. */
 #define LIMIT_RATE 10
-/** More calls in a row than a full bucket and what comes meanwhile let pass. */
-#define DRAIN_CALLS_MOST 60
+/** More calls in a row than a full bucket and its refill admit. */
+#define MAX_DRAIN_CALLS 60
 #define LIMIT_BURST 5
-#define LIMITED                                                                                    \
+#define ALPHA_LIMITED                                                                              \
     "[{\"name\":\"alpha\",\"api-keys\":[\"alphasecretkey1\"],\"rate-per-s\":10,\"burst\":5},"      \
     "{\"name\":\"beta\",\"api-keys\":[\"betasecretkey1\"]}]"
 
 static char log_directory[] = "/tmp/heathsail-tenants-XXXXXX";
 static int version = 100;
 
-/** Put tenants into force at all daemons. */
+/** Configures the tenants and waits until all daemons have applied them. */
 static void configure(const char *tenants) {
     bench_configure_tenants(++version, tenants);
-    hs_clock_sleep_ms(APPLIED_MS);
+    hs_clock_sleep_ms(APPLY_MS);
 }
 
 int begin_tenants(void) {
@@ -55,7 +56,7 @@
         return -1;
     bench.settings = (bench_settings){.log_directory = log_directory};
     int started = begin_bench();
-    configure(BOTH);
+    configure(BOTH_TENANTS);
     return started;
 }
 
@@ -88,7 +89,7 @@
     return status_with(0, "POST", target, id, fields);
 }
 
-/** The call of a request as an engine got it; false: none did. */
+/** Finds a request among the calls that engines received; false if none did. */
 static bool find_call(const char *id, token_engine_call *call) {
     for (int index = 0; index < BENCH_ENGINES; index++)
         for (uint32_t number = 0; token_engine_find_call(bench.engines[index], number, call);
@@ -98,7 +99,7 @@
     return false;
 }
 
-static void a_route_that_is_not_public_takes_a_key(void) {
+static void a_route_that_is_not_public_requires_a_key(void) {
     g_autofree char *letters = g_strnfill(LONG_KEY_BYTES, 'k');
     g_autofree char *long_key = g_strdup_printf("X-Api-Key: %s", letters);
     static const char *const twice[] = {ALPHA_KEY, BETA_KEY, NULL};
@@ -122,7 +123,7 @@
     CU_ASSERT_EQUAL(post_with("/nowhere/x", "nowhere", ALPHA_KEY), 404);
 }
 
-static void engines_get_the_tenant_and_no_key(void) {
+static void engines_receive_the_tenant_but_no_key(void) {
     static const char *const fields[] = {ALPHA_KEY, "Heathsail-Tenant: beta",
                                          "heathsail-tenant: gamma", NULL};
     static const char *const stranger[] = {"Heathsail-Tenant: beta", NULL};
@@ -136,9 +137,9 @@
     CU_ASSERT_STRING_EQUAL(call.tenant, "");
 }
 
-/** A job is its tenant's at all daemons, whoever owns its partition. */
-static void a_job_is_its_tenants_alone(void) {
-    hs_clock_sleep_ms(DEALT_MS);
+/** All daemons give access to the job only to its tenant, independent of the partition's owner. */
+static void a_job_is_accessible_to_its_tenant_only(void) {
+    hs_clock_sleep_ms(ASSIGNMENT_MS);
     static const char *const alpha[] = {ALPHA_KEY, NULL};
     static const char *const other[] = {ALPHA_OTHER_KEY, NULL};
     static const char *const beta[] = {BETA_KEY, NULL};
@@ -148,10 +149,10 @@
                          .request_id = "owned",
                          .body = body,
                          .fields = alpha};
-    bench_answer taken = bench_send(&submit);
-    CU_ASSERT_EQUAL(taken.status, 202);
-    bench_answer_clear(&taken);
-    hs_clock_sleep_ms(DEALT_MS);
+    bench_answer accepted = bench_send(&submit);
+    CU_ASSERT_EQUAL(accepted.status, 202);
+    bench_answer_clear(&accepted);
+    hs_clock_sleep_ms(ASSIGNMENT_MS);
     for (int daemon = 0; daemon < bench_daemons(); daemon++) {
         CU_ASSERT_EQUAL(status_with(daemon, "GET", "/lots/owned?after=0", NULL, alpha), 200);
         CU_ASSERT_EQUAL(status_with(daemon, "GET", "/lots/owned?after=0", NULL, other), 200);
@@ -175,20 +176,20 @@
     CU_ASSERT_FALSE(call.has_key);
 }
 
-/** Its items run on as its tenant's after the key was taken away and all daemons were killed. */
-static void a_jobs_tenant_outlives_its_key_and_its_daemons(void) {
+/** The items still run for the tenant after its key was revoked and all daemons were killed. */
+static void a_job_keeps_its_tenant_after_revocation_and_restarts(void) {
     bench_set_engines(TOKEN_ENGINE_FULL);
     g_autofree char *body = bench_job("kept", 2);
     static const char *const alpha[] = {ALPHA_KEY, NULL};
     static const char *const other[] = {ALPHA_OTHER_KEY, NULL};
-    bench_answer taken = bench_send(&(bench_call){.method = "POST",
-                                                  .target = "/jobs/x",
-                                                  .request_id = "kept",
-                                                  .body = body,
-                                                  .fields = alpha});
-    CU_ASSERT_EQUAL(taken.status, 202);
-    bench_answer_clear(&taken);
-    configure(WITHOUT_ALPHAS_FIRST);
+    bench_answer accepted = bench_send(&(bench_call){.method = "POST",
+                                                     .target = "/jobs/x",
+                                                     .request_id = "kept",
+                                                     .body = body,
+                                                     .fields = alpha});
+    CU_ASSERT_EQUAL(accepted.status, 202);
+    bench_answer_clear(&accepted);
+    configure(ALPHAS_FIRST_KEY_REVOKED);
     for (int daemon = 0; daemon < bench_daemons(); daemon++)
         bench_signal(daemon, SIGKILL);
     for (int daemon = 0; daemon < bench_daemons(); daemon++)
@@ -209,57 +210,57 @@
     token_engine_call call = {0};
     CU_ASSERT_TRUE(find_call("kept-1", &call));
     CU_ASSERT_STRING_EQUAL(call.tenant, "alpha");
-    configure(BOTH);
+    configure(BOTH_TENANTS);
 }
 
-/** On a connection that was kept, and for a request that was held as the key was taken away. */
-static void a_key_that_was_taken_away_opens_nothing(void) {
+/** A revoked key is refused, also on a reused connection, until another tenant has it. */
+static void a_revoked_key_is_refused(void) {
     static const char *const alpha[] = {ALPHA_KEY, NULL};
-    hs_client_connection *kept = NULL;
+    hs_client_connection *connection = NULL;
     bench_call call = {.method = "POST",
                        .target = "/plain/x",
                        .request_id = "before",
                        .body = "hello",
                        .fields = alpha,
-                       .kept = &kept};
+                       .kept = &connection};
     bench_answer answer = bench_send(&call);
     CU_ASSERT_EQUAL(answer.status, 200);
     bench_answer_clear(&answer);
-    configure(WITHOUT_ALPHAS_FIRST);
+    configure(ALPHAS_FIRST_KEY_REVOKED);
     call.request_id = "after";
     answer = bench_send(&call);
     CU_ASSERT_EQUAL(answer.status, 401);
     bench_answer_clear(&answer);
-    if (kept != NULL)
-        hs_client_connection_close(kept);
-    token_engine_call seen;
-    CU_ASSERT_FALSE(find_call("after", &seen));
-    configure(ALPHAS_FIRST_IS_BETAS);
+    if (connection != NULL)
+        hs_client_connection_close(connection);
+    token_engine_call received;
+    CU_ASSERT_FALSE(find_call("after", &received));
+    configure(ALPHAS_FIRST_KEY_MOVED_TO_BETA);
     CU_ASSERT_EQUAL(post_with("/plain/x", "moved", ALPHA_KEY), 200);
-    CU_ASSERT_TRUE(find_call("moved", &seen));
-    CU_ASSERT_STRING_EQUAL(seen.tenant, "beta");
-    configure(BOTH);
+    CU_ASSERT_TRUE(find_call("moved", &received));
+    CU_ASSERT_STRING_EQUAL(received.tenant, "beta");
+    configure(BOTH_TENANTS);
 }
 
-static gpointer take_key_away(gpointer data) {
+static gpointer revoke_key(gpointer data) {
     (void)data;
     hs_clock_sleep_ms(300);
-    bench_configure_tenants(++version, WITHOUT_ALPHAS_FIRST);
+    bench_configure_tenants(++version, ALPHAS_FIRST_KEY_REVOKED);
     return NULL;
 }
 
-static void a_held_request_goes_by_the_version_in_force(void) {
+static void a_held_request_is_checked_by_the_current_configuration(void) {
     bench_set_engines(TOKEN_ENGINE_FULL);
-    GThread *operator= g_thread_new("operator", take_key_away, NULL);
-    uint64_t began_ms = hs_clock_monotonic_ms();
+    GThread *operator= g_thread_new("operator", revoke_key, NULL);
+    uint64_t start_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(post_with("/plain/x", "held", ALPHA_KEY), 401);
-    CU_ASSERT(hs_clock_monotonic_ms() - began_ms < 300 + 2 * APPLIED_MS);
+    CU_ASSERT(hs_clock_monotonic_ms() - start_ms < 300 + 2 * APPLY_MS);
     g_thread_join(operator);
     bench_set_engines(TOKEN_ENGINE_SOUND);
-    configure(BOTH);
+    configure(BOTH_TENANTS);
 }
 
-/** Start a daemon anew that holds by keys strictly, with its store behind a proxy. */
+/** Restarts a daemon with strict revocation, which reaches the store through a proxy. */
 static fault_proxy *start_strict_daemon(int daemon) {
     g_autofree char *path = g_strdup_printf("%s/strict.conf", log_directory);
     CU_ASSERT_TRUE(
@@ -286,30 +287,30 @@
 }
 
 /**
- * A daemon that is cut off from the store says yes by the last keys it knew; one that holds by keys
- * strictly says it does not know, after the time for which they hold, and serves what is public.
+ * A daemon with strict revocation that can't reach the store accepts keys for a limited time, then
+ * answers 503, except on public routes.
  */
-static void keys_hold_for_a_while_without_the_store(void) {
+static void keys_are_valid_for_a_limited_time_without_the_store(void) {
     fault_proxy *proxy = start_strict_daemon(2);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "strict", ALPHA_KEY), 200);
     fault_proxy_set(proxy, PROXY_RESETS);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "just-cut", ALPHA_KEY), 200);
-    hs_clock_sleep_ms(STRICT_UNSURE_MS);
+    hs_clock_sleep_ms(STRICT_EXPIRY_MS);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "long-cut", ALPHA_KEY), 503);
     CU_ASSERT_EQUAL(post_at(2, "/plain/open/x", "long-cut-open", NULL), 200);
     fault_proxy_set(proxy, PROXY_PASSES);
-    hs_clock_sleep_ms(STRICT_UNSURE_MS);
+    hs_clock_sleep_ms(STRICT_EXPIRY_MS);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "healed", ALPHA_KEY), 200);
     end_strict_daemon(2, proxy);
 }
 
-/** A stream of a key that is taken away ends where keys hold strictly, and goes on elsewhere. */
-static void streams_of_a_key_that_was_taken_away(void) {
+/** With strict revocation a stream ends when its key is revoked; without, the stream continues. */
+static void streams_of_a_revoked_key_end_with_strict_revocation(void) {
     fault_proxy *proxy = start_strict_daemon(2);
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
     static const char *const alpha[] = {ALPHA_KEY, NULL};
     for (int daemon = 1; daemon <= 2; daemon++) {
-        GThread *operator= g_thread_new("operator", take_key_away, NULL);
+        GThread *operator= g_thread_new("operator", revoke_key, NULL);
         bench_answer answer = bench_send(&(bench_call){.daemon = daemon,
                                                        .method = "POST",
                                                        .target = "/once/x",
@@ -321,14 +322,14 @@
         CU_ASSERT_FALSE(answer.whole);
         CU_ASSERT_EQUAL(answer.left, daemon == 1);
         bench_answer_clear(&answer);
-        configure(BOTH);
+        configure(BOTH_TENANTS);
     }
     bench_set_engines(TOKEN_ENGINE_SOUND);
     end_strict_daemon(2, proxy);
 }
 
-/** Send requests as alpha at all daemons in turn, one each @p pause_ms; how many were served. */
-static int press(const char *prefix, int count, unsigned pause_ms, int *refused) {
+/** Sends requests as alpha to all daemons in turn, one each @p pause_ms. Returns those served. */
+static int send_as_alpha(const char *prefix, int count, unsigned pause_ms, int *refused) {
     int served = 0;
     for (int index = 0; index < count; index++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, index);
@@ -341,40 +342,40 @@
     return served;
 }
 
-/** What all daemons together let pass, before and after the tenant's home is killed. */
-static void a_limit_holds_over_all_daemons(void) {
-    configure(LIMITED);
+/** The daemons together keep the limit, also when the tenant's limit owner is killed. */
+static void a_limit_holds_across_all_daemons(void) {
+    configure(ALPHA_LIMITED);
     hs_clock_sleep_ms(1000); /* The bucket is full. */
-    uint64_t began_ms = hs_clock_monotonic_ms();
+    uint64_t start_ms = hs_clock_monotonic_ms();
     int refused = 0;
-    int served = press("limit", 150, 5, &refused);
-    double allowed = LIMIT_BURST + LIMIT_RATE * (double)(hs_clock_monotonic_ms() - began_ms) / 1000;
+    int served = send_as_alpha("limit", 150, 5, &refused);
+    double allowed = LIMIT_BURST + LIMIT_RATE * (double)(hs_clock_monotonic_ms() - start_ms) / 1000;
     CU_ASSERT_EQUAL(served + refused, 150);
     CU_ASSERT(served <= (int)allowed + 1);
     CU_ASSERT(served >= (int)(allowed * 0.7));
-    /* Whichever is the home: each is killed once, and requests go on at the others. */
+    /* Each daemon, and thus the limit owner, is killed once; the others go on to serve. */
     for (int daemon = 0; daemon < bench_daemons(); daemon++) {
         bench_signal(daemon, SIGKILL);
-        served += press(daemon == 0   ? "killed-0"
-                        : daemon == 1 ? "killed-1"
-                                      : "killed-2",
-                        90, 5, &refused);
+        served += send_as_alpha(daemon == 0   ? "killed-0"
+                                : daemon == 1 ? "killed-1"
+                                              : "killed-2",
+                                90, 5, &refused);
         bench_start_daemon(daemon, false);
         CU_ASSERT_TRUE(bench_wait_ready(daemon));
     }
-    allowed = LIMIT_BURST + LIMIT_RATE * (double)(hs_clock_monotonic_ms() - began_ms) / 1000;
+    allowed = LIMIT_BURST + LIMIT_RATE * (double)(hs_clock_monotonic_ms() - start_ms) / 1000;
     CU_ASSERT(served <= (int)allowed + 1);
-    configure(BOTH);
+    configure(BOTH_TENANTS);
 }
 
 /**
- * Send requests as alpha until one is refused, which is returned. Room for one comes each 100 ms,
- * so that a certain request may be the one that finds it.
+ * Sends requests as alpha until one is refused, and returns its answer. The limit admits a request
+ * each 100 ms, so that a single request might be admitted. Free the answer with bench_answer_clear.
  */
-static bench_answer press_until_refused(void) {
+static bench_answer send_until_refused(void) {
     static const char *const alpha[] = {ALPHA_KEY, NULL};
     bench_answer answer = {0};
-    for (int index = 0; index < DRAIN_CALLS_MOST && answer.status != 429; index++) {
+    for (int index = 0; index < MAX_DRAIN_CALLS && answer.status != 429; index++) {
         g_autofree char *id = g_strdup_printf("told-when-%d", index);
         bench_answer_clear(&answer);
         answer = call_with(index % bench_daemons(), "POST", "/plain/x", id, alpha);
@@ -382,13 +383,12 @@
     return answer;
 }
 
-/** A caller that comes back at the time it was told finds room; one that does not is refused. */
-static void a_refused_caller_is_told_when_there_is_room(void) {
-    configure(LIMITED);
+static void a_request_after_retry_after_is_admitted(void) {
+    configure(ALPHA_LIMITED);
     int refused = 0;
-    press("drain", DRAIN_CALLS_MOST, 0, &refused);
+    send_as_alpha("drain", MAX_DRAIN_CALLS, 0, &refused);
     CU_ASSERT(refused > 0);
-    bench_answer answer = press_until_refused();
+    bench_answer answer = send_until_refused();
     CU_ASSERT_EQUAL(answer.status, 429);
     const char *after =
         answer.fields != NULL ? hs_http_fields_find(answer.fields, "Retry-After") : NULL;
@@ -400,10 +400,9 @@
     CU_ASSERT_EQUAL(post_with("/plain/x", "returned", ALPHA_KEY), 200);
     CU_ASSERT_EQUAL(post_with("/plain/x", "of-beta", BETA_KEY), 200);
     CU_ASSERT(metric_of(0, "heathsail_requests_ended{reason=\"over_limit\"}") > 0);
-    configure(BOTH);
+    configure(BOTH_TENANTS);
 }
 
-/** Keys are credentials: they stand in no line of a log, whatever became of the request. */
 static void no_key_is_logged(void) {
     CU_ASSERT_EQUAL(post_with("/plain/x", "unknown", "X-Api-Key: unknownsecretkey"), 401);
     for (int daemon = 0; daemon < bench_daemons(); daemon++) {
@@ -417,16 +416,19 @@
 }
 
 const test_case fleet_tenant_system_tests[] = {
-    {"a_route_that_is_not_public_takes_a_key", a_route_that_is_not_public_takes_a_key},
-    {"engines_get_the_tenant_and_no_key", engines_get_the_tenant_and_no_key},
-    {"a_job_is_its_tenants_alone", a_job_is_its_tenants_alone},
-    {"a_jobs_tenant_outlives_its_key_and_its_daemons",
-     a_jobs_tenant_outlives_its_key_and_its_daemons},
-    {"a_key_that_was_taken_away_opens_nothing", a_key_that_was_taken_away_opens_nothing},
-    {"a_held_request_goes_by_the_version_in_force", a_held_request_goes_by_the_version_in_force},
-    {"keys_hold_for_a_while_without_the_store", keys_hold_for_a_while_without_the_store},
-    {"streams_of_a_key_that_was_taken_away", streams_of_a_key_that_was_taken_away},
-    {"a_limit_holds_over_all_daemons", a_limit_holds_over_all_daemons},
-    {"a_refused_caller_is_told_when_there_is_room", a_refused_caller_is_told_when_there_is_room},
+    {"a_route_that_is_not_public_requires_a_key", a_route_that_is_not_public_requires_a_key},
+    {"engines_receive_the_tenant_but_no_key", engines_receive_the_tenant_but_no_key},
+    {"a_job_is_accessible_to_its_tenant_only", a_job_is_accessible_to_its_tenant_only},
+    {"a_job_keeps_its_tenant_after_revocation_and_restarts",
+     a_job_keeps_its_tenant_after_revocation_and_restarts},
+    {"a_revoked_key_is_refused", a_revoked_key_is_refused},
+    {"a_held_request_is_checked_by_the_current_configuration",
+     a_held_request_is_checked_by_the_current_configuration},
+    {"keys_are_valid_for_a_limited_time_without_the_store",
+     keys_are_valid_for_a_limited_time_without_the_store},
+    {"streams_of_a_revoked_key_end_with_strict_revocation",
+     streams_of_a_revoked_key_end_with_strict_revocation},
+    {"a_limit_holds_across_all_daemons", a_limit_holds_across_all_daemons},
+    {"a_request_after_retry_after_is_admitted", a_request_after_retry_after_is_admitted},
     {"no_key_is_logged", no_key_is_logged},
     {NULL, NULL}};
--- a/tests/system/test_fleet_upgrade.c
+++ b/tests/system/test_fleet_upgrade.c
@@ -1,7 +1,7 @@
 /**
  * @file test_fleet_upgrade.c
- * Daemons of an earlier build and of this one side by side, over real processes: replaced one after
- * the other, killed, rolled back, stopped half-way.
+ * System tests of daemons of an earlier build together with daemons of this build: rolling upgrade,
+ * rollback, kills and a partial upgrade.
  */
 #include "base/clock.h"
 #include "tests/system/crash_calls.h"
@@ -13,41 +13,40 @@
 #include <signal.h>
 #include <stdio.h>
 
-/** Streams of engines, long enough that some go on over a daemon's end: 1.2 s. */
+/** Engines' streams of 1.2 s, so that some are open when a daemon stops. */
 #define STREAM_EVENTS 40
 #define STREAM_EVENT_MS 30
-/** Callers beside the upgrade, one thread each, and their pause in ms. */
+/** Callers during the upgrade, one thread each, and the pause between their requests in ms. */
 #define CALLERS 8
 #define CALLER_PAUSE_MS 30
-/** Of every so many calls of a caller one submits a job. */
+/** One of this many calls submits a job. */
 #define CALLS_PER_JOB 12
 #define JOB_ITEMS 4
-/** Between two replacements, in ms: so long that partitions are dealt and jobs come to the new one.
- */
+/** Time in ms after a replacement for the new daemon to get partitions and jobs. */
 #define SETTLE_MS 1500
-/** What is held back may need so long to be in the store, in ms. */
-#define STORED_MS 1500
-/** The engines of an unlucky item are crashed so long after it began, in ms. */
-#define MIDDLE_MS 300
+/** Time in ms within which a quarantine is written to the store. */
+#define STORE_WRITE_MS 1500
+/** Delay in ms from the start of an item's run to the crash of its engine. */
+#define CRASH_DELAY_MS 300
 /** The platform's finish-s in ms. */
 #define FINISH_MS 18000
 
 /** When a daemon was last killed; monotonic ms. */
 static gsize killed_ms;
 
-/** Callers that go on while daemons are replaced. */
+/** Callers that send requests while daemons are replaced. */
 typedef struct {
     gint stopping;
-    gint numbers;
+    gint call_count;
     GMutex lock;
     uint32_t served;
-    uint32_t broken;    /**< Under way as a daemon was killed. */
-    uint32_t failed;    /**< Others that were not served: none may be. */
-    GPtrArray *job_ids; /**< of char*: accepted ones. */
+    uint32_t broken;    /**< Not served, in progress when a daemon was killed. */
+    uint32_t failed;    /**< Not served for another reason: must be 0. */
+    GPtrArray *job_ids; /**< char*: accepted jobs. */
     GThread *threads[CALLERS];
 } callers;
 
-static void submit_one(callers *group, int daemon, gint number) {
+static void send_job(callers *group, int daemon, gint number) {
     g_autofree char *id = g_strdup_printf("up-%d-%" G_GINT64_FORMAT, number, g_get_real_time());
     g_autofree char *body = bench_job(id, JOB_ITEMS);
     bench_answer answer = crash_send(daemon, "/jobs/x", id, body);
@@ -58,13 +57,13 @@
     bench_answer_clear(&answer);
 }
 
-/** A caller whose daemon is gone asks the next one, as one that resolves anew does. */
-static void ask_one(callers *group, int daemon, gint number) {
+/** Sends a request; tries the next daemon if one can't be reached, as after another look-up. */
+static void send_request(callers *group, int daemon, gint number) {
     static const char *const targets[] = {"/plain/x", "/again/x", "/once/x"};
     const char *target = targets[number % G_N_ELEMENTS(targets)];
     g_autofree char *id = g_strdup_printf("asked-%d", number);
     bench_answer answer = {0};
-    uint64_t began_ms = hs_clock_monotonic_ms();
+    uint64_t start_ms = hs_clock_monotonic_ms();
     for (int turn = 0; turn < BENCH_DAEMONS && answer.status == 0; turn++) {
         bench_answer_clear(&answer);
         answer = crash_send((daemon + turn) % BENCH_DAEMONS, target, id, "asked");
@@ -72,22 +71,22 @@
     bool is_served = answer.status == 200 && answer.whole;
     g_mutex_lock(&group->lock);
     group->served += is_served;
-    bool is_excused = (uint64_t)g_atomic_pointer_get(&killed_ms) >= began_ms;
-    group->broken += !is_served && is_excused;
-    group->failed += !is_served && !is_excused;
+    bool is_broken_by_kill = (uint64_t)g_atomic_pointer_get(&killed_ms) >= start_ms;
+    group->broken += !is_served && is_broken_by_kill;
+    group->failed += !is_served && !is_broken_by_kill;
     g_mutex_unlock(&group->lock);
     bench_answer_clear(&answer);
 }
 
-static gpointer call_on(gpointer data) {
+static gpointer run_caller(gpointer data) {
     callers *group = data;
     while (g_atomic_int_get(&group->stopping) == 0) {
-        gint number = g_atomic_int_add(&group->numbers, 1);
+        gint number = g_atomic_int_add(&group->call_count, 1);
         int daemon = number % BENCH_DAEMONS;
         if (number % CALLS_PER_JOB == 0)
-            submit_one(group, daemon, number);
+            send_job(group, daemon, number);
         else
-            ask_one(group, daemon, number);
+            send_request(group, daemon, number);
         hs_clock_sleep_ms(CALLER_PAUSE_MS);
     }
     return NULL;
@@ -97,10 +96,10 @@
     *group = (callers){.job_ids = g_ptr_array_new_with_free_func(g_free)};
     g_mutex_init(&group->lock);
     for (int index = 0; index < CALLERS; index++)
-        group->threads[index] = g_thread_new("caller", call_on, group);
+        group->threads[index] = g_thread_new("caller", run_caller, group);
 }
 
-/** All items of a job are there, whole, and the same at every daemon. */
+/** Checks that all items of a job are completed and that every daemon returns the same page. */
 static void check_job(const char *id) {
     g_autofree char *first = bench_wait_job(0, id, JOB_ITEMS, FINISH_MS);
     CU_ASSERT_PTR_NOT_NULL(first);
@@ -116,7 +115,7 @@
     json_decref(root);
 }
 
-/** What a killed daemon had under way may break, and nothing else; all jobs are whole. */
+/** Checks that only requests in progress at a kill were broken, and that all jobs are complete. */
 static void stop_callers(callers *group) {
     g_atomic_int_set(&group->stopping, 1);
     for (int index = 0; index < CALLERS; index++)
@@ -132,23 +131,23 @@
     g_mutex_clear(&group->lock);
 }
 
-static void replace(int index, int signal_number, bool by_past) {
+static void replace(int index, int signal_number, bool is_past) {
     if (signal_number == SIGKILL)
         g_atomic_pointer_set(&killed_ms, (gsize)hs_clock_monotonic_ms());
     bench_signal(index, signal_number);
-    bench.is_past[index] = by_past;
+    bench.is_past[index] = is_past;
     bench_start_daemon(index, false);
     CU_ASSERT_TRUE(bench_wait_ready(index));
     hs_clock_sleep_ms(SETTLE_MS);
 }
 
-static void run_all(bool by_past) {
+static void run_all_as(bool is_past) {
     for (int index = 0; index < BENCH_DAEMONS; index++)
-        if (bench.is_past[index] != by_past)
-            replace(index, SIGTERM, by_past);
+        if (bench.is_past[index] != is_past)
+            replace(index, SIGTERM, is_past);
 }
 
-static void replaced_in_turn(void) {
+static void a_rolling_upgrade_loses_nothing(void) {
     callers group;
     start_callers(&group);
     for (int index = 0; index < BENCH_DAEMONS; index++)
@@ -156,19 +155,19 @@
     stop_callers(&group);
 }
 
-static void rolled_back_in_turn(void) {
+static void a_rolling_rollback_loses_nothing(void) {
     callers group;
-    run_all(false);
+    run_all_as(false);
     start_callers(&group);
     for (int index = 0; index < BENCH_DAEMONS; index++)
         replace(index, SIGTERM, true);
     stop_callers(&group);
 }
 
-/** Killed ones come back as the new build; one of these dies and comes back as the old one. */
-static void killed_and_replaced(void) {
+/** Killed daemons restart as the new build, and one of them temporarily as the old build. */
+static void kills_during_an_upgrade_lose_no_job(void) {
     callers group;
-    run_all(true);
+    run_all_as(true);
     start_callers(&group);
     replace(0, SIGKILL, false);
     replace(0, SIGKILL, true);
@@ -177,11 +176,10 @@
     stop_callers(&group);
 }
 
-/** What ends its engines is held back at old and new daemons alike, whoever saw it, and stays so.
- */
-static void what_crashes_engines_is_held_back_by_both_builds(void) {
+/** Old and new daemons quarantine the content, also after all have been upgraded. */
+static void both_builds_quarantine_a_crashing_content(void) {
     static const char body[] = "fatal-upgrade";
-    run_all(true);
+    run_all_as(true);
     replace(1, SIGTERM, false);
     CU_ASSERT_TRUE(crash_fleet_wait_up(crash_engines()));
     uint32_t before = crash_fleet_crashes(crash_engines());
@@ -196,23 +194,23 @@
     uint32_t known = crash_fleet_crashes(crash_engines());
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
         CU_ASSERT_TRUE(crash_is_refused(daemon, "/plain/x", body, body));
-    hs_clock_sleep_ms(STORED_MS);
-    run_all(false);
+    hs_clock_sleep_ms(STORE_WRITE_MS);
+    run_all_as(false);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
         CU_ASSERT_TRUE(crash_is_refused(daemon, "/plain/x", body, body));
     CU_ASSERT_EQUAL(crash_fleet_crashes(crash_engines()), known);
 }
 
 /**
- * An item whose engines crash by themselves is held back by both; it ends once a new daemon has it,
- * also where old ones decide on trials, which know of none for it.
+ * Both builds quarantine an item whose engines crash for other reasons. It completes once a new
+ * daemon owns it, also if old daemons, which grant it no trial run, decide on trials.
  */
-static void an_unlucky_item_ends_as_new_daemons_come(void) {
-    run_all(true);
+static void a_quarantined_item_completes_on_new_daemons(void) {
+    run_all_as(true);
     replace(0, SIGTERM, false);
     CU_ASSERT_TRUE(crash_fleet_wait_up(crash_engines()));
     uint32_t before = crash_fleet_crashes(crash_engines());
-    crash_fleet_crash_under(crash_engines(), "unlucky-0", MIDDLE_MS, CRASHES_KNOWN);
+    crash_fleet_crash_under(crash_engines(), "unlucky-0", CRASH_DELAY_MS, CRASHES_KNOWN);
     g_autofree char *body =
         g_strdup("{\"requests\":[{\"id\":\"unlucky-0\",\"path\":\"/jobs/run\",\"headers\":{},"
                  "\"body\":\"dW5sdWNreQ==\",\"tokens\":10}]}");
@@ -220,14 +218,14 @@
     CU_ASSERT_EQUAL(answer.status, 202);
     bench_answer_clear(&answer);
     CU_ASSERT_TRUE(crash_wait(before, CRASHES_KNOWN, FINISH_MS));
-    replace(1, SIGTERM, false); /* One that is old stays. */
+    replace(1, SIGTERM, false); /* One old daemon remains. */
     bool is_owner_old = metric_of(2, "heathsail_job_partitions_owned ") > 0;
-    fprintf(stderr, "upgrade: the old daemon owns partitions: %d\n", is_owner_old);
+    fprintf(stderr, "upgrade: old daemon owns partitions: %d\n", is_owner_old);
     g_autofree char *page = bench_wait_job(0, "unlucky", 1, FINISH_MS);
-    if (page == NULL) /* The old one had it. */
+    if (page == NULL) /* The old daemon owns it. */
         replace(2, SIGTERM, false);
-    g_autofree char *in_the_end = bench_wait_job(0, "unlucky", 1, FINISH_MS);
-    CU_ASSERT_PTR_NOT_NULL(in_the_end);
+    g_autofree char *last_page = bench_wait_job(0, "unlucky", 1, FINISH_MS);
+    CU_ASSERT_PTR_NOT_NULL(last_page);
 }
 
 int begin_upgrade(void) {
@@ -249,11 +247,10 @@
 }
 
 const test_case fleet_upgrade_system_tests[] = {
-    {"replaced_in_turn", replaced_in_turn},
-    {"rolled_back_in_turn", rolled_back_in_turn},
-    {"killed_and_replaced", killed_and_replaced},
-    {"what_crashes_engines_is_held_back_by_both_builds",
-     what_crashes_engines_is_held_back_by_both_builds},
-    {"an_unlucky_item_ends_as_new_daemons_come", an_unlucky_item_ends_as_new_daemons_come},
+    {"a_rolling_upgrade_loses_nothing", a_rolling_upgrade_loses_nothing},
+    {"a_rolling_rollback_loses_nothing", a_rolling_rollback_loses_nothing},
+    {"kills_during_an_upgrade_lose_no_job", kills_during_an_upgrade_lose_no_job},
+    {"both_builds_quarantine_a_crashing_content", both_builds_quarantine_a_crashing_content},
+    {"a_quarantined_item_completes_on_new_daemons", a_quarantined_item_completes_on_new_daemons},
     {NULL, NULL},
 };
