--- a/tests/system/test_fleet.c
+++ b/tests/system/test_fleet.c
@@ -265,14 +265,14 @@
 }
 
 /** Whether the directory of one daemon resolves to the front address of another. */
-static bool is_resolvable(int resolver, int daemon) {
+static bool is_resolvable(int resolver_daemon, int daemon) {
     g_autofree char *address = g_strdup_printf("127.0.0.1:%u", bench_front_port(daemon));
     bench_answer answer = bench_send(&(bench_call){.method = "GET",
                                                    .target = PATH_RESOLVE "?name=a&zone=zone-a",
-                                                   .port = bench_directory_port(resolver)});
-    bool is_listed = answer.status == 200 && strstr(answer.body, address) != NULL;
+                                                   .port = bench_directory_port(resolver_daemon)});
+    bool has_address = answer.status == 200 && strstr(answer.body, address) != NULL;
     bench_answer_clear(&answer);
-    return is_listed;
+    return has_address;
 }
 
 static void a_stop_drains_requests_and_updates_the_directory(void) {
--- a/tests/system/test_fleet_callers.c
+++ b/tests/system/test_fleet_callers.c
@@ -21,7 +21,7 @@
 /** Time in ms for which the engines refuse all requests after the last caller has disconnected, and
  * time for which their calls are recorded afterwards. */
 #define REFUSAL_MS 1500
-#define OBSERVATION_MS 2500
+#define ENGINE_OBSERVATION_MS 2500
 #define UNREAD_CALLERS 40
 #define WAITING_CALLERS 24
 /** Delay in ms from the callers' arrival until the engines refuse all requests; it ends within the
@@ -121,7 +121,7 @@
     bench_set_engines(TOKEN_ENGINE_FULL);
     hs_clock_sleep_ms(REFUSAL_MS);
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
-    hs_clock_sleep_ms(OBSERVATION_MS);
+    hs_clock_sleep_ms(ENGINE_OBSERVATION_MS);
     check_engines(callers, CALLERS, "fleet, callers that leave");
     bench_set_engines(TOKEN_ENGINE_SOUND);
     free_bytes(callers, CALLERS);
--- a/tests/system/test_fleet_crashes.c
+++ b/tests/system/test_fleet_crashes.c
@@ -132,7 +132,7 @@
     bench_answer_clear(&answer);
 }
 
-static gpointer run_caller(gpointer data) {
+static gpointer run_other_caller(gpointer data) {
     callers *group = data;
     while (g_atomic_int_get(&group->stopping) == 0) {
         send_other_request(group);
@@ -145,7 +145,7 @@
     memset(group, 0, sizeof *group);
     g_mutex_init(&group->lock);
     for (int index = 0; index < CALLERS; index++)
-        group->threads[index] = g_thread_new("caller", run_caller, group);
+        group->threads[index] = g_thread_new("caller", run_other_caller, group);
 }
 
 static void stop_callers(callers *group) {
--- a/tests/system/test_fleet_edges.c
+++ b/tests/system/test_fleet_edges.c
@@ -94,7 +94,7 @@
 }
 
 /** Submits a job of one item and waits until the item runs. */
-static void start_item(const char *job, const char *item) {
+static void start_single_item(const char *job, const char *item) {
     hs_clock_sleep_ms(2500); /* Until the partitions are assigned to all daemons. */
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
     g_autofree char *body = bench_job(job, 1);
@@ -124,7 +124,7 @@
 
 /** All daemons stop while the store refuses calls; it recovers within their grace period. */
 static void a_stop_while_the_store_is_unavailable_loses_no_work(void) {
-    start_item("away", "away-0");
+    start_single_item("away", "away-0");
     hs_clock_sleep_ms(300);
     log_store_set_mode(bench.store, LOG_STORE_REFUSES, NULL, G_MAXUINT32);
     hs_clock_sleep_ms(800);
@@ -139,7 +139,7 @@
 
 /** All daemons are killed during a long item, whose stored events are not generated again. */
 static void a_kill_of_all_daemons_repeats_little(void) {
-    start_item("killed", "killed-0");
+    start_single_item("killed", "killed-0");
     hs_clock_sleep_ms(3500);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
         bench_signal(daemon, SIGKILL);
--- a/tests/system/test_fleet_item_losses.c
+++ b/tests/system/test_fleet_item_losses.c
@@ -28,7 +28,7 @@
 /** Time in ms within which a quarantine is written to the store. */
 #define STORE_WRITE_MS 1500
 /** Time in ms for which an item that crashes its engines is observed; it spans several trials. */
-#define OBSERVATION_MS 45000
+#define CRASH_OBSERVATION_MS 45000
 /** Trial runs that are allowed once all daemons know of three crashes. */
 #define MAX_LATE_SENDS 3
 
@@ -150,9 +150,9 @@
     submit_distinct_bodies(id, CRASH_FLEET_FATAL "-crasher");
     CU_ASSERT_TRUE(crash_wait(before, CRASHES_KNOWN, FINISH_MS));
     uint64_t known_ms = crash_fleet_end_ms(crash_engines(), "crasher-0", CRASHES_KNOWN);
-    hs_clock_sleep_ms(OBSERVATION_MS / 3);
+    hs_clock_sleep_ms(CRASH_OBSERVATION_MS / 3);
     crash_kill_all_daemons();
-    hs_clock_sleep_ms(OBSERVATION_MS * 2 / 3);
+    hs_clock_sleep_ms(CRASH_OBSERVATION_MS * 2 / 3);
     uint32_t late = crash_fleet_begun(crash_engines(), "crasher-0", known_ms + KNOWN_WITHIN_MS);
     fprintf(stderr, "crasher: %u engines crashed, %u late sends\n",
             crash_fleet_crashes(crash_engines()) - before, late);
--- a/tests/system/test_fleet_jobs.c
+++ b/tests/system/test_fleet_jobs.c
@@ -62,14 +62,14 @@
 /** Waits until a metric is 0, or at least @p wanted if that is above 0. False after @p limit_ms. */
 static bool wait_for_metric(int daemon, const char *name, int wanted, uint64_t limit_ms) {
     uint64_t until_ms = hs_clock_monotonic_ms() + limit_ms;
-    bool is_reached = false;
-    while (!is_reached && hs_clock_monotonic_ms() < until_ms) {
+    bool has_value = false;
+    while (!has_value && hs_clock_monotonic_ms() < until_ms) {
         int value = read_metric(daemon, name);
-        is_reached = wanted > 0 ? value >= wanted : value == 0;
-        if (!is_reached)
+        has_value = wanted > 0 ? value >= wanted : value == 0;
+        if (!has_value)
             hs_clock_sleep_ms(ASSIGNMENT_POLL_MS);
     }
-    return is_reached;
+    return has_value;
 }
 
 /** Whether a daemon owns an equal share of the partitions and knows the owners of all others. */
--- a/tests/system/test_fleet_memory.c
+++ b/tests/system/test_fleet_memory.c
@@ -178,7 +178,7 @@
     return reader->has_ended && strcmp(at, "\n\n") == 0;
 }
 
-static guint count_complete(const reader_group *all) {
+static guint count_complete_streams(const reader_group *all) {
     guint complete = 0;
     for (guint index = 0; index < all->count; index++)
         complete += is_complete(&all->readers[index]);
@@ -277,7 +277,7 @@
     g_atomic_int_set(&all.stopping, 1);
     g_thread_join(thread);
     read_to_end(&all);
-    guint complete = count_complete(&all);
+    guint complete = count_complete_streams(&all);
     fprintf(
         stderr,
         "slow readers: %u of %u complete, %d read ahead, charged=%d peak_mb=%.1f fast callers' p99 "
@@ -331,7 +331,7 @@
     g_atomic_int_set(&all.stopping, 1);
     g_thread_join(thread);
     read_to_end(&all);
-    guint complete = count_complete(&all);
+    guint complete = count_complete_streams(&all);
     fprintf(stderr, "too little memory: %d dropped, %u of %u complete, peak_mb=%.1f\n", dropped,
             complete, all.count, peak_mb(1));
     CU_ASSERT(complete > 0);
--- a/tests/system/test_fleet_runs.c
+++ b/tests/system/test_fleet_runs.c
@@ -16,7 +16,7 @@
 #define SURPLUS_ID "surplus"
 #define ITEM "runs-0"
 /** Limit in ms for an item to be sent to each engine, with retries each 50 to 1000 ms. */
-#define ATTEMPT_LIMIT_MS 8000
+#define ITEM_ATTEMPTS_LIMIT_MS 8000
 #define POLL_MS 5
 /** Time in ms within which a change of an engine's entry reaches all daemons. */
 #define ENTRY_PROPAGATION_MS 2000
@@ -57,7 +57,7 @@
 }
 
 static bool wait_for_attempts(uint32_t wanted) {
-    uint64_t until_ms = hs_clock_monotonic_ms() + ATTEMPT_LIMIT_MS;
+    uint64_t until_ms = hs_clock_monotonic_ms() + ITEM_ATTEMPTS_LIMIT_MS;
     while (surplus_engine_requests(surplus) < wanted && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
     return surplus_engine_requests(surplus) >= wanted;
@@ -66,7 +66,7 @@
 /** Has the engines refuse requests once one of them has started the item. NULL if none has. */
 static gpointer refuse_after_a_run(gpointer data) {
     (void)data;
-    uint64_t until_ms = hs_clock_monotonic_ms() + ATTEMPT_LIMIT_MS;
+    uint64_t until_ms = hs_clock_monotonic_ms() + ITEM_ATTEMPTS_LIMIT_MS;
     while (bench_runs(ITEM) == 0 && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
     bench_set_engines(TOKEN_ENGINE_FULL);
@@ -114,7 +114,7 @@
 
 /** Sets the engines' mode once a request has been started @p runs times. */
 static void set_mode_after_runs(const char *request_id, uint32_t runs, token_engine_mode mode) {
-    uint64_t until_ms = hs_clock_monotonic_ms() + ATTEMPT_LIMIT_MS;
+    uint64_t until_ms = hs_clock_monotonic_ms() + ITEM_ATTEMPTS_LIMIT_MS;
     while (bench_runs(request_id) < runs && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
     CU_ASSERT(bench_runs(request_id) >= runs);
@@ -123,16 +123,16 @@
 
 static uint64_t count_mismatched_runs(void) {
     static const char name[] = "\nheathsail_runs_misplaced ";
-    uint64_t mismatched = 0;
+    uint64_t mismatched_runs = 0;
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
         bench_answer metrics = bench_send(&(bench_call){
             .method = "GET", .target = "/metrics", .port = bench_metrics_port(daemon)});
         const char *line = strstr(metrics.body, name);
         if (line != NULL)
-            mismatched += g_ascii_strtoull(line + strlen(name), NULL, 10);
+            mismatched_runs += g_ascii_strtoull(line + strlen(name), NULL, 10);
         bench_answer_clear(&metrics);
     }
-    return mismatched;
+    return mismatched_runs;
 }
 
 /** An engine ignores the requested event once and starts from the beginning. */
--- a/tests/system/test_fleet_upgrade.c
+++ b/tests/system/test_fleet_upgrade.c
@@ -46,7 +46,7 @@
     GThread *threads[CALLERS];
 } callers;
 
-static void send_job(callers *group, int daemon, gint number) {
+static void submit_upgrade_job(callers *group, int daemon, gint number) {
     g_autofree char *id = g_strdup_printf("up-%d-%" G_GINT64_FORMAT, number, g_get_real_time());
     g_autofree char *body = bench_job(id, JOB_ITEMS);
     bench_answer answer = crash_send(daemon, "/jobs/x", id, body);
@@ -58,7 +58,7 @@
 }
 
 /** Sends a request; tries the next daemon if one can't be reached, as after another look-up. */
-static void send_request(callers *group, int daemon, gint number) {
+static void send_upgrade_request(callers *group, int daemon, gint number) {
     static const char *const targets[] = {"/plain/x", "/again/x", "/once/x"};
     const char *target = targets[number % G_N_ELEMENTS(targets)];
     g_autofree char *id = g_strdup_printf("asked-%d", number);
@@ -78,15 +78,15 @@
     bench_answer_clear(&answer);
 }
 
-static gpointer run_caller(gpointer data) {
+static gpointer run_upgrade_caller(gpointer data) {
     callers *group = data;
     while (g_atomic_int_get(&group->stopping) == 0) {
         gint number = g_atomic_int_add(&group->call_count, 1);
         int daemon = number % BENCH_DAEMONS;
         if (number % CALLS_PER_JOB == 0)
-            send_job(group, daemon, number);
+            submit_upgrade_job(group, daemon, number);
         else
-            send_request(group, daemon, number);
+            send_upgrade_request(group, daemon, number);
         hs_clock_sleep_ms(CALLER_PAUSE_MS);
     }
     return NULL;
@@ -96,7 +96,7 @@
     *group = (callers){.job_ids = g_ptr_array_new_with_free_func(g_free)};
     g_mutex_init(&group->lock);
     for (int index = 0; index < CALLERS; index++)
-        group->threads[index] = g_thread_new("caller", run_caller, group);
+        group->threads[index] = g_thread_new("caller", run_upgrade_caller, group);
 }
 
 /** Checks that all items of a job are completed and that every daemon returns the same page. */
