--- a/tests/system/test_fleet_runs.c
+++ b/tests/system/test_fleet_runs.c
@@ -1,8 +1,8 @@
 /**
  * @file test_fleet_runs.c
  * System tests that an item's text is composed of matching runs: an engine's surplus answer must
- * not be used as the answer to a later attempt, and a run that resumes elsewhere must not be
- * used.
+ * not be used as the answer to a later attempt, and a run that resumes at another event
+ * must not be used.
  */
 #include "base/clock.h"
 #include "platform/names.h"
--- a/tests/system/test_fleet_silence.c
+++ b/tests/system/test_fleet_silence.c
@@ -208,8 +208,7 @@
     return open;
 }
 
-/** Connections of a streaming and an idle caller go silent; both are closed, the engine is freed.
- */
+/** Silent connections of a streaming and an idle caller are closed, and the engine is freed. */
 static void silent_callers_are_detected(void) {
     g_autofree char *path = NULL;
     g_close(g_file_open_tmp("heathsail-settings-XXXXXX", &path, NULL), NULL);
