--- a/tests/support/fault_proxy.c
+++ b/tests/support/fault_proxy.c
@@ -1,5 +1,4 @@
-/** @file fault_proxy.c  See fault_proxy.h. One thread a connection, which looks at the mode often.
- */
+/** @file fault_proxy.c  See fault_proxy.h. Each connection has a thread that polls the mode. */
 #include "tests/support/fault_proxy.h"
 
 #include "base/clock.h"
@@ -12,10 +11,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define PIECE_BYTES 16384
-#define LOOK_MS 10
-/** Looks after which each connection has noticed that it is silenced. */
-#define SILENCE_LOOKS 3
+#define CHUNK_BYTES 16384
+#define POLL_MS 10
+/** Poll intervals after which every connection has seen that it is silenced. */
+#define SILENCE_POLLS 3
 #define DELAY_MS 60
 #define BACKLOG 256
 
@@ -25,26 +24,26 @@
     uint16_t target_port;
     gint mode;
     gint stopping;
-    gint connections;
-    gint accepted;       /**< Connections so far. */
-    gint silenced_until; /**< Those of a lower number pass nothing, */
-    gint dropped_until;  /**< and of those the kernel drops all packets. */
+    gint open_connections;
+    gint accepted;       /**< Count of accepted connections. */
+    gint silenced_until; /**< Connections with a lower number forward nothing. */
+    gint dropped_until;  /**< The kernel drops all packets of connections with a lower number. */
     GThread *acceptor;
 };
 
-/** Both ends of one connection. */
+/** Both sockets of one proxied connection. */
 typedef struct {
     fault_proxy *proxy;
     gint number;
     int caller;
     int target;
-} link_ends;
+} proxied_connection;
 
-static proxy_mode mode_of(fault_proxy *proxy) {
+static proxy_mode get_mode(fault_proxy *proxy) {
     return (proxy_mode)g_atomic_int_get(&proxy->mode);
 }
 
-static void reset_at_close(int descriptor) {
+static void set_reset_on_close(int descriptor) {
     struct linger at_once = {.l_onoff = 1, .l_linger = 0};
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
@@ -70,89 +69,92 @@
     return true;
 }
 
-/** Pass one piece on; false when that way has ended. */
-static bool pass_piece(fault_proxy *proxy, int from, int to) {
-    char piece[PIECE_BYTES];
-    ssize_t length = recv(from, piece, sizeof piece, MSG_DONTWAIT);
+/** Forwards one chunk; returns false if this direction has ended. */
+static bool forward_chunk(fault_proxy *proxy, int from, int to) {
+    char chunk[CHUNK_BYTES];
+    ssize_t length = recv(from, chunk, sizeof chunk, MSG_DONTWAIT);
     if (length <= 0)
         return false;
-    if (mode_of(proxy) == PROXY_DELAYS)
+    if (get_mode(proxy) == PROXY_DELAYS)
         hs_clock_sleep_ms(DELAY_MS);
-    return send_all(to, piece, length);
+    return send_all(to, chunk, length);
 }
 
-static bool is_silenced(const link_ends *ends) {
-    return ends->number < g_atomic_int_get(&ends->proxy->silenced_until);
+static bool is_silenced(const proxied_connection *connection) {
+    return connection->number < g_atomic_int_get(&connection->proxy->silenced_until);
 }
 
-/** The kernel drops all that comes for the socket, unacknowledged, so that it seems far away. */
+/** Attaches a filter by which the kernel drops all packets for the socket without an ACK. */
 static void drop_packets(int descriptor) {
-    struct sock_filter nothing = BPF_STMT(BPF_RET | BPF_K, 0);
-    struct sock_fprog program = {.len = 1, .filter = &nothing};
+    struct sock_filter drop_all = BPF_STMT(BPF_RET | BPF_K, 0);
+    struct sock_fprog program = {.len = 1, .filter = &drop_all};
     if (setsockopt(descriptor, SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program) != 0)
-        g_error("no filter for a socket");
+        g_error("fault proxy cannot attach a packet filter to a socket");
 }
 
-/** Move bytes until one side ends; false when the connection is to be reset. */
-static bool run_link(const link_ends *ends) {
-    bool drops = false;
-    while (g_atomic_int_get(&ends->proxy->stopping) == 0) {
-        proxy_mode mode = mode_of(ends->proxy);
-        bool to_target = mode != PROXY_IS_SILENT && !is_silenced(ends);
+/** Forwards bytes until one side ends; returns false if the connection is to be reset. */
+static bool run_connection(const proxied_connection *connection) {
+    bool has_filter = false;
+    while (g_atomic_int_get(&connection->proxy->stopping) == 0) {
+        proxy_mode mode = get_mode(connection->proxy);
+        bool to_target = mode != PROXY_BLOCKS_ALL && !is_silenced(connection);
         bool to_caller = to_target && mode != PROXY_HOLDS_ANSWERS;
         if (mode == PROXY_RESETS)
             return false;
-        if (!drops && ends->number < g_atomic_int_get(&ends->proxy->dropped_until)) {
-            drop_packets(ends->caller);
-            drop_packets(ends->target);
-            drops = true;
+        if (!has_filter &&
+            connection->number < g_atomic_int_get(&connection->proxy->dropped_until)) {
+            drop_packets(connection->caller);
+            drop_packets(connection->target);
+            has_filter = true;
         }
-        struct pollfd polled[2] = {{.fd = to_target ? ends->caller : -1, .events = POLLIN},
-                                   {.fd = to_caller ? ends->target : -1, .events = POLLIN}};
-        poll(polled, 2, LOOK_MS);
-        if (is_silenced(ends))
+        struct pollfd polled[2] = {{.fd = to_target ? connection->caller : -1, .events = POLLIN},
+                                   {.fd = to_caller ? connection->target : -1, .events = POLLIN}};
+        poll(polled, 2, POLL_MS);
+        if (is_silenced(connection))
             continue;
-        if (polled[0].revents != 0 && !pass_piece(ends->proxy, ends->caller, ends->target))
+        if (polled[0].revents != 0 &&
+            !forward_chunk(connection->proxy, connection->caller, connection->target))
             return true;
-        if (polled[1].revents != 0 && !pass_piece(ends->proxy, ends->target, ends->caller))
+        if (polled[1].revents != 0 &&
+            !forward_chunk(connection->proxy, connection->target, connection->caller))
             return true;
     }
     return true;
 }
 
-static gpointer serve_link(gpointer data) {
-    link_ends *ends = data;
-    fault_proxy *proxy = ends->proxy;
-    ends->target = connect_to(proxy->target_port);
-    if (ends->target < 0 || !run_link(ends)) {
-        reset_at_close(ends->caller);
-        if (ends->target >= 0)
-            reset_at_close(ends->target);
+static gpointer serve_connection(gpointer data) {
+    proxied_connection *connection = data;
+    fault_proxy *proxy = connection->proxy;
+    connection->target = connect_to(proxy->target_port);
+    if (connection->target < 0 || !run_connection(connection)) {
+        set_reset_on_close(connection->caller);
+        if (connection->target >= 0)
+            set_reset_on_close(connection->target);
     }
-    close(ends->caller);
-    if (ends->target >= 0)
-        close(ends->target);
-    g_free(ends);
-    g_atomic_int_add(&proxy->connections, -1);
+    close(connection->caller);
+    if (connection->target >= 0)
+        close(connection->target);
+    g_free(connection);
+    g_atomic_int_add(&proxy->open_connections, -1);
     return NULL;
 }
 
-static gpointer accept_links(gpointer data) {
+static gpointer accept_connections(gpointer data) {
     fault_proxy *proxy = data;
     while (g_atomic_int_get(&proxy->stopping) == 0) {
         struct pollfd polled = {.fd = proxy->listener, .events = POLLIN};
-        if (poll(&polled, 1, LOOK_MS) <= 0)
+        if (poll(&polled, 1, POLL_MS) <= 0)
             continue;
         int caller = accept4(proxy->listener, NULL, NULL, SOCK_CLOEXEC);
         if (caller < 0)
             continue;
-        link_ends *ends = g_new0(link_ends, 1);
-        *ends = (link_ends){.proxy = proxy,
-                            .number = g_atomic_int_add(&proxy->accepted, 1),
-                            .caller = caller,
-                            .target = -1};
-        g_atomic_int_inc(&proxy->connections);
-        g_thread_unref(g_thread_new("link", serve_link, ends));
+        proxied_connection *connection = g_new0(proxied_connection, 1);
+        *connection = (proxied_connection){.proxy = proxy,
+                                           .number = g_atomic_int_add(&proxy->accepted, 1),
+                                           .caller = caller,
+                                           .target = -1};
+        g_atomic_int_inc(&proxy->open_connections);
+        g_thread_unref(g_thread_new("link", serve_connection, connection));
     }
     return NULL;
 }
@@ -166,17 +168,17 @@
     if (bind(proxy->listener, (struct sockaddr *)&local, sizeof local) != 0 ||
         listen(proxy->listener, BACKLOG) != 0 ||
         getsockname(proxy->listener, (struct sockaddr *)&local, &length) != 0)
-        g_error("no port for a proxy");
+        g_error("fault proxy cannot listen on a loopback port");
     proxy->port = ntohs(local.sin_port);
-    proxy->acceptor = g_thread_new("acceptor", accept_links, proxy);
+    proxy->acceptor = g_thread_new("acceptor", accept_connections, proxy);
     return proxy;
 }
 
 void fault_proxy_stop(fault_proxy *proxy) {
     g_atomic_int_set(&proxy->stopping, 1);
     g_thread_join(proxy->acceptor);
-    while (g_atomic_int_get(&proxy->connections) > 0)
-        hs_clock_sleep_ms(LOOK_MS);
+    while (g_atomic_int_get(&proxy->open_connections) > 0)
+        hs_clock_sleep_ms(POLL_MS);
     close(proxy->listener);
     g_free(proxy);
 }
@@ -194,5 +196,5 @@
     g_atomic_int_set(&proxy->silenced_until, accepted);
     if (silence == PROXY_DROPS_ALL_PACKETS)
         g_atomic_int_set(&proxy->dropped_until, accepted);
-    hs_clock_sleep_ms(SILENCE_LOOKS * LOOK_MS);
+    hs_clock_sleep_ms(SILENCE_POLLS * POLL_MS);
 }
--- a/tests/support/fault_proxy.h
+++ b/tests/support/fault_proxy.h
@@ -1,7 +1,8 @@
 /**
  * @file fault_proxy.h
- * A TCP proxy on loopback that harms what passes through it: a link between two processes that is
- * slow, reset, silent, or cut one way. Open connections may go silent for good while new ones work.
+ * A TCP proxy on loopback that injects network faults between two processes: delay, reset, silence,
+ * or a one-way cut. Open connections can be silenced permanently while new ones work. Settings may
+ * be changed by any thread.
  */
 #ifndef TESTS_SUPPORT_FAULT_PROXY_H
 #define TESTS_SUPPORT_FAULT_PROXY_H
@@ -10,34 +11,35 @@
 
 typedef struct fault_proxy fault_proxy;
 
+/** How the proxy treats its connections. */
 typedef enum {
     PROXY_PASSES,
-    PROXY_DELAYS,       /**< Every piece of bytes waits. */
-    PROXY_RESETS,       /**< Open connections are reset, new ones too. */
-    PROXY_IS_SILENT,    /**< Bytes of both ways are held back until it heals. */
-    PROXY_HOLDS_ANSWERS /**< Bytes from the target alone are held back: a one-way cut. */
+    PROXY_DELAYS,       /**< Each chunk is forwarded after a delay. */
+    PROXY_RESETS,       /**< Open and new connections are reset. */
+    PROXY_BLOCKS_ALL,   /**< Both directions wait until the mode changes. */
+    PROXY_HOLDS_ANSWERS /**< The direction from the target waits: a one-way cut. */
 } proxy_mode;
 
-/** Listen on a port of loopback that the system chooses, for a target port there. */
+/** Listens on a free loopback port and forwards connections to @p target_port on loopback. */
 fault_proxy *fault_proxy_start(uint16_t target_port);
 
-/** End all connections and free. */
+/** Ends all connections and frees the proxy. */
 void fault_proxy_stop(fault_proxy *proxy);
 
 uint16_t fault_proxy_port(const fault_proxy *proxy);
 
-/** For all connections from now on, also open ones. */
+/** Sets the mode of all connections, open and new. */
 void fault_proxy_set(fault_proxy *proxy, proxy_mode mode);
 
-/** How far a silence reaches. */
+/** What a silenced connection does with packets. */
 typedef enum {
-    PROXY_ACKNOWLEDGES,     /**< The kernel still takes what comes: only its reader is silent. */
-    PROXY_DROPS_ALL_PACKETS /**< The kernel is silent too. */
+    PROXY_ACKNOWLEDGES,     /**< The kernel acknowledges them, but nothing is forwarded. */
+    PROXY_DROPS_ALL_PACKETS /**< The kernel drops them without an ACK. */
 } proxy_silence;
 
 /**
- * Connections that are open now pass nothing any more, and no end; later ones are not touched. As
- * soon as it returns.
+ * Silences the connections that are open now: from the return on they forward neither bytes nor the
+ * end of a connection. Later connections are not affected.
  */
 void fault_proxy_silence_open(fault_proxy *proxy, proxy_silence silence);
 
--- a/tests/support/impatient_engine.c
+++ b/tests/support/impatient_engine.c
@@ -1,4 +1,5 @@
-/** @file impatient_engine.c  See impatient_engine.h. One thread a connection, one request each. */
+/** @file impatient_engine.c  See impatient_engine.h. Each connection has a thread and one request.
+ */
 #include "tests/support/impatient_engine.h"
 
 #include "platform/names.h"
@@ -22,10 +23,10 @@
     int listener;
     uint16_t port;
     gint stopping;
-    gint open;
-    gint begun;
-    gint whole;
-    gint cut;
+    gint open_connections;
+    gint streams_started;
+    gint streams_completed;
+    gint streams_timed_out;
     GThread *thread;
 };
 
@@ -33,14 +34,14 @@
 typedef struct {
     impatient_engine *engine;
     int descriptor;
-} accepted;
+} engine_connection;
 
 static bool is_stopping(impatient_engine *engine) {
     return g_atomic_int_get(&engine->stopping) != 0;
 }
 
-/** Read a head and the start of a body; the request's id goes into @p id. */
-static bool read_request(const accepted *from, char *id) {
+/** Reads a request's head, and writes the request's id to @p id. */
+static bool read_request(const engine_connection *from, char *id) {
     char bytes[REQUEST_BYTES] = "";
     size_t length = 0;
     while (strstr(bytes, "\r\n\r\n") == NULL) {
@@ -61,8 +62,8 @@
     return true;
 }
 
-/** Send all of it; false when the other side ended, or read nothing for too long. */
-static bool send_all(const accepted *to, const GString *text) {
+/** Returns false if the peer ended the connection or left sent data unread for too long. */
+static bool send_all(const engine_connection *to, const GString *text) {
     size_t sent = 0;
     uint32_t unread_ms = 0;
     while (sent < text->len && !is_stopping(to->engine)) {
@@ -79,14 +80,14 @@
             return false;
         unread_ms += ready == 0 ? POLL_MS : 0;
         if (unread_ms >= to->engine->settings.patience_ms) {
-            g_atomic_int_inc(&to->engine->cut);
+            g_atomic_int_inc(&to->engine->streams_timed_out);
             return false;
         }
     }
     return sent == text->len;
 }
 
-static bool send_stream(const accepted *to, const char *id) {
+static bool send_stream(const engine_connection *to, const char *id) {
     const impatient_engine_settings *settings = &to->engine->settings;
     g_autofree char *data = g_strnfill(settings->event_bytes, 'x');
     GString *text = g_string_new(NULL);
@@ -94,27 +95,27 @@
                     "HTTP/1.1 200 OK\r\n" HEADER_REQUEST_ID ": %s\r\n" HEADER_SIGNATURE
                     ": sig\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n",
                     id);
-    bool goes_on = send_all(to, text);
-    for (uint32_t event = 1; goes_on && event <= settings->events; event++) {
+    bool is_sent = send_all(to, text);
+    for (uint32_t event = 1; is_sent && event <= settings->events; event++) {
         g_string_printf(text, "id: %u\ndata: %s\n\n", event, data);
-        goes_on = send_all(to, text);
+        is_sent = send_all(to, text);
     }
     g_string_free(text, TRUE);
-    return goes_on;
+    return is_sent;
 }
 
 static gpointer serve(gpointer data) {
-    accepted *from = data;
+    engine_connection *from = data;
     impatient_engine *engine = from->engine;
     char id[ID_BYTES];
     if (read_request(from, id)) {
-        g_atomic_int_inc(&engine->begun);
+        g_atomic_int_inc(&engine->streams_started);
         if (send_stream(from, id))
-            g_atomic_int_inc(&engine->whole);
+            g_atomic_int_inc(&engine->streams_completed);
     }
     close(from->descriptor);
     g_free(from);
-    g_atomic_int_add(&engine->open, -1);
+    g_atomic_int_add(&engine->open_connections, -1);
     return NULL;
 }
 
@@ -129,10 +130,10 @@
         if (descriptor < 0)
             continue;
         setsockopt(descriptor, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes);
-        accepted *from = g_new(accepted, 1);
-        *from = (accepted){.engine = engine, .descriptor = descriptor};
-        g_atomic_int_inc(&engine->open);
-        g_thread_unref(g_thread_new("impatient", serve, from));
+        engine_connection *from = g_new(engine_connection, 1);
+        *from = (engine_connection){.engine = engine, .descriptor = descriptor};
+        g_atomic_int_inc(&engine->open_connections);
+        g_thread_unref(g_thread_new("timeout-serve", serve, from));
     }
     return NULL;
 }
@@ -147,14 +148,14 @@
     g_assert(listen(engine->listener, BACKLOG) == 0);
     getsockname(engine->listener, (struct sockaddr *)&local, &length);
     engine->port = ntohs(local.sin_port);
-    engine->thread = g_thread_new("impatient engine", accept_all, engine);
+    engine->thread = g_thread_new("timeout-accept", accept_all, engine);
     return engine;
 }
 
 void impatient_engine_stop(impatient_engine *engine) {
     g_atomic_int_set(&engine->stopping, 1);
     g_thread_join(engine->thread);
-    while (g_atomic_int_get(&engine->open) > 0)
+    while (g_atomic_int_get(&engine->open_connections) > 0)
         g_usleep(POLL_MS * 1000);
     close(engine->listener);
     g_free(engine);
@@ -170,13 +171,13 @@
 }
 
 uint32_t impatient_engine_begun(impatient_engine *engine) {
-    return (uint32_t)g_atomic_int_get(&engine->begun);
+    return (uint32_t)g_atomic_int_get(&engine->streams_started);
 }
 
-uint32_t impatient_engine_whole(impatient_engine *engine) {
-    return (uint32_t)g_atomic_int_get(&engine->whole);
+uint32_t impatient_engine_completed_count(impatient_engine *engine) {
+    return (uint32_t)g_atomic_int_get(&engine->streams_completed);
 }
 
 uint32_t impatient_engine_cut(impatient_engine *engine) {
-    return (uint32_t)g_atomic_int_get(&engine->cut);
+    return (uint32_t)g_atomic_int_get(&engine->streams_timed_out);
 }
--- a/tests/support/impatient_engine.h
+++ b/tests/support/impatient_engine.h
@@ -1,7 +1,7 @@
 /**
  * @file impatient_engine.h
- * An engine of long streams that cuts an answer off when it stays unread for too long. Its kernel
- * keeps little of what is unread.
+ * A stand-in engine that sends long streams and closes the connection if the reader stalls for too
+ * long. A small socket send buffer makes the engine notice a stalled reader early.
  */
 #ifndef TESTS_SUPPORT_IMPATIENT_ENGINE_H
 #define TESTS_SUPPORT_IMPATIENT_ENGINE_H
@@ -13,24 +13,24 @@
 
 typedef struct impatient_engine impatient_engine;
 
-/** What it does. */
+/** Settings of the engine; the strings are borrowed. */
 typedef struct {
     const char *id;
     const char *service;
-    uint32_t events;      /**< Of each stream. */
-    uint32_t event_bytes; /**< Data of an event. */
-    uint32_t patience_ms; /**< Unread for this long an answer is cut off. */
+    uint32_t events;      /**< Count of events of each stream. */
+    uint32_t event_bytes; /**< Size of an event's data. */
+    uint32_t patience_ms; /**< Stall of the reader after which the connection is closed. */
 } impatient_engine_settings;
 
 impatient_engine *impatient_engine_start(const impatient_engine_settings *settings);
 void impatient_engine_stop(impatient_engine *engine);
 
-/** Write its entry into the store. */
+/** Writes the engine's entry to the store. */
 void impatient_engine_announce(impatient_engine *engine, log_store *store);
 
-/** Streams begun, whole as far as the engine knows, and cut since nobody read them. */
+/** Return counts of streams: started, sent completely, and ended by a stalled reader. */
 uint32_t impatient_engine_begun(impatient_engine *engine);
-uint32_t impatient_engine_whole(impatient_engine *engine);
+uint32_t impatient_engine_completed_count(impatient_engine *engine);
 uint32_t impatient_engine_cut(impatient_engine *engine);
 
 #endif
--- a/tests/support/raw_caller.c
+++ b/tests/support/raw_caller.c
@@ -50,7 +50,7 @@
     shutdown(caller->descriptor, SHUT_WR);
 }
 
-/** Read what is there or comes before @p limit; false when nothing did. */
+/** Reads what arrives before @p limit, a monotonic time; returns false if nothing does. */
 static bool read_some(raw_caller *caller, uint64_t limit) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     if (caller->state != RAW_OPEN || now_ms >= limit)
--- a/tests/support/raw_caller.h
+++ b/tests/support/raw_caller.h
@@ -1,7 +1,8 @@
 /**
  * @file raw_caller.h
- * A caller that sends given bytes over TCP and looks at the bytes that come back: for what a
- * well-behaved HTTP client would not send or not show.
+ * A caller that sends raw bytes over TCP and reads the raw response, for input that a conforming
+ * HTTP client does not send or details that such a client hides. One thread uses a caller at a
+ * time.
  */
 #ifndef TESTS_SUPPORT_RAW_CALLER_H
 #define TESTS_SUPPORT_RAW_CALLER_H
@@ -11,27 +12,28 @@
 
 typedef struct raw_caller raw_caller;
 
-/** How the connection stands. */
+/** State of the connection. */
 typedef enum { RAW_OPEN, RAW_CLOSED, RAW_RESET } raw_state;
 
-/** Connect to a port on loopback; NULL when nobody listens. */
+/** Connects to a port on loopback; returns NULL if the connection fails. */
 raw_caller *raw_caller_open(uint16_t port);
 
-/** Close; what was not sent or read is dropped. NULL is allowed. */
+/** Closes the connection and frees @p caller, which may be NULL. */
 void raw_caller_close(raw_caller *caller);
 
+/** Returns false if the text was not sent completely. */
 bool raw_caller_send(raw_caller *caller, const char *text);
 
-/** End the sending side alone; reading goes on. */
+/** Shuts down the sending direction only. */
 void raw_caller_end_sending(raw_caller *caller);
 
-/** Read until @p wanted stands in what came, or the connection ends, or the time is up. */
+/** Reads until the received text contains @p wanted; false if the connection or the time ends. */
 bool raw_caller_read_until(raw_caller *caller, const char *wanted, unsigned limit_ms);
 
-/** Read until the connection ends or the time is up. */
+/** Reads until the connection ends or @p limit_ms have passed. */
 raw_state raw_caller_read_to_end(raw_caller *caller, unsigned limit_ms);
 
-/** All that came so far; valid until the next call. */
+/** Returns all received text; valid until the next call. */
 const char *raw_caller_text(const raw_caller *caller);
 
 #endif
--- a/tests/support/runner.c
+++ b/tests/support/runner.c
@@ -22,8 +22,8 @@
     failed_tests++;
 }
 
-/** Whether a suite is named among the arguments; all are where none is named. */
-static int is_wanted(const char *name, int argument_count, char **arguments) {
+/** Returns whether the arguments name the suite, or name no suite at all. */
+static int is_selected(const char *name, int argument_count, char **arguments) {
     for (int index = 1; index < argument_count; index++)
         if (strcmp(arguments[index], name) == 0)
             return 1;
@@ -41,7 +41,7 @@
         return list_suites(suites, count);
     CU_initialize_registry();
     for (size_t index = 0; index < count; index++) {
-        if (!is_wanted(suites[index].name, argument_count, arguments))
+        if (!is_selected(suites[index].name, argument_count, arguments))
             continue;
         CU_pSuite suite = CU_add_suite(suites[index].name, suites[index].begin, suites[index].end);
         for (const test_case *entry = suites[index].cases; entry->name != NULL; entry++)
--- a/tests/support/runner.h
+++ b/tests/support/runner.h
@@ -1,4 +1,4 @@
-/** @file runner.h  Runs CUnit suites and prints one line a test, "ok NAME" or "not ok NAME". */
+/** @file runner.h  Runs CUnit suites and prints a line per test: "ok NAME" or "not ok NAME". */
 #ifndef TESTS_SUPPORT_RUNNER_H
 #define TESTS_SUPPORT_RUNNER_H
 
@@ -9,7 +9,7 @@
     CU_TestFunc run;
 } test_case;
 
-/** A suite: cases closed by an entry without a name. */
+/** A suite; a case without a name ends the list of cases. */
 typedef struct {
     const char *name;
     const test_case *cases;
@@ -18,8 +18,8 @@
 } test_suite;
 
 /**
- * Run all suites, or those that the arguments name; "--list" alone prints their names.
- * @return an exit status.
+ * Runs all suites, or only the suites that the arguments name; "--list" prints the suites' names.
+ * @return the process's exit status.
  */
 int run_suites(const test_suite *suites, size_t count, int argument_count, char **arguments);
 
--- a/tests/support/scripted_peer.c
+++ b/tests/support/scripted_peer.c
@@ -1,4 +1,4 @@
-/** @file scripted_peer.c  See scripted_peer.h. */
+/** @file scripted_peer.c  See scripted_peer.h. Each connection has a thread. */
 #include "tests/support/scripted_peer.h"
 
 #include <arpa/inet.h>
@@ -17,9 +17,9 @@
     uint16_t port;
     GMutex lock;
     peer_script script;
-    gint requests;
+    gint request_count;
     gint stopping;
-    gint open;
+    gint open_connections;
     GThread *thread;
 };
 
@@ -27,7 +27,7 @@
 typedef struct {
     scripted_peer *peer;
     int descriptor;
-} accepted;
+} peer_connection;
 
 static bool wait_for_events(scripted_peer *peer, int descriptor, short events) {
     while (g_atomic_int_get(&peer->stopping) == 0) {
@@ -42,7 +42,7 @@
     return wait_for_events(peer, descriptor, POLLIN);
 }
 
-/** Read a head (or @p limit bytes); false when the other side ended. */
+/** Reads a head, or @p limit bytes if not 0; returns false if the connection ends before. */
 static bool read_request(scripted_peer *peer, int descriptor, size_t limit) {
     char buffer[BUFFER_SIZE];
     size_t length = 0;
@@ -53,19 +53,19 @@
         length += (size_t)got;
         buffer[length] = '\0';
         if (limit > 0 ? length >= limit : strstr(buffer, "\r\n\r\n") != NULL) {
-            g_atomic_int_inc(&peer->requests);
+            g_atomic_int_inc(&peer->request_count);
             return true;
         }
     }
     return false;
 }
 
-static void reset_on_close(int descriptor) {
+static void set_reset_on_close(int descriptor) {
     struct linger at_once = {.l_onoff = 1, .l_linger = 0};
     setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
 
-static peer_script script_of(scripted_peer *peer) {
+static peer_script get_script(scripted_peer *peer) {
     g_mutex_lock(&peer->lock);
     peer_script script = peer->script;
     g_mutex_unlock(&peer->lock);
@@ -73,24 +73,24 @@
 }
 
 static gpointer serve(gpointer data) {
-    accepted *connection = data;
+    peer_connection *connection = data;
     scripted_peer *peer = connection->peer;
-    bool goes_on = true;
-    while (goes_on) {
-        goes_on = read_request(peer, connection->descriptor, script_of(peer).read_limit);
-        if (!goes_on)
+    bool keeps_open = true;
+    while (keeps_open) {
+        keeps_open = read_request(peer, connection->descriptor, get_script(peer).read_limit);
+        if (!keeps_open)
             break;
-        peer_script script = script_of(peer); /* As it is when the request has come. */
+        peer_script script = get_script(peer); /* May have changed since the request started. */
         if (script.length > 0)
             send(connection->descriptor, script.bytes, script.length, MSG_NOSIGNAL);
-        goes_on = script.ending == PEER_KEEPS_OPEN;
+        keeps_open = script.ending == PEER_KEEPS_OPEN;
         if (script.ending == PEER_GOES_SILENT)
             wait_for_events(peer, connection->descriptor, POLLRDHUP);
         if (script.ending == PEER_RESETS)
-            reset_on_close(connection->descriptor);
+            set_reset_on_close(connection->descriptor);
     }
     close(connection->descriptor);
-    g_atomic_int_add(&peer->open, -1);
+    g_atomic_int_add(&peer->open_connections, -1);
     g_free(connection);
     return NULL;
 }
@@ -101,10 +101,10 @@
         int descriptor = accept(peer->listener, NULL, NULL);
         if (descriptor < 0)
             continue;
-        accepted *connection = g_new0(accepted, 1);
+        peer_connection *connection = g_new0(peer_connection, 1);
         connection->peer = peer;
         connection->descriptor = descriptor;
-        g_atomic_int_inc(&peer->open);
+        g_atomic_int_inc(&peer->open_connections);
         g_thread_unref(g_thread_new("peer", serve, connection));
     }
     return NULL;
@@ -119,7 +119,7 @@
     if (bind(peer->listener, (struct sockaddr *)&local, sizeof local) != 0 ||
         listen(peer->listener, 64) != 0 ||
         getsockname(peer->listener, (struct sockaddr *)&local, &length) != 0)
-        g_error("no port for a scripted peer");
+        g_error("scripted peer cannot listen on a loopback port");
     peer->port = ntohs(local.sin_port);
     peer->thread = g_thread_new("peer-accept", accept_all, peer);
     return peer;
@@ -128,7 +128,7 @@
 void scripted_peer_stop(scripted_peer *peer) {
     g_atomic_int_set(&peer->stopping, 1);
     g_thread_join(peer->thread);
-    while (g_atomic_int_get(&peer->open) > 0)
+    while (g_atomic_int_get(&peer->open_connections) > 0)
         g_usleep(1000);
     close(peer->listener);
     g_mutex_clear(&peer->lock);
@@ -146,5 +146,5 @@
 }
 
 uint32_t scripted_peer_requests(scripted_peer *peer) {
-    return (uint32_t)g_atomic_int_get(&peer->requests);
+    return (uint32_t)g_atomic_int_get(&peer->request_count);
 }
--- a/tests/support/tsan_glib.h
+++ b/tests/support/tsan_glib.h
@@ -1,8 +1,8 @@
 /**
  * @file tsan_glib.h
- * Tells the thread sanitizer of GLib's locks: the packaged GLib is not instrumented and takes its
- * futexes itself, so that without this every guarded access would be reported. Included by the
- * compiler's command line, in the thread sanitizer's build alone.
+ * Annotates GLib's locks for ThreadSanitizer. The packaged GLib is not instrumented and uses
+ * futexes directly, so ThreadSanitizer would report every access guarded by its locks as a race.
+ * Included from the compiler's command line, only in the ThreadSanitizer build.
  */
 #ifndef TESTS_SUPPORT_TSAN_GLIB_H
 #define TESTS_SUPPORT_TSAN_GLIB_H
@@ -20,10 +20,10 @@
     })
 #define g_mutex_trylock(mutex)                                                                     \
     __extension__({                                                                                \
-        GMutex *tried_mutex = (mutex);                                                             \
-        gboolean was_free = (g_mutex_trylock)(tried_mutex);                                        \
+        GMutex *locked_mutex = (mutex);                                                            \
+        gboolean was_free = (g_mutex_trylock)(locked_mutex);                                       \
         if (was_free)                                                                              \
-            __tsan_acquire(tried_mutex);                                                           \
+            __tsan_acquire(locked_mutex);                                                          \
         was_free;                                                                                  \
     })
 #define g_mutex_unlock(mutex)                                                                      \
