--- a/tests/system/fleet_calls.c
+++ b/tests/system/fleet_calls.c
@@ -8,7 +8,6 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Between looks at the engines, in ms. */
 #define POLL_MS 5
 
 bench_answer post_request(int daemon, const char *target, const char *id) {
@@ -38,8 +37,8 @@
 }
 
 bool engine_runs_end_within(unsigned limit_ms) {
-    uint64_t limit = hs_clock_monotonic_ms() + limit_ms;
-    while (open_engine_runs() > 0 && hs_clock_monotonic_ms() < limit)
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + limit_ms;
+    while (open_engine_runs() > 0 && hs_clock_monotonic_ms() < deadline_ms)
         hs_clock_sleep_ms(POLL_MS);
     return open_engine_runs() == 0;
 }
--- a/tests/system/leaving_callers.c
+++ b/tests/system/leaving_callers.c
@@ -7,8 +7,8 @@
 #include <CUnit/CUnit.h>
 #include <stdio.h>
 
-#define MIDDLE 0.5
-#define MOST 0.99
+#define HALF 0.5
+#define P99 0.99
 
 static gpointer run_caller(gpointer data) {
     leaving_caller *caller = data;
@@ -21,7 +21,7 @@
     raw_caller_send(connection, caller->bytes);
     hs_clock_sleep_ms(caller->stays_ms);
     raw_caller_close(connection);
-    caller->left_ms = hs_clock_monotonic_ms();
+    caller->closed_at_ms = hs_clock_monotonic_ms();
     return NULL;
 }
 
@@ -34,54 +34,55 @@
 }
 
 leaving_figures leaving_figures_new(const leaving_caller *callers, guint count) {
-    leaving_figures figures = {.left = g_hash_table_new(g_str_hash, g_str_equal),
-                               .worked_ms = g_array_new(FALSE, FALSE, sizeof(uint64_t))};
+    leaving_figures figures = {.callers = g_hash_table_new(g_str_hash, g_str_equal),
+                               .work_after_close_ms = g_array_new(FALSE, FALSE, sizeof(uint64_t))};
     for (guint index = 0; index < count; index++) {
-        CU_ASSERT_NOT_EQUAL(callers[index].left_ms, 0);
-        g_hash_table_insert(figures.left, (gpointer)callers[index].id, (gpointer)&callers[index]);
+        CU_ASSERT_NOT_EQUAL(callers[index].closed_at_ms, 0);
+        g_hash_table_insert(figures.callers, (gpointer)callers[index].id,
+                            (gpointer)&callers[index]);
     }
     return figures;
 }
 
-void leaving_figures_add(leaving_figures *figures, const char *id, uint64_t begun_ms,
+void leaving_figures_add(leaving_figures *figures, const char *id, uint64_t started_ms,
                          uint64_t ended_ms) {
-    const leaving_caller *caller = g_hash_table_lookup(figures->left, id);
+    const leaving_caller *caller = g_hash_table_lookup(figures->callers, id);
     if (caller == NULL)
         return;
     uint64_t until_ms = ended_ms != 0 ? ended_ms : hs_clock_monotonic_ms();
-    figures->calls++;
-    figures->later += begun_ms > caller->left_ms + LEAVING_LIMIT_MS;
-    if (until_ms <= caller->left_ms)
+    figures->engine_requests++;
+    figures->late_requests += started_ms > caller->closed_at_ms + LEAVING_LIMIT_MS;
+    if (until_ms <= caller->closed_at_ms)
         return;
-    uint64_t worked_ms = until_ms - MAX(begun_ms, caller->left_ms);
-    g_array_append_val(figures->worked_ms, worked_ms);
+    uint64_t work_ms = until_ms - MAX(started_ms, caller->closed_at_ms);
+    g_array_append_val(figures->work_after_close_ms, work_ms);
 }
 
-static gint compare_times(gconstpointer one, gconstpointer other) {
+static gint compare_durations(gconstpointer one, gconstpointer other) {
     uint64_t first = *(const uint64_t *)one;
     uint64_t second = *(const uint64_t *)other;
     return (first > second) - (first < second);
 }
 
-static uint64_t quantile(GArray *times, double share) {
+static uint64_t get_quantile(GArray *times, double fraction) {
     if (times->len == 0)
         return 0;
-    guint index = (guint)((double)(times->len - 1) * share + MIDDLE);
+    guint index = (guint)((double)(times->len - 1) * fraction + HALF);
     return g_array_index(times, uint64_t, index);
 }
 
 void leaving_figures_check(leaving_figures *figures, const char *title) {
-    g_array_sort(figures->worked_ms, compare_times);
-    uint64_t middle_ms = quantile(figures->worked_ms, MIDDLE);
-    uint64_t most_ms = quantile(figures->worked_ms, MOST);
+    g_array_sort(figures->work_after_close_ms, compare_durations);
+    uint64_t median_ms = get_quantile(figures->work_after_close_ms, HALF);
+    uint64_t p99_ms = get_quantile(figures->work_after_close_ms, P99);
     fprintf(stderr,
-            "%s: callers=%u calls=%u later=%u under_way=%u median_ms=%" G_GUINT64_FORMAT
+            "%s: callers=%u requests=%u late=%u running_at_close=%u median_ms=%" G_GUINT64_FORMAT
             " p99_ms=%" G_GUINT64_FORMAT " longest_ms=%" G_GUINT64_FORMAT "\n",
-            title, g_hash_table_size(figures->left), figures->calls, figures->later,
-            figures->worked_ms->len, (guint64)middle_ms, (guint64)most_ms,
-            (guint64)quantile(figures->worked_ms, 1));
-    CU_ASSERT_EQUAL(figures->later, 0);
-    CU_ASSERT(most_ms <= LEAVING_LIMIT_MS);
-    g_hash_table_destroy(figures->left);
-    g_array_free(figures->worked_ms, TRUE);
+            title, g_hash_table_size(figures->callers), figures->engine_requests,
+            figures->late_requests, figures->work_after_close_ms->len, (guint64)median_ms,
+            (guint64)p99_ms, (guint64)get_quantile(figures->work_after_close_ms, 1));
+    CU_ASSERT_EQUAL(figures->late_requests, 0);
+    CU_ASSERT(p99_ms <= LEAVING_LIMIT_MS);
+    g_hash_table_destroy(figures->callers);
+    g_array_free(figures->work_after_close_ms, TRUE);
 }
--- a/tests/system/leaving_callers.h
+++ b/tests/system/leaving_callers.h
@@ -1,7 +1,7 @@
 /**
  * @file leaving_callers.h
- * Callers that send a request, or a part of one, and close their connection at a random moment;
- * and what engines did after that.
+ * Callers that send a request, or a part of a request, and close the connection after a given time;
+ * and statistics of the engines' work for them after the close.
  */
 #ifndef TESTS_SYSTEM_LEAVING_CALLERS_H
 #define TESTS_SYSTEM_LEAVING_CALLERS_H
@@ -10,37 +10,38 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Time in ms after a close within which engines are to be left alone. */
+/** Bound for engine work after a caller's close. */
 #define LEAVING_LIMIT_MS 500
 
 /** One caller. */
 typedef struct {
     uint16_t port;
-    char *bytes;         /**< What it sends. */
-    char id[32];         /**< By which engines know its request. */
-    uint32_t stays_ms;   /**< Between its last byte and the close. */
-    uint64_t arrives_ms; /**< Monotonic time of its connection; 0: at once. */
-    uint64_t left_ms;    /**< Monotonic time of its close, set by the run; 0: not connected. */
+    char *bytes;           /**< Bytes to send; owned by the test. */
+    char id[32];           /**< The request's id in the engines' records. */
+    uint32_t stays_ms;     /**< Delay between the last byte sent and the close. */
+    uint64_t arrives_ms;   /**< Monotonic time to connect at; 0: now. */
+    uint64_t closed_at_ms; /**< Monotonic time of the close, set by the run; 0: not connected. */
 } leaving_caller;
 
-/** Run all callers at once, a thread each; returns when all have left. */
+/** Runs all callers in parallel, a thread each; returns after the last close. */
 void leaving_callers_run(leaving_caller *callers, guint count);
 
-/** What engines did for callers that had left. */
+/** Statistics of the engines' work for callers. */
 typedef struct {
-    GHashTable *left;  /**< of leaving_caller*, by id; borrowed callers. */
-    GArray *worked_ms; /**< of uint64_t: work after the close, one for each request under way. */
-    uint32_t later;    /**< Requests that came to an engine later than the limit. */
-    uint32_t calls;    /**< Requests that came to an engine, at any time. */
+    GHashTable *callers;         /**< Of leaving_caller*, by id; the callers are borrowed. */
+    GArray *work_after_close_ms; /**< Of uint64_t: one for each request that ran at the close. */
+    uint32_t late_requests;      /**< Requests that reached an engine after LEAVING_LIMIT_MS. */
+    uint32_t engine_requests;    /**< All requests that reached an engine. */
 } leaving_figures;
 
+/** Returns empty statistics of @p callers, which have closed their connections. */
 leaving_figures leaving_figures_new(const leaving_caller *callers, guint count);
 
-/** Count one request at an engine: monotonic times in ms; @p ended_ms 0: it still runs. */
-void leaving_figures_add(leaving_figures *figures, const char *id, uint64_t begun_ms,
+/** Adds a request at an engine. Monotonic times in ms; @p ended_ms 0: the request still runs. */
+void leaving_figures_add(leaving_figures *figures, const char *id, uint64_t started_ms,
                          uint64_t ended_ms);
 
-/** Print the figures under @p title, and check them against the limit; frees. */
+/** Prints the figures under @p title, checks them against the limit, and frees them. */
 void leaving_figures_check(leaving_figures *figures, const char *title);
 
 #endif
--- a/tests/system/main.c
+++ b/tests/system/main.c
@@ -1,4 +1,4 @@
-/** @file main.c  Runs the system tests over a fleet of real processes. */
+/** @file main.c  Runs the system tests, which start a fleet of processes. */
 #include "tests/system/system_tests.h"
 #include "tools/surface/fleet_bench.h"
 
--- a/tests/system/support.c
+++ b/tests/system/support.c
@@ -21,7 +21,7 @@
 
     "scheduling.item_timeout_s=3",  NULL};
 
-/** Settings of the tests, and the first two daemons as seeds. Free the array alone. */
+/** Returns the tests' settings and the first two daemons as seeds; only the array is owned. */
 static const char **make_settings(const fleet_ports *ports) {
     static char seeds[64];
     g_snprintf(seeds, sizeof seeds, "peer.seeds=127.0.0.1:%d,127.0.0.1:%d", ports->peer,
--- a/tests/system/system_tests.h
+++ b/tests/system/system_tests.h
@@ -1,4 +1,4 @@
-/** @file system_tests.h  Suites over real processes, and the fleet they share. */
+/** @file system_tests.h  Declares the system suites, and the fleet of processes that they share. */
 #ifndef TESTS_SYSTEM_SYSTEM_TESTS_H
 #define TESTS_SYSTEM_SYSTEM_TESTS_H
 
@@ -11,23 +11,26 @@
 /** The fleet of the running suite. */
 extern fleet test_fleet;
 
-/** Three daemons, three drafting engines, one order engine. For suites' begin and end. */
+/** Start and stop a fleet of three daemons, three drafting engines and one order engine. */
 int begin_fleet(void);
 int end_fleet(void);
 
-/** Lines of a batch: items "PREFIX-n"; @p run_once_every: 0 for none. Free with g_free. */
+/**
+ * Returns the lines of a batch with items "PREFIX-n", of which every @p run_once_every th is
+ * run-once (0: none). The caller frees them with g_free.
+ */
 char *test_lines(const char *prefix, int count, int max_tokens, int run_once_every);
 
-/** Upload and submit through the given daemons. @return the job's id, owned; NULL on failure. */
+/** Uploads and submits through the given daemons. @return the job's id, owned; NULL on failure. */
 char *submit_lines(const char *lines, int upload_daemon, int submit_daemon, const char *key);
 
-/** Result lines of a job as a JSON array, read through a daemon. Owned. */
+/** Returns a job's result lines, read through @p daemon, as a JSON array; the caller owns it. */
 json_t *read_results(const char *job_id, int daemon);
 
-/** Engine requests (of all engines) whose prompt begins with @p prefix. */
+/** Counts requests at all engines by prefix of the prompt and by state; NULL: any state. */
 int count_engine_runs(const char *prompt_prefix, const char *state);
 
-/** Poll until @p condition says true; false after @p timeout_ms. */
+/** Polls until @p condition returns true; returns false after @p timeout_ms. */
 bool wait_until(bool (*condition)(void *user_data), void *user_data, unsigned timeout_ms);
 
 extern const test_case path_tests[];
@@ -41,14 +44,14 @@
 extern const test_case fleet_edge_system_tests[];
 extern const test_case fleet_run_system_tests[];
 
-/** The bench with an engine that sends surplus answers. For the suite's begin and end. */
+/** Start and stop the bench with an engine that sends surplus answers. */
 int begin_fleet_runs(void);
 int end_fleet_runs(void);
 extern const test_case online_caller_tests[];
 extern const test_case online_taking_tests[];
 extern const test_case fleet_taking_system_tests[];
 
-/** Suites with a beginning of their own. */
+/** Starts the bench with routes that have long timeouts; end_bench stops it. */
 int begin_patient_bench(void);
 extern const test_case fleet_caller_system_tests[];
 
@@ -56,56 +59,56 @@
 
 extern const test_case fleet_tenant_system_tests[];
 
-/** The bench with tenants, and daemons that write logs to files. For the suite's begin and end. */
+/** Start and stop the bench with tenants, and with daemons that log to files. */
 int begin_tenants(void);
 int end_tenants(void);
 
 extern const test_case fleet_crash_system_tests[];
 
-/** The bench with engines that crash instead of its own. For the suite's begin and end. */
+/** Start and stop the bench with engines that crash, in place of the usual engines. */
 int begin_crashes(void);
 int end_crashes(void);
 
 extern const test_case fleet_crash_reborn_system_tests[];
 
-/** The same with engines that start again under their ids. */
+/** As begin_crashes, with engines that restart under the same ids. */
 int begin_crashes_reborn(void);
 int end_crashes_reborn(void);
 
 extern const test_case fleet_crash_few_system_tests[];
 
-/** The same with two, three, or six engines, and one or two requests that crash them. */
+/** As begin_crashes_reborn: three, two, or six engines, and one, one, or two fatal contents. */
 int begin_crashes_few(void);
 int begin_crashes_two(void);
 int begin_crashes_two_causes(void);
 
 extern const test_case fleet_entry_system_tests[];
 
-/** The same with streams that last for two seconds. For the suite's begin and end. */
+/** As begin_crashes, with streams of two seconds. */
 extern const test_case fleet_item_loss_system_tests[];
 int begin_item_losses(void);
 int end_item_losses(void);
 
-/** Daemons of an earlier build (HS_PAST_PROGRAM) beside this one. For the suite's begin and end. */
+/** Start and stop daemons of an earlier build (HS_PAST_PROGRAM) beside daemons of this build. */
 extern const test_case fleet_upgrade_system_tests[];
 int begin_upgrade(void);
 int end_upgrade(void);
 
 extern const test_case fleet_crash_large_system_tests[];
 
-/** The same with many daemons. */
+/** As begin_crashes, with many daemons. */
 int begin_crashes_large(void);
 int end_crashes_large(void);
 
 extern const test_case fleet_silence_system_tests[];
 
-/** The bench with proxies before its engines and its store. */
+/** Start and stop the bench with fault proxies in front of the engines and the store. */
 int begin_silence(void);
 int end_silence(void);
 
 extern const test_case fleet_memory_system_tests[];
 
-/** The bench with daemons that are told their memory, and an engine that cuts unread answers. */
+/** Start and stop the bench with memory limits, and an engine that closes on unread answers. */
 int begin_memory(void);
 int end_memory(void);
 
--- a/tests/system/test_leaving.c
+++ b/tests/system/test_leaving.c
@@ -1,4 +1,4 @@
-/** @file test_leaving.c  Leaving engines, planned stops, rolling restarts under load. */
+/** @file test_leaving.c  Leaving engines, graceful stops, and rolling restarts under load. */
 #include "base/clock.h"
 #include "standin/engine/answer.h"
 #include "tests/system/system_tests.h"
@@ -7,14 +7,15 @@
 #include <string.h>
 
 #define DAEMONS 3
-#define KNOWN_TIMEOUT_MS 10000
+#define PROPAGATION_TIMEOUT_MS 10000
 #define READY_TIMEOUT_MS 10000
 #define LOAD_THREADS 6
 #define RESTARTS 10
 #define JOB_TIMEOUT_MS 60000
 #define JOB_ITEMS 150
 
-static long complete_through(int daemon, const char *prompt, int tokens, bool *whole) {
+/** Sends a completion; @p is_whole: whether the answer has the complete expected text. */
+static long complete_through(int daemon, const char *prompt, int tokens, bool *is_whole) {
     g_autofree char *body = g_strdup_printf(
         "{\"model\":\"drafting-7b\",\"max_tokens\":%d,\"prompt\":\"%s\"}", tokens, prompt);
     json_t *answer = NULL;
@@ -22,33 +23,33 @@
                               TEST_TENANT, body, NULL, &answer);
     const json_t *choice = json_array_get(json_object_get(answer, "choices"), 0);
     g_autofree char *expected = answer_text(prompt, (uint32_t)tokens);
-    *whole = g_strcmp0(json_string_value(json_object_get(choice, "text")), expected) == 0;
+    *is_whole = g_strcmp0(json_string_value(json_object_get(choice, "text")), expected) == 0;
     json_decref(answer);
     return status;
 }
 
-static bool all_avoid_engine_0(void *user_data) {
+static bool is_engine_0_leaving_everywhere(void *user_data) {
     (void)user_data;
     for (int daemon = 0; daemon < DAEMONS; daemon++) {
         json_t *status = NULL;
         client_call("GET", test_fleet.admin_urls[daemon], "/admin/v1/status", NULL, NULL, NULL,
                     &status);
-        bool avoids = false;
+        bool is_leaving = false;
         size_t index;
         json_t *engine;
         json_array_foreach(json_object_get(status, "engines"), index, engine) {
             const char *id = json_string_value(json_object_get(engine, "id"));
-            avoids = avoids || (g_strcmp0(id, "engine-0") == 0 &&
-                                json_is_true(json_object_get(engine, "leaving")));
+            is_leaving = is_leaving || (g_strcmp0(id, "engine-0") == 0 &&
+                                        json_is_true(json_object_get(engine, "leaving")));
         }
         json_decref(status);
-        if (!avoids)
+        if (!is_leaving)
             return false;
     }
     return true;
 }
 
-static int leaving_refusals(void) {
+static int get_leaving_refusals(void) {
     json_t *record = NULL;
     client_call("GET", test_fleet.engine_urls[0], "/control/record", NULL, NULL, NULL, &record);
     int refusals = (int)json_integer_value(json_object_get(record, "leaving_refusals"));
@@ -56,23 +57,23 @@
     return refusals;
 }
 
-static void leaving_engine_gets_no_new_work_though_the_list_lags(void) {
-    bool whole = false;
+static void leaving_engine_gets_no_requests_with_a_stale_engine_list(void) {
+    bool is_whole = false;
     CU_ASSERT_TRUE(fleet_set_faults(test_fleet.platform_url, "{\"list_lag_ms\":30000}"));
     CU_ASSERT_TRUE(fleet_set_faults(test_fleet.engine_urls[0], "{\"leaving\":true}"));
-    CU_ASSERT_TRUE(wait_until(all_avoid_engine_0, NULL, KNOWN_TIMEOUT_MS));
-    int before = leaving_refusals();
+    CU_ASSERT_TRUE(wait_until(is_engine_0_leaving_everywhere, NULL, PROPAGATION_TIMEOUT_MS));
+    int before = get_leaving_refusals();
     for (int request = 0; request < 60; request++) {
         g_autofree char *prompt = g_strdup_printf("leaving-%d", request);
-        CU_ASSERT_EQUAL(complete_through(request % DAEMONS, prompt, 2, &whole), 200);
-        CU_ASSERT_TRUE(whole);
+        CU_ASSERT_EQUAL(complete_through(request % DAEMONS, prompt, 2, &is_whole), 200);
+        CU_ASSERT_TRUE(is_whole);
     }
-    CU_ASSERT_EQUAL(leaving_refusals(), before);
+    CU_ASSERT_EQUAL(get_leaving_refusals(), before);
     fleet_set_faults(test_fleet.engine_urls[0], "{\"leaving\":false}");
     fleet_set_faults(test_fleet.platform_url, "{\"list_lag_ms\":50}");
 }
 
-static gpointer long_request(gpointer data) {
+static gpointer send_long_request(gpointer data) {
     client_stream *stream = data;
     client_stream_run(test_fleet.caller_urls[1], "/v1/completions", TEST_TENANT,
                       "{\"model\":\"drafting-7b\",\"max_tokens\":300,\"stream\":true,"
@@ -81,15 +82,15 @@
     return NULL;
 }
 
-static bool long_request_runs(void *user_data) {
+static bool is_long_request_running(void *user_data) {
     (void)user_data;
     return count_engine_runs("long-stream", "running") == 1;
 }
 
-static void planned_stop_finishes_an_open_stream(void) {
+static void graceful_stop_finishes_an_open_stream(void) {
     client_stream stream;
-    GThread *thread = g_thread_new("stream", long_request, &stream);
-    CU_ASSERT_TRUE(wait_until(long_request_runs, NULL, 5000));
+    GThread *thread = g_thread_new("stream", send_long_request, &stream);
+    CU_ASSERT_TRUE(wait_until(is_long_request_running, NULL, 5000));
     CU_ASSERT_EQUAL(fleet_signal(&test_fleet.daemon_pids[1], SIGTERM), 0);
     g_thread_join(thread);
     g_autofree char *expected = answer_text("long-stream", 300);
@@ -100,15 +101,15 @@
     CU_ASSERT_TRUE(fleet_wait_ready(&test_fleet, 1, READY_TIMEOUT_MS));
 }
 
-/** Callers that ask for readiness first, as a caller's own library would. */
+/** Load of callers that check a daemon's readiness before each request, as client libraries do. */
 typedef struct {
     gint stopping;
     gint sent;
     gint failed;
-} load;
+} restart_load;
 
 static gpointer send_load(gpointer data) {
-    load *self = data;
+    restart_load *self = data;
     int daemon = 0;
     while (g_atomic_int_get(&self->stopping) == 0) {
         daemon = (daemon + 1) % DAEMONS;
@@ -117,16 +118,16 @@
             continue;
         int number = g_atomic_int_add(&self->sent, 1);
         g_autofree char *prompt = g_strdup_printf("rolling-%d", number);
-        bool whole = false;
-        long status = complete_through(daemon, prompt, 12, &whole);
-        if (status != 200 || !whole)
+        bool is_whole = false;
+        long status = complete_through(daemon, prompt, 12, &is_whole);
+        if (status != 200 || !is_whole)
             g_atomic_int_inc(&self->failed);
     }
     return NULL;
 }
 
-static void rolling_restarts_under_load_fail_nothing(void) {
-    load self = {0, 0, 0};
+static void rolling_restarts_under_load_fail_no_request(void) {
+    restart_load self = {0, 0, 0};
     GThread *threads[LOAD_THREADS];
     for (int daemon = 0; daemon < DAEMONS; daemon++)
         CU_ASSERT_TRUE(fleet_wait_ready(&test_fleet, daemon, READY_TIMEOUT_MS));
@@ -154,8 +155,8 @@
 }
 
 const test_case leaving_tests[] = {
-    {"leaving_engine_gets_no_new_work_though_the_list_lags",
-     leaving_engine_gets_no_new_work_though_the_list_lags},
-    {"planned_stop_finishes_an_open_stream", planned_stop_finishes_an_open_stream},
-    {"rolling_restarts_under_load_fail_nothing", rolling_restarts_under_load_fail_nothing},
+    {"leaving_engine_gets_no_requests_with_a_stale_engine_list",
+     leaving_engine_gets_no_requests_with_a_stale_engine_list},
+    {"graceful_stop_finishes_an_open_stream", graceful_stop_finishes_an_open_stream},
+    {"rolling_restarts_under_load_fail_no_request", rolling_restarts_under_load_fail_no_request},
     {NULL, NULL}};
--- a/tests/system/test_online_callers.c
+++ b/tests/system/test_online_callers.c
@@ -1,4 +1,4 @@
-/** @file test_online_callers.c  The OpenAI surface with callers that leave. */
+/** @file test_online_callers.c  OpenAI surface: callers that disconnect early. */
 #include "base/clock.h"
 #include "tests/system/leaving_callers.h"
 #include "tests/system/system_tests.h"
@@ -8,17 +8,19 @@
 
 #define CALLERS 200
 #define SEED 20261203
-#define STAY_MOST_MS 800
-#define ARRIVE_MOST_MS 2000
-/** Between two changes of what engines do, and how long they are watched after all have left. */
-#define CHANGE_MS 150
-#define WATCH_MS 3000
+#define MAX_CLOSE_DELAY_MS 800
+#define MAX_CONNECT_DELAY_MS 2000
+/** Interval between changes of the engines' faults. */
+#define FAULT_INTERVAL_MS 150
+/** Time to record the engines' work after the last close. */
+#define OBSERVATION_MS 3000
 #define US_PER_MS 1000
 #define DAEMONS 3
 #define UNREAD_CALLERS 40
-#define FROZEN_MS 900
+/** Time for which the daemon is stopped. */
+#define DAEMON_STOP_MS 900
 
-static char *request_bytes(const char *id, bool streams, bool sends_half) {
+static char *make_request(const char *id, bool streams, bool sends_half) {
     g_autofree char *body = g_strdup_printf("{\"model\":\"drafting-7b\",\"max_tokens\":1500,"
                                             "\"stream\":%s,\"prompt\":\"%s\"}",
                                             streams ? "true" : "false", id);
@@ -36,21 +38,22 @@
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (guint index = 0; index < CALLERS; index++) {
         leaving_caller *caller = &callers[index];
-        bool leaves_at_once = index % 7 == 0;
+        bool closes_at_once = index % 7 == 0;
         g_snprintf(caller->id, sizeof caller->id, "leaver-%u", index);
         caller->port = (uint16_t)(test_fleet.options.ports.caller + (int)(index % DAEMONS));
-        caller->bytes = request_bytes(caller->id, index % 2 == 0, index % 11 == 0);
-        caller->arrives_ms = now_ms + (uint64_t)g_rand_int_range(random, 0, ARRIVE_MOST_MS);
-        caller->stays_ms = leaves_at_once ? 0 : (uint32_t)g_rand_int_range(random, 0, STAY_MOST_MS);
+        caller->bytes = make_request(caller->id, index % 2 == 0, index % 11 == 0);
+        caller->arrives_ms = now_ms + (uint64_t)g_rand_int_range(random, 0, MAX_CONNECT_DELAY_MS);
+        caller->stays_ms =
+            closes_at_once ? 0 : (uint32_t)g_rand_int_range(random, 0, MAX_CLOSE_DELAY_MS);
     }
     g_rand_free(random);
 }
 
-static void set_engine(int index, const char *faults) {
+static void set_faults(int index, const char *faults) {
     fleet_set_faults(test_fleet.engine_urls[index], faults);
 }
 
-static gpointer change_engines(gpointer data) {
+static gpointer change_faults(gpointer data) {
     static const char *const faults[] = {
         "{\"refuse\":false,\"slow_step_ms\":40}", "{\"refuse\":true}",
         "{\"refuse\":false,\"cut_count\":5,\"cut_after_tokens\":2,\"slow_step_ms\":0}",
@@ -58,26 +61,26 @@
     gint *stopping = data;
     for (guint turn = 0; g_atomic_int_get(stopping) == 0; turn++) {
         for (int index = 0; index < test_fleet.engine_count; index++)
-            set_engine(index, faults[(turn + (guint)index) % G_N_ELEMENTS(faults)]);
-        hs_clock_sleep_ms(CHANGE_MS);
+            set_faults(index, faults[(turn + (guint)index) % G_N_ELEMENTS(faults)]);
+        hs_clock_sleep_ms(FAULT_INTERVAL_MS);
     }
     for (int index = 0; index < test_fleet.engine_count; index++)
-        set_engine(index, "{\"refuse\":false,\"cut_count\":0,\"slow_step_ms\":0}");
+        set_faults(index, "{\"refuse\":false,\"cut_count\":0,\"slow_step_ms\":0}");
     return NULL;
 }
 
-static uint64_t field_ms(const json_t *record, const char *name) {
+static uint64_t get_time_ms(const json_t *record, const char *name) {
     return (uint64_t)json_integer_value(json_object_get(record, name)) / US_PER_MS;
 }
 
-static void check_engines(const leaving_caller *callers, guint count, const char *title) {
+static void check_engine_work(const leaving_caller *callers, guint count, const char *title) {
     leaving_figures figures = leaving_figures_new(callers, count);
     json_t *records = fleet_engine_records(&test_fleet);
     size_t index;
     json_t *record;
     json_array_foreach(records, index, record)
         leaving_figures_add(&figures, json_string_value(json_object_get(record, "prompt")),
-                            field_ms(record, "received_us"), field_ms(record, "ended_us"));
+                            get_time_ms(record, "received_us"), get_time_ms(record, "ended_us"));
     json_decref(records);
     leaving_figures_check(&figures, title);
 }
@@ -87,39 +90,39 @@
         g_free(callers[index].bytes);
 }
 
-/** Plain or streamed, before the first token or after it: who has left is left alone. */
-static void online_engines_are_left_alone_once_callers_left(void) {
+/** Guards against engine work for disconnected callers, with and without streaming. */
+static void online_engine_work_stops_after_callers_disconnect(void) {
     leaving_caller callers[CALLERS] = {0};
     gint stopping = 0;
     make_callers(callers);
-    GThread *changes = g_thread_new("changes", change_engines, &stopping);
+    GThread *changes = g_thread_new("changes", change_faults, &stopping);
     leaving_callers_run(callers, CALLERS);
-    hs_clock_sleep_ms(WATCH_MS);
+    hs_clock_sleep_ms(OBSERVATION_MS);
     g_atomic_int_set(&stopping, 1);
     g_thread_join(changes);
-    check_engines(callers, CALLERS, "openai, callers that leave");
+    check_engine_work(callers, CALLERS, "openai, callers that disconnect");
     free_bytes(callers, CALLERS);
 }
 
-/** Requests that lie unread while their callers leave are not sent to engines at all. */
-static void online_requests_left_unread_are_not_sent(void) {
+/** Guards against sending requests to engines whose callers closed before the daemon read them. */
+static void online_requests_of_closed_connections_are_not_sent(void) {
     leaving_caller callers[UNREAD_CALLERS] = {0};
     for (guint index = 0; index < UNREAD_CALLERS; index++) {
         g_snprintf(callers[index].id, sizeof callers[index].id, "unread-%u", index);
         callers[index].port = (uint16_t)test_fleet.options.ports.caller;
-        callers[index].bytes = request_bytes(callers[index].id, index % 2 == 0, false);
+        callers[index].bytes = make_request(callers[index].id, index % 2 == 0, false);
     }
     CU_ASSERT_EQUAL(kill(test_fleet.daemon_pids[0], SIGSTOP), 0);
     leaving_callers_run(callers, UNREAD_CALLERS);
-    hs_clock_sleep_ms(FROZEN_MS);
+    hs_clock_sleep_ms(DAEMON_STOP_MS);
     CU_ASSERT_EQUAL(kill(test_fleet.daemon_pids[0], SIGCONT), 0);
-    hs_clock_sleep_ms(FROZEN_MS);
-    check_engines(callers, UNREAD_CALLERS, "openai, requests left unread");
+    hs_clock_sleep_ms(DAEMON_STOP_MS);
+    check_engine_work(callers, UNREAD_CALLERS, "openai, requests of closed connections");
     free_bytes(callers, UNREAD_CALLERS);
 }
 
-const test_case online_caller_tests[] = {
-    {"online_engines_are_left_alone_once_callers_left",
-     online_engines_are_left_alone_once_callers_left},
-    {"online_requests_left_unread_are_not_sent", online_requests_left_unread_are_not_sent},
-    {NULL, NULL}};
+const test_case online_caller_tests[] = {{"online_engine_work_stops_after_callers_disconnect",
+                                          online_engine_work_stops_after_callers_disconnect},
+                                         {"online_requests_of_closed_connections_are_not_sent",
+                                          online_requests_of_closed_connections_are_not_sent},
+                                         {NULL, NULL}};
--- a/tests/system/test_path.c
+++ b/tests/system/test_path.c
@@ -1,4 +1,4 @@
-/** @file test_path.c  The whole path: online, streamed, batch, resent and cancelled jobs. */
+/** @file test_path.c  End-to-end paths of online requests, jobs and files. */
 #include "standin/engine/answer.h"
 #include "tests/system/system_tests.h"
 
@@ -7,7 +7,7 @@
 
 #define JOB_TIMEOUT_MS 30000
 
-static void plain_answer_is_whole(void) {
+static void plain_answer_is_complete(void) {
     json_t *body = NULL;
     long status = client_call("POST", test_fleet.caller_urls[0], "/v1/completions", TEST_TENANT,
                               "{\"model\":\"drafting-7b\",\"max_tokens\":9,\"prompt\":\"plain\"}",
@@ -19,7 +19,7 @@
     json_decref(body);
 }
 
-static void streamed_answer_is_whole_on_every_daemon(void) {
+static void streamed_answer_is_complete_on_every_daemon(void) {
     g_autofree char *expected = answer_text("streamed", 11);
     for (int daemon = 0; daemon < 3; daemon++) {
         client_stream stream;
@@ -71,7 +71,7 @@
     json_decref(results);
 }
 
-static void resent_job_is_the_same(void) {
+static void resubmitted_job_has_the_same_id(void) {
     g_autofree char *lines = test_lines("resent", 10, 3, 0);
     g_autofree char *first = submit_lines(lines, 0, 0, NULL);
     g_autofree char *second = submit_lines(lines, 1, 2, NULL);
@@ -97,7 +97,7 @@
     CU_ASSERT_EQUAL(count_engine_runs("once-", NULL), 12);
 }
 
-static bool nothing_runs(void *user_data) {
+static bool is_nothing_running(void *user_data) {
     const char *prefix = user_data;
     return count_engine_runs(prefix, "running") + count_engine_runs(prefix, "waiting") == 0;
 }
@@ -114,7 +114,7 @@
     json_int_t counted =
         json_integer_value(json_object_get(json_object_get(job, "request_counts"), "completed"));
     json_decref(job);
-    CU_ASSERT_TRUE(wait_until(nothing_runs, (gpointer) "cancelled-", 10000));
+    CU_ASSERT_TRUE(wait_until(is_nothing_running, (gpointer) "cancelled-", 10000));
     job = client_wait_batch(test_fleet.caller_urls[2], TEST_TENANT, job_id, JOB_TIMEOUT_MS);
     CU_ASSERT_EQUAL(
         json_integer_value(json_object_get(json_object_get(job, "request_counts"), "completed")),
@@ -122,11 +122,11 @@
     json_decref(job);
 }
 
-static bool some_item_runs(void *prefix) {
+static bool is_some_item_running(void *prefix) {
     return count_engine_runs(prefix, "running") > 0;
 }
 
-/** Keeps every engine busy with a stream, so that batch must step aside. */
+/** Sends streams that keep the engines busy, so that batch items are preempted. */
 static gpointer occupy_engines(gpointer data) {
     const char *prompt = data;
     for (int request = 0; request < 6; request++) {
@@ -142,13 +142,13 @@
     return NULL;
 }
 
-static void items_that_stepped_aside_complete_whole(void) {
+static void preempted_items_complete_without_gaps(void) {
     static const char *const prompts[] = {"occupy-a", "occupy-b", "occupy-c", "occupy-d"};
     GThread *threads[G_N_ELEMENTS(prompts)];
     g_autofree char *lines = test_lines("aside", 40, 150, 0);
     g_autofree char *job_id = submit_lines(lines, 0, 0, NULL);
     CU_ASSERT_PTR_NOT_NULL_FATAL(job_id);
-    CU_ASSERT_TRUE(wait_until(some_item_runs, (gpointer) "aside-", 10000));
+    CU_ASSERT_TRUE(wait_until(is_some_item_running, (gpointer) "aside-", 10000));
     for (size_t index = 0; index < G_N_ELEMENTS(prompts); index++)
         threads[index] = g_thread_new("occupy", occupy_engines, (gpointer)prompts[index]);
     for (size_t index = 0; index < G_N_ELEMENTS(prompts); index++)
@@ -170,8 +170,8 @@
     json_decref(results);
 }
 
-/** Freezes the first engine that works on the prefix's items. @return its index, or -1. */
-static int freeze_busy_engine(const char *prefix) {
+/** Stops the first engine that runs items of the prefix. @return the engine's index, or -1. */
+static int stop_busy_engine(const char *prefix) {
     for (int engine = 0; engine < 3; engine++) {
         json_t *record = NULL;
         client_call("GET", test_fleet.engine_urls[engine], "/control/record", NULL, NULL, NULL,
@@ -186,20 +186,20 @@
     return -1;
 }
 
-static void frozen_engine_does_not_hold_a_job(void) {
+static void stalled_engine_does_not_block_a_job(void) {
     g_autofree char *lines = test_lines("held", 60, 100, 0);
     g_autofree char *job_id = submit_lines(lines, 0, 0, NULL);
     CU_ASSERT_PTR_NOT_NULL_FATAL(job_id);
-    CU_ASSERT_TRUE(wait_until(some_item_runs, (gpointer) "held-", 10000));
-    int frozen = freeze_busy_engine("held-");
-    CU_ASSERT(frozen >= 0);
+    CU_ASSERT_TRUE(wait_until(is_some_item_running, (gpointer) "held-", 10000));
+    int stopped = stop_busy_engine("held-");
+    CU_ASSERT(stopped >= 0);
     json_t *job = client_wait_batch(test_fleet.caller_urls[2], TEST_TENANT, job_id, JOB_TIMEOUT_MS);
     CU_ASSERT_EQUAL(
         json_integer_value(json_object_get(json_object_get(job, "request_counts"), "completed")),
         60);
     json_decref(job);
-    if (frozen >= 0)
-        fleet_signal(&test_fleet.engine_pids[frozen], SIGCONT);
+    if (stopped >= 0)
+        fleet_signal(&test_fleet.engine_pids[stopped], SIGCONT);
 }
 
 static void jobs_are_listed_to_their_tenant_only(void) {
@@ -240,7 +240,7 @@
     hs_http_answer_clear(&answer);
 }
 
-static void choice_of_engine_is_explained(void) {
+static void engine_choice_is_explained(void) {
     hs_http_answer answer;
     json_t *body = NULL;
     json_t *trace = NULL;
@@ -261,17 +261,17 @@
 }
 
 const test_case path_tests[] = {
-    {"plain_answer_is_whole", plain_answer_is_whole},
-    {"streamed_answer_is_whole_on_every_daemon", streamed_answer_is_whole_on_every_daemon},
+    {"plain_answer_is_complete", plain_answer_is_complete},
+    {"streamed_answer_is_complete_on_every_daemon", streamed_answer_is_complete_on_every_daemon},
     {"models_route_by_label", models_route_by_label},
     {"batch_completes_every_item_once", batch_completes_every_item_once},
-    {"resent_job_is_the_same", resent_job_is_the_same},
+    {"resubmitted_job_has_the_same_id", resubmitted_job_has_the_same_id},
     {"run_once_items_run_once", run_once_items_run_once},
     {"cancelled_job_stops", cancelled_job_stops},
-    {"items_that_stepped_aside_complete_whole", items_that_stepped_aside_complete_whole},
-    {"frozen_engine_does_not_hold_a_job", frozen_engine_does_not_hold_a_job},
+    {"preempted_items_complete_without_gaps", preempted_items_complete_without_gaps},
+    {"stalled_engine_does_not_block_a_job", stalled_engine_does_not_block_a_job},
     {"jobs_are_listed_to_their_tenant_only", jobs_are_listed_to_their_tenant_only},
     {"uploaded_file_reads_back", uploaded_file_reads_back},
     {"metrics_are_prometheus_text", metrics_are_prometheus_text},
-    {"choice_of_engine_is_explained", choice_of_engine_is_explained},
+    {"engine_choice_is_explained", engine_choice_is_explained},
     {NULL, NULL}};
--- a/tests/system/test_refusals.c
+++ b/tests/system/test_refusals.c
@@ -1,11 +1,11 @@
-/** @file test_refusals.c  Bad input gets a clear 4xx, and nothing is accepted. */
+/** @file test_refusals.c  Invalid input is refused completely, with a specific 4xx code. */
 #include "tests/system/system_tests.h"
 
 #include <string.h>
 
-/** Expect @p status and @p code, with executed "no". */
-static void refuses(const char *path, const char *tenant, const char *body, client_headers headers,
-                    long status, const char *code) {
+/** Checks that a POST is refused with @p status and @p code, and with executed "no". */
+static void check_refused(const char *path, const char *tenant, const char *body,
+                          client_headers headers, long status, const char *code) {
     json_t *answer = NULL;
     long got = client_call("POST", test_fleet.caller_urls[0], path, tenant, body, headers, &answer);
     const json_t *error = json_object_get(answer, "error");
@@ -18,46 +18,46 @@
 static void bad_completions_are_refused(void) {
     const char *path = "/v1/completions";
     const char *good = "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\"}";
-    refuses(path, NULL, good, NULL, 401, "no_tenant");
-    refuses(path, TEST_TENANT, "{broken", NULL, 400, "bad_json");
-    refuses(path, TEST_TENANT, "{\"model\":\"drafting-7b\"}", NULL, 400, "bad_request");
-    refuses(path, TEST_TENANT,
-            "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":-1}", NULL, 400,
-            "bad_request");
-    refuses(path, TEST_TENANT,
-            "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":99999999}", NULL,
-            400, "bad_request");
-    refuses(path, TEST_TENANT, "{\"model\":\"no-such\",\"prompt\":\"bad-input\"}", NULL, 404,
-            "model_not_found");
+    check_refused(path, NULL, good, NULL, 401, "no_tenant");
+    check_refused(path, TEST_TENANT, "{broken", NULL, 400, "bad_json");
+    check_refused(path, TEST_TENANT, "{\"model\":\"drafting-7b\"}", NULL, 400, "bad_request");
+    check_refused(path, TEST_TENANT,
+                  "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":-1}", NULL,
+                  400, "bad_request");
+    check_refused(path, TEST_TENANT,
+                  "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":99999999}",
+                  NULL, 400, "bad_request");
+    check_refused(path, TEST_TENANT, "{\"model\":\"no-such\",\"prompt\":\"bad-input\"}", NULL, 404,
+                  "model_not_found");
     const char *const bad_timeout[] = {"Heathsail-Timeout-Ms", "soon", NULL};
-    refuses(path, TEST_TENANT, good, bad_timeout, 400, "bad_timeout");
+    check_refused(path, TEST_TENANT, good, bad_timeout, 400, "bad_timeout");
     g_autofree char *padding = g_strnfill(30000, 'x');
     g_autofree char *large =
         g_strdup_printf("{\"model\":\"drafting-7b\",\"prompt\":\"bad-input %s\"}", padding);
-    refuses(path, TEST_TENANT, large, NULL, 413, "body_too_large");
+    check_refused(path, TEST_TENANT, large, NULL, 413, "body_too_large");
     CU_ASSERT_EQUAL(count_engine_runs("bad-input", NULL), 0);
 }
 
 static void large_head_is_refused(void) {
     g_autofree char *padding = g_strnfill(6000, 'h');
     const char *const headers[] = {"X-Padding", padding, NULL};
-    refuses("/v1/completions", TEST_TENANT, "{\"model\":\"drafting-7b\",\"prompt\":\"head\"}",
-            headers, 431, "headers_too_large");
+    check_refused("/v1/completions", TEST_TENANT, "{\"model\":\"drafting-7b\",\"prompt\":\"head\"}",
+                  headers, 431, "headers_too_large");
     CU_ASSERT_EQUAL(count_engine_runs("head", NULL), 0);
 }
 
-static void unknown_tenant_is_refused_where_tenants_are_listed(void) {
+static void unknown_tenant_is_refused_with_listed_tenants_only(void) {
     const char *limits = "/admin/v1/limits/default";
     CU_ASSERT_EQUAL(client_call("PUT", test_fleet.admin_urls[0], limits, NULL,
                                 "{\"listed_tenants_only\":true}", NULL, NULL),
                     200);
-    refuses("/v1/completions", TEST_TENANT, "{\"model\":\"drafting-7b\",\"prompt\":\"t\"}", NULL,
-            401, "unknown_tenant");
+    check_refused("/v1/completions", TEST_TENANT, "{\"model\":\"drafting-7b\",\"prompt\":\"t\"}",
+                  NULL, 401, "unknown_tenant");
     CU_ASSERT_EQUAL(client_call("DELETE", test_fleet.admin_urls[0], limits, NULL, NULL, NULL, NULL),
                     200);
 }
 
-static void tenant_over_its_limit_is_told_when_to_come_back(void) {
+static void tenant_over_its_limit_gets_a_retry_time(void) {
     const char *limit = "/admin/v1/limits/" TEST_TENANT;
     CU_ASSERT_EQUAL(client_call("PUT", test_fleet.admin_urls[0], limit, NULL,
                                 "{\"requests_per_second\":2}", NULL, NULL),
@@ -97,7 +97,7 @@
     CU_ASSERT_EQUAL(upload(good), 200);
 }
 
-/** POST a raw multipart body. */
+/** Posts a raw multipart body; returns the status, 0 without an answer. */
 static long post_multipart(const char *content_type, const char *body) {
     g_autofree char *url = g_strconcat(test_fleet.caller_urls[0], "/v1/files", NULL);
     const char *headers[] = {"Authorization", "Bearer " TEST_TENANT, NULL};
@@ -135,14 +135,15 @@
     g_autofree char *window = g_strdup_printf(
         "{\"input_file_id\":\"%s\",\"endpoint\":\"/v1/completions\",\"completion_window\":\"x\"}",
         file_id);
-    refuses(path, TEST_TENANT, "[]", NULL, 400, "bad_json");
-    refuses(path, TEST_TENANT, "{\"endpoint\":\"/v1/completions\"}", NULL, 400, "bad_request");
-    refuses(path, TEST_TENANT,
-            "{\"input_file_id\":\"file_0000_x\",\"endpoint\":\"/v1/completions\"}", NULL, 404,
-            "file_not_found");
-    refuses(path, "somebody", mismatch, NULL, 404, "file_not_found");
-    refuses(path, TEST_TENANT, mismatch, NULL, 400, "endpoint_mismatch");
-    refuses(path, TEST_TENANT, window, NULL, 400, "bad_request");
+    check_refused(path, TEST_TENANT, "[]", NULL, 400, "bad_json");
+    check_refused(path, TEST_TENANT, "{\"endpoint\":\"/v1/completions\"}", NULL, 400,
+                  "bad_request");
+    check_refused(path, TEST_TENANT,
+                  "{\"input_file_id\":\"file_0000_x\",\"endpoint\":\"/v1/completions\"}", NULL, 404,
+                  "file_not_found");
+    check_refused(path, "somebody", mismatch, NULL, 404, "file_not_found");
+    check_refused(path, TEST_TENANT, mismatch, NULL, 400, "endpoint_mismatch");
+    check_refused(path, TEST_TENANT, window, NULL, 400, "bad_request");
     json_t *list = NULL;
     client_call("GET", test_fleet.caller_urls[0], path, TEST_TENANT, NULL, NULL, &list);
     CU_ASSERT_EQUAL(json_array_size(json_object_get(list, "data")), 0);
@@ -159,7 +160,7 @@
                     404);
 }
 
-static void lost_race_gets_412(void) {
+static void stale_etag_gets_412(void) {
     const char *path = "/admin/v1/limits/raced";
     hs_http_answer answer;
     client_exchange("PUT", test_fleet.admin_urls[0], path, NULL, "{\"max_in_flight\":5}", NULL,
@@ -179,15 +180,15 @@
     hs_http_answer_clear(&answer);
 }
 
-const test_case refusal_tests[] = {{"bad_completions_are_refused", bad_completions_are_refused},
-                                   {"large_head_is_refused", large_head_is_refused},
-                                   {"unknown_tenant_is_refused_where_tenants_are_listed",
-                                    unknown_tenant_is_refused_where_tenants_are_listed},
-                                   {"tenant_over_its_limit_is_told_when_to_come_back",
-                                    tenant_over_its_limit_is_told_when_to_come_back},
-                                   {"bad_files_are_refused", bad_files_are_refused},
-                                   {"broken_multipart_is_refused", broken_multipart_is_refused},
-                                   {"bad_batches_are_refused", bad_batches_are_refused},
-                                   {"bad_configuration_is_refused", bad_configuration_is_refused},
-                                   {"lost_race_gets_412", lost_race_gets_412},
-                                   {NULL, NULL}};
+const test_case refusal_tests[] = {
+    {"bad_completions_are_refused", bad_completions_are_refused},
+    {"large_head_is_refused", large_head_is_refused},
+    {"unknown_tenant_is_refused_with_listed_tenants_only",
+     unknown_tenant_is_refused_with_listed_tenants_only},
+    {"tenant_over_its_limit_gets_a_retry_time", tenant_over_its_limit_gets_a_retry_time},
+    {"bad_files_are_refused", bad_files_are_refused},
+    {"broken_multipart_is_refused", broken_multipart_is_refused},
+    {"bad_batches_are_refused", bad_batches_are_refused},
+    {"bad_configuration_is_refused", bad_configuration_is_refused},
+    {"stale_etag_gets_412", stale_etag_gets_412},
+    {NULL, NULL}};
--- a/tests/unit/unit_tests.h
+++ b/tests/unit/unit_tests.h
@@ -1,4 +1,4 @@
-/** @file unit_tests.h  The suites of unit tests, one a file. */
+/** @file unit_tests.h  Declares the suites of unit tests, one per file. */
 #ifndef TESTS_UNIT_UNIT_TESTS_H
 #define TESTS_UNIT_UNIT_TESTS_H
 
