--- a/tests/system/test_placement.c
+++ b/tests/system/test_placement.c
@@ -21,7 +21,7 @@
     return is_found;
 }
 
-static int count_copies(const char *model) {
+static int count_model_copies(const char *model) {
     int copies = 0;
     for (int engine = 0; engine < DRAFTING_ENGINES; engine++)
         copies += has_model(engine, model);
@@ -36,7 +36,7 @@
 
 static bool has_wanted_copies(void *user_data) {
     const wanted_copies *wanted = user_data;
-    return count_copies(wanted->model) == wanted->copies;
+    return count_model_copies(wanted->model) == wanted->copies;
 }
 
 static void put_configuration(const char *path, const char *body) {
@@ -62,7 +62,7 @@
     CU_ASSERT_TRUE(wait_until(has_wanted_copies, &wanted, PLACEMENT_TIMEOUT_MS));
     for (int request = 0; request < 12; request++)
         CU_ASSERT_EQUAL(complete_on("season-1b"), 200);
-    CU_ASSERT_EQUAL(count_copies("drafting-7b"), DRAFTING_ENGINES);
+    CU_ASSERT_EQUAL(count_model_copies("drafting-7b"), DRAFTING_ENGINES);
 }
 
 static void model_lost_with_its_engine_is_loaded_on_another(void) {
--- a/tests/system/test_refusals.c
+++ b/tests/system/test_refusals.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 /** Checks that a POST is refused with @p status and @p code, and with executed "no". */
-static void check_refused(const char *path, const char *tenant, const char *body,
-                          client_headers headers, long status, const char *code) {
+static void check_post_refused(const char *path, const char *tenant, const char *body,
+                               client_headers headers, long status, const char *code) {
     json_t *answer = NULL;
     long got = client_call("POST", test_fleet.caller_urls[0], path, tenant, body, headers, &answer);
     const json_t *error = json_object_get(answer, "error");
@@ -18,31 +18,33 @@
 static void bad_completions_are_refused(void) {
     const char *path = "/v1/completions";
     const char *good = "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\"}";
-    check_refused(path, NULL, good, NULL, 401, "no_tenant");
-    check_refused(path, TEST_TENANT, "{broken", NULL, 400, "bad_json");
-    check_refused(path, TEST_TENANT, "{\"model\":\"drafting-7b\"}", NULL, 400, "bad_request");
-    check_refused(path, TEST_TENANT,
-                  "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":-1}", NULL,
-                  400, "bad_request");
-    check_refused(path, TEST_TENANT,
-                  "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":99999999}",
-                  NULL, 400, "bad_request");
-    check_refused(path, TEST_TENANT, "{\"model\":\"no-such\",\"prompt\":\"bad-input\"}", NULL, 404,
-                  "model_not_found");
+    check_post_refused(path, NULL, good, NULL, 401, "no_tenant");
+    check_post_refused(path, TEST_TENANT, "{broken", NULL, 400, "bad_json");
+    check_post_refused(path, TEST_TENANT, "{\"model\":\"drafting-7b\"}", NULL, 400, "bad_request");
+    check_post_refused(path, TEST_TENANT,
+                       "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":-1}",
+                       NULL, 400, "bad_request");
+    check_post_refused(
+        path, TEST_TENANT,
+        "{\"model\":\"drafting-7b\",\"prompt\":\"bad-input\",\"max_tokens\":99999999}", NULL, 400,
+        "bad_request");
+    check_post_refused(path, TEST_TENANT, "{\"model\":\"no-such\",\"prompt\":\"bad-input\"}", NULL,
+                       404, "model_not_found");
     const char *const bad_timeout[] = {"Heathsail-Timeout-Ms", "soon", NULL};
-    check_refused(path, TEST_TENANT, good, bad_timeout, 400, "bad_timeout");
+    check_post_refused(path, TEST_TENANT, good, bad_timeout, 400, "bad_timeout");
     g_autofree char *padding = g_strnfill(30000, 'x');
     g_autofree char *large =
         g_strdup_printf("{\"model\":\"drafting-7b\",\"prompt\":\"bad-input %s\"}", padding);
-    check_refused(path, TEST_TENANT, large, NULL, 413, "body_too_large");
+    check_post_refused(path, TEST_TENANT, large, NULL, 413, "body_too_large");
     CU_ASSERT_EQUAL(count_engine_runs("bad-input", NULL), 0);
 }
 
 static void large_head_is_refused(void) {
     g_autofree char *padding = g_strnfill(6000, 'h');
     const char *const headers[] = {"X-Padding", padding, NULL};
-    check_refused("/v1/completions", TEST_TENANT, "{\"model\":\"drafting-7b\",\"prompt\":\"head\"}",
-                  headers, 431, "headers_too_large");
+    check_post_refused("/v1/completions", TEST_TENANT,
+                       "{\"model\":\"drafting-7b\",\"prompt\":\"head\"}", headers, 431,
+                       "headers_too_large");
     CU_ASSERT_EQUAL(count_engine_runs("head", NULL), 0);
 }
 
@@ -51,8 +53,8 @@
     CU_ASSERT_EQUAL(client_call("PUT", test_fleet.admin_urls[0], limits, NULL,
                                 "{\"listed_tenants_only\":true}", NULL, NULL),
                     200);
-    check_refused("/v1/completions", TEST_TENANT, "{\"model\":\"drafting-7b\",\"prompt\":\"t\"}",
-                  NULL, 401, "unknown_tenant");
+    check_post_refused("/v1/completions", TEST_TENANT,
+                       "{\"model\":\"drafting-7b\",\"prompt\":\"t\"}", NULL, 401, "unknown_tenant");
     CU_ASSERT_EQUAL(client_call("DELETE", test_fleet.admin_urls[0], limits, NULL, NULL, NULL, NULL),
                     200);
 }
@@ -135,15 +137,15 @@
     g_autofree char *window = g_strdup_printf(
         "{\"input_file_id\":\"%s\",\"endpoint\":\"/v1/completions\",\"completion_window\":\"x\"}",
         file_id);
-    check_refused(path, TEST_TENANT, "[]", NULL, 400, "bad_json");
-    check_refused(path, TEST_TENANT, "{\"endpoint\":\"/v1/completions\"}", NULL, 400,
-                  "bad_request");
-    check_refused(path, TEST_TENANT,
-                  "{\"input_file_id\":\"file_0000_x\",\"endpoint\":\"/v1/completions\"}", NULL, 404,
-                  "file_not_found");
-    check_refused(path, "somebody", mismatch, NULL, 404, "file_not_found");
-    check_refused(path, TEST_TENANT, mismatch, NULL, 400, "endpoint_mismatch");
-    check_refused(path, TEST_TENANT, window, NULL, 400, "bad_request");
+    check_post_refused(path, TEST_TENANT, "[]", NULL, 400, "bad_json");
+    check_post_refused(path, TEST_TENANT, "{\"endpoint\":\"/v1/completions\"}", NULL, 400,
+                       "bad_request");
+    check_post_refused(path, TEST_TENANT,
+                       "{\"input_file_id\":\"file_0000_x\",\"endpoint\":\"/v1/completions\"}", NULL,
+                       404, "file_not_found");
+    check_post_refused(path, "somebody", mismatch, NULL, 404, "file_not_found");
+    check_post_refused(path, TEST_TENANT, mismatch, NULL, 400, "endpoint_mismatch");
+    check_post_refused(path, TEST_TENANT, window, NULL, 400, "bad_request");
     json_t *list = NULL;
     client_call("GET", test_fleet.caller_urls[0], path, TEST_TENANT, NULL, NULL, &list);
     CU_ASSERT_EQUAL(json_array_size(json_object_get(list, "data")), 0);
