--- a/tests/support/impatient_engine.c
+++ b/tests/support/impatient_engine.c
@@ -174,7 +174,7 @@
     return (uint32_t)g_atomic_int_get(&engine->streams_started);
 }
 
-uint32_t impatient_engine_completed_count(impatient_engine *engine) {
+uint32_t write_timeout_engine_completed_count(impatient_engine *engine) {
     return (uint32_t)g_atomic_int_get(&engine->streams_completed);
 }
 
--- a/tests/support/impatient_engine.h
+++ b/tests/support/impatient_engine.h
@@ -30,7 +30,7 @@
 
 /** Return counts of streams: started, sent completely, and ended by a stalled reader. */
 uint32_t impatient_engine_begun(impatient_engine *engine);
-uint32_t impatient_engine_completed_count(impatient_engine *engine);
+uint32_t write_timeout_engine_completed_count(impatient_engine *engine);
 uint32_t impatient_engine_cut(impatient_engine *engine);
 
 #endif
