--- a/tests/soak/crash_callers.c
+++ b/tests/soak/crash_callers.c
@@ -45,7 +45,7 @@
 /** A content that crashes engines, by time, so that all callers have the same few. */
 static char *fatal_content(int which, uint64_t began_ms) {
     uint64_t epoch = (hs_clock_monotonic_ms() - began_ms) / FATAL_FOR_MS;
-    return g_strdup_printf(CRASH_FLEET_FATAL "-%u-%d.", (unsigned)epoch, which);
+    return g_strdup_printf(CRASH_FLEET_FATAL_PREFIX "-%u-%d.", (unsigned)epoch, which);
 }
 
 /** Send and judge; @p fatal: a content, or NULL for what many ask and what is new each time. */
@@ -109,8 +109,8 @@
     gpointer content = NULL;
     g_hash_table_iter_init(&iterator, record.fatal);
     while (g_hash_table_iter_next(&iterator, &content, NULL)) {
-        g_autoptr(GArray) begun_ms = crash_fleet_begun_ms(frail, content);
-        soak_check_sends(content, crash_fleet_end_ms(frail, content, ENDS_KNOWN), begun_ms);
+        g_autoptr(GArray) begun_ms = crash_fleet_list_start_times(frail, content);
+        soak_check_sends(content, crash_fleet_find_crash_ms(frail, content, ENDS_KNOWN), begun_ms);
     }
-    record.crashes = crash_fleet_crashes(frail);
+    record.crashes = crash_fleet_get_crash_count(frail);
 }
--- a/tests/soak/link_faults.c
+++ b/tests/soak/link_faults.c
@@ -47,7 +47,7 @@
 }
 
 static proxy_mode any_mode(const fault_lane *lane) {
-    return (proxy_mode)g_rand_int_range(lane->chance, PROXY_DELAYS, PROXY_HOLDS_ANSWERS + 1);
+    return (proxy_mode)g_rand_int_range(lane->chance, PROXY_DELAYS, PROXY_BLOCKS_ANSWERS + 1);
 }
 
 void soak_harm_store_link(const fault_lane *lane) {
@@ -56,16 +56,16 @@
     if (!soak_take(FAULT_STORE_LINK, daemon))
         return;
     soak_say("fault store link daemon=%d mode=%d", daemon, mode);
-    fault_proxy_set(store_proxies[daemon], mode);
+    fault_proxy_set_mode(store_proxies[daemon], mode);
     soak_hold(lane, LINK_LEAST_MS, LINK_MOST_MS);
-    fault_proxy_set(store_proxies[daemon], PROXY_PASSES);
+    fault_proxy_set_mode(store_proxies[daemon], PROXY_FORWARDS);
     soak_say("fault store link ended daemon=%d", daemon);
     soak_give_back(FAULT_STORE_LINK, daemon);
 }
 
 /** Half of the time a cut of one way alone: what the daemon says is done, but it hears nothing. */
 static proxy_mode any_cut(const fault_lane *lane) {
-    return g_rand_boolean(lane->chance) ? PROXY_HOLDS_ANSWERS : any_mode(lane);
+    return g_rand_boolean(lane->chance) ? PROXY_BLOCKS_ANSWERS : any_mode(lane);
 }
 
 /** One daemon does not hear that its partitions go to others; at last it heals, or is killed. */
@@ -76,14 +76,14 @@
     if (!soak_take(FAULT_STORE_LINK, daemon))
         return;
     soak_say("fault deal while cut daemon=%d mode=%d kills=%d", daemon, mode, kills);
-    fault_proxy_set(store_proxies[daemon], mode);
+    fault_proxy_set_mode(store_proxies[daemon], mode);
     soak_hold(lane, 0, BEFORE_DEAL_MOST_MS);
     log_store_rebalance(bench.store);
     soak_hold(lane, AFTER_DEAL_LEAST_MS, AFTER_DEAL_MOST_MS);
     kills = kills && soak_take(FAULT_PROCESS, daemon);
     if (kills)
         bench_signal(daemon, SIGKILL);
-    fault_proxy_set(store_proxies[daemon], PROXY_PASSES);
+    fault_proxy_set_mode(store_proxies[daemon], PROXY_FORWARDS);
     soak_say("fault deal while cut ended daemon=%d kills=%d", daemon, kills);
     if (kills)
         soak_start_daemon(lane, daemon);
@@ -101,11 +101,11 @@
     if (!soak_take(FAULT_STORE_LINK, daemon))
         return;
     soak_say("fault chase owners daemon=%d", daemon);
-    fault_proxy_set(store_proxies[daemon], PROXY_HOLDS_ANSWERS);
+    fault_proxy_set_mode(store_proxies[daemon], PROXY_BLOCKS_ANSWERS);
     log_store_rebalance(bench.store);
     soak_hold(lane, TWO_OWNERS_LEAST_MS, TWO_OWNERS_MOST_MS);
     soak_kill_daemon(lane, daemon);
-    fault_proxy_set(store_proxies[daemon], PROXY_PASSES);
+    fault_proxy_set_mode(store_proxies[daemon], PROXY_FORWARDS);
     soak_give_back(FAULT_STORE_LINK, daemon);
     for (int next = 1; next < MIN(bench_daemons(), CHASED_MOST); next++) {
         soak_hold(lane, 0, CHASE_MOST_MS);
@@ -118,14 +118,15 @@
     int which = g_rand_int_range(lane->chance, 0, bench_daemons() + BENCH_ENGINES);
     bool is_store = which < bench_daemons();
     proxy_silence silence =
-        g_rand_boolean(lane->chance) ? PROXY_ACKNOWLEDGES : PROXY_DROPS_ALL_PACKETS;
+        g_rand_boolean(lane->chance) ? PROXY_ACKNOWLEDGES_DATA : PROXY_DROPS_ALL_PACKETS;
     fault_target target = is_store ? FAULT_STORE_LINK : FAULT_ENGINE_LINK;
     int index = is_store ? which : which - bench_daemons();
     if (!soak_take(target, index))
         return;
     soak_say("fault silence open links of=%s%d silence=%d", is_store ? "daemon" : "engine", index,
              silence);
-    fault_proxy_silence_open(is_store ? store_proxies[index] : engine_proxies[index], silence);
+    fault_proxy_silence_open_connections(is_store ? store_proxies[index] : engine_proxies[index],
+                                         silence);
     soak_hold(lane, LINK_LEAST_MS, LINK_MOST_MS / 2);
     soak_give_back(target, index);
 }
@@ -136,9 +137,9 @@
     if (!soak_take(FAULT_ENGINE_LINK, which))
         return;
     soak_say("fault engine link engine=%d mode=%d", which, mode);
-    fault_proxy_set(engine_proxies[which], mode);
+    fault_proxy_set_mode(engine_proxies[which], mode);
     soak_hold(lane, LINK_LEAST_MS, LINK_MOST_MS / 2);
-    fault_proxy_set(engine_proxies[which], PROXY_PASSES);
+    fault_proxy_set_mode(engine_proxies[which], PROXY_FORWARDS);
     soak_give_back(FAULT_ENGINE_LINK, which);
 }
 
@@ -150,9 +151,9 @@
     soak_say("fault cut engine links engine=%d times=%d", which, times);
     for (int step = 0; step < times; step++) {
         soak_hold(lane, 1, CUT_PAUSE_MOST_MS);
-        fault_proxy_set(engine_proxies[which], PROXY_RESETS);
+        fault_proxy_set_mode(engine_proxies[which], PROXY_RESETS);
         hs_clock_sleep_ms(CUT_MS);
-        fault_proxy_set(engine_proxies[which], PROXY_PASSES);
+        fault_proxy_set_mode(engine_proxies[which], PROXY_FORWARDS);
     }
     soak_give_back(FAULT_ENGINE_LINK, which);
 }
--- a/tests/system/crash_calls.h
+++ b/tests/system/crash_calls.h
@@ -1,33 +1,33 @@
-/** @file crash_calls.h  What the suites about requests that crash engines share. */
+/** @file crash_calls.h  Calls and bounds of the suites with requests that crash engines. */
 #ifndef TESTS_SYSTEM_CRASH_CALLS_H
 #define TESTS_SYSTEM_CRASH_CALLS_H
 
 #include "tests/support/crash_fleet.h"
 #include "tools/surface/fleet_bench.h"
 
-/** A request that ended so many engines is held back, */
-#define CRASHES_KNOWN 3
-/** within this time in ms after the last of them, at all daemons. */
-#define KNOWN_WITHIN_MS 3000
-/** Between two arrivals of a request, in ms: more often than engines return. */
-#define ARRIVAL_MS 100
+/** Crashes by one request's content after which the content is quarantined. */
+#define MIN_QUARANTINE_CRASHES 3
+/** Bound for the quarantine to reach all daemons, from the last of these crashes. */
+#define MAX_QUARANTINE_DELAY_MS 3000
+/** Interval between repeats of a request; shorter than the restart of an engine. */
+#define ARRIVAL_INTERVAL_MS 100
 
-/** The engines of the running suite. */
-crash_fleet *crash_engines(void);
+/** Returns the engines of the running suite; owned by the suite. */
+crash_fleet *get_crash_fleet(void);
 
-/** Begin a suite with other engines than usual; see begin_crashes. */
-int begin_crashes_with(const crash_fleet_settings *settings);
+/** Begins a suite as begin_crashes does, with engines by @p settings. */
+int begin_crashes_with_settings(const crash_fleet_settings *settings);
 
-/** Send a body. Free the answer with bench_answer_clear. */
-bench_answer crash_send(int daemon, const char *target, const char *id, const char *body);
+/** Sends a request; the caller frees the answer with bench_answer_clear. */
+bench_answer send_crash_request(int daemon, const char *target, const char *id, const char *body);
 
-/** Send once, and say whether it was held back. */
-bool crash_is_refused(int daemon, const char *target, const char *id, const char *body);
+/** Sends a request once, and returns whether the daemon refused it as quarantined. */
+bool is_request_quarantined(int daemon, const char *target, const char *id, const char *body);
 
-/** Wait until @p count engines crashed since there were @p before; false: not in @p limit_ms. */
-bool crash_wait(uint32_t before, uint32_t count, uint64_t limit_ms);
+/** Waits for @p count crashes beyond the earlier count @p before; false after @p limit_ms. */
+bool wait_for_crashes(uint32_t before, uint32_t count, uint64_t limit_ms);
 
-/** Kill all daemons at once, start them again, and wait until all are ready. */
-void crash_kill_all_daemons(void);
+/** Kills all daemons, restarts them, and waits until all are ready. */
+void kill_and_restart_all_daemons(void);
 
 #endif
--- a/tests/system/crowd.h
+++ b/tests/system/crowd.h
@@ -1,7 +1,7 @@
 /**
  * @file crowd.h
- * Many callers at one daemon at once, and whether the daemon still takes connections or says that
- * it is not ready.
+ * Opens many connections to one daemon, and checks that the daemon either still accepts connections
+ * or reports that it is not ready. There is one flood at a time; no function is thread-safe.
  */
 #ifndef TESTS_SYSTEM_CROWD_H
 #define TESTS_SYSTEM_CROWD_H
@@ -10,35 +10,36 @@
 #include <stdint.h>
 #include <sys/types.h>
 
-#define CROWD_MOST 2100
+/** Maximum connections of one flood. */
+#define MAX_FLOOD_CONNECTIONS 2100
 
-/** A daemon as a crowd meets it. */
+/** The daemon under load. */
 typedef struct {
     pid_t pid;
-    uint16_t port;       /**< Where callers connect; a request to no path there is answered 404. */
-    uint16_t ready_port; /**< Where it says whether it is ready, */
-    const char *ready;   /**< under this path. */
-} crowd_target;
+    uint16_t port; /**< Port for callers; a request for an unknown path is answered 404. */
+    uint16_t readiness_port; /**< Port of the readiness endpoint. */
+    const char *ready;       /**< Path of the readiness endpoint. */
+} connection_flood_target;
 
-/** Open that many connections; on each send @p bytes (NULL: nothing). */
-void crowd_open(const crowd_target *target, guint count, const char *bytes);
+/** Opens @p count connections and sends @p bytes on each; NULL sends nothing. */
+void connection_flood_open(const connection_flood_target *target, guint count, const char *bytes);
 
-/** Close them. */
-void crowd_close(void);
+/** Closes all connections of the flood. */
+void connection_flood_close(void);
 
-/** What a daemon says on whether it is ready: 200, 503, or 0 for nothing within a second. */
-int crowd_ask_ready(const crowd_target *target);
+/** Returns the status of the readiness endpoint, or 0 without an answer within 1 s. */
+int connection_flood_get_readiness(const connection_flood_target *target);
 
 /**
- * Check that it takes a connection within the time for it or says that it is not ready, and that it
- * does not use the processor for nothing; the figures are printed under @p title.
+ * Checks that the daemon accepts a connection in time or reports that it is not ready, and that the
+ * idle daemon uses little processor time. Prints the figures under @p title.
  */
-void crowd_check_word(const crowd_target *target, const char *title);
+void connection_flood_check_readiness(const connection_flood_target *target, const char *title);
 
-/** Descriptors that it has open. */
-uint32_t crowd_count_descriptors(const crowd_target *target);
+/** Returns the count of the daemon's open descriptors. */
+uint32_t connection_flood_count_descriptors(const connection_flood_target *target);
 
-/** Check that it is ready again, and takes connections, soon. */
-void crowd_check_recovers(const crowd_target *target);
+/** Checks that the daemon becomes ready and accepts connections within 8 s. */
+void connection_flood_check_recovery(const connection_flood_target *target);
 
 #endif
--- a/tests/system/fleet_calls.c
+++ b/tests/system/fleet_calls.c
@@ -8,7 +8,6 @@
 #include <stdio.h>
 #include <string.h>
 
-/** Between looks at the engines, in ms. */
 #define POLL_MS 5
 
 bench_answer post_request(int daemon, const char *target, const char *id) {
@@ -16,7 +15,7 @@
         .daemon = daemon, .method = "POST", .target = target, .request_id = id, .body = "hello"});
 }
 
-char *metrics_of(int daemon) {
+char *get_daemon_metrics(int daemon) {
     bench_answer answer = bench_send(
         &(bench_call){.method = "GET", .target = "/metrics", .port = bench_metrics_port(daemon)});
     char *text = g_strdup(answer.body != NULL ? answer.body : "");
@@ -24,24 +23,24 @@
     return text;
 }
 
-int metric_of(int daemon, const char *name) {
-    g_autofree char *text = metrics_of(daemon);
+int get_daemon_metric(int daemon, const char *name) {
+    g_autofree char *text = get_daemon_metrics(daemon);
     const char *line = strstr(text, name);
     return line != NULL ? (int)g_ascii_strtoll(line + strlen(name), NULL, 10) : -1;
 }
 
-uint32_t open_engine_runs(void) {
+uint32_t count_open_engine_runs(void) {
     uint32_t open = 0;
     for (int index = 0; index < BENCH_ENGINES; index++)
         open += token_engine_open(bench.engines[index]);
     return open;
 }
 
-bool engine_runs_end_within(unsigned limit_ms) {
-    uint64_t limit = hs_clock_monotonic_ms() + limit_ms;
-    while (open_engine_runs() > 0 && hs_clock_monotonic_ms() < limit)
+bool wait_for_engine_runs_to_end(unsigned limit_ms) {
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + limit_ms;
+    while (count_open_engine_runs() > 0 && hs_clock_monotonic_ms() < deadline_ms)
         hs_clock_sleep_ms(POLL_MS);
-    return open_engine_runs() == 0;
+    return count_open_engine_runs() == 0;
 }
 
 uint32_t submit_job(int daemon, const char *id, int count) {
--- a/tests/system/main.c
+++ b/tests/system/main.c
@@ -1,4 +1,4 @@
-/** @file main.c  Runs the system tests over a fleet of real processes. */
+/** @file main.c  Runs the system tests, which start a fleet of processes. */
 #include "tests/system/system_tests.h"
 #include "tools/surface/fleet_bench.h"
 
@@ -19,14 +19,16 @@
         {"online_taking", online_taking_tests, begin_fleet, end_fleet},
         {"fleet_taking", fleet_taking_system_tests, begin_bench, end_bench},
         {"online_callers", online_caller_tests, begin_fleet, end_fleet},
-        {"fleet_callers", fleet_caller_system_tests, begin_patient_bench, end_bench},
+        {"fleet_callers", fleet_caller_system_tests, begin_bench_with_long_timeouts, end_bench},
         {"fleet_crashes", fleet_crash_system_tests, begin_crashes, end_crashes},
-        {"fleet_crashes_reborn", fleet_crash_reborn_system_tests, begin_crashes_reborn,
-         end_crashes_reborn},
-        {"fleet_crashes_few", fleet_crash_few_system_tests, begin_crashes_few, end_crashes_reborn},
-        {"fleet_crashes_two", fleet_crash_few_system_tests, begin_crashes_two, end_crashes_reborn},
+        {"fleet_crashes_reborn", fleet_crash_restart_system_tests, begin_crashes_same_ids,
+         end_crashes_same_ids},
+        {"fleet_crashes_few", fleet_crash_few_system_tests, begin_crashes_few,
+         end_crashes_same_ids},
+        {"fleet_crashes_two", fleet_crash_few_system_tests, begin_crashes_two,
+         end_crashes_same_ids},
         {"fleet_crashes_two_causes", fleet_crash_few_system_tests, begin_crashes_two_causes,
-         end_crashes_reborn},
+         end_crashes_same_ids},
         {"fleet_item_losses", fleet_item_loss_system_tests, begin_item_losses, end_item_losses},
         {"fleet_upgrade", fleet_upgrade_system_tests, begin_upgrade, end_upgrade},
         {"fleet_entries", fleet_entry_system_tests, begin_bench, end_bench},
--- a/tests/system/test_fleet_callers.c
+++ b/tests/system/test_fleet_callers.c
@@ -31,7 +31,7 @@
 
 /** Configures routes on which requests wait long: for an engine (a quarter of the target latency),
  * and for a retry. */
-int begin_patient_bench(void) {
+int begin_bench_with_long_timeouts(void) {
     if (begin_bench() != 0)
         return -1;
     log_store_put(
@@ -60,20 +60,21 @@
 }
 
 /** Callers on all routes and daemons; some send half of their body, some disconnect at once. */
-static void make_callers(leaving_caller *callers) {
+static void make_callers(disconnecting_caller *callers) {
     static const char *const targets[] = {"/plain/x", "/again/x", "/once/x", "/again/x"};
     GRand *random = g_rand_new_with_seed(SEED);
     uint64_t now_ms = hs_clock_monotonic_ms();
     for (guint index = 0; index < CALLERS; index++) {
-        leaving_caller *caller = &callers[index];
+        disconnecting_caller *caller = &callers[index];
         bool sends_half_body = index % 11 == 0;
         bool disconnects_at_once = index % 7 == 0;
         const char *target = targets[index % G_N_ELEMENTS(targets)];
         g_snprintf(caller->id, sizeof caller->id, "leaver-%u", index);
         caller->port = bench_front_port((int)(index % BENCH_DAEMONS));
         caller->bytes = request_bytes(target, caller->id, sends_half_body ? "he" : "hello");
-        caller->arrives_ms = now_ms + (uint64_t)g_rand_int_range(random, 0, MAX_ARRIVAL_DELAY_MS);
-        caller->stays_ms =
+        caller->connect_at_ms =
+            now_ms + (uint64_t)g_rand_int_range(random, 0, MAX_ARRIVAL_DELAY_MS);
+        caller->close_delay_ms =
             disconnects_at_once ? 0 : (uint32_t)g_rand_int_range(random, 0, MAX_STAY_MS);
     }
     g_rand_free(random);
@@ -94,28 +95,28 @@
     return NULL;
 }
 
-static void check_engines(const leaving_caller *callers, guint count, const char *title) {
-    leaving_figures figures = leaving_figures_new(callers, count);
+static void check_engines(const disconnecting_caller *callers, guint count, const char *title) {
+    disconnect_stats figures = disconnect_stats_new(callers, count);
     token_engine_call call;
     for (guint index = 0; index < BENCH_ENGINES; index++)
         for (uint32_t number = 0; token_engine_find_call(bench.engines[index], number, &call);
              number++)
-            leaving_figures_add(&figures, call.request_id, call.begun_ms, call.ended_ms);
-    leaving_figures_check(&figures, title);
+            disconnect_stats_add(&figures, call.request_id, call.begun_ms, call.ended_ms);
+    disconnect_stats_check(&figures, title);
 }
 
-static void free_bytes(leaving_caller *callers, guint count) {
+static void free_bytes(disconnecting_caller *callers, guint count) {
     for (guint index = 0; index < count; index++)
         g_free(callers[index].bytes);
 }
 
 /** The callers disconnect while their requests wait for an engine, a body or a retry, or stream. */
 static void engines_get_no_requests_of_disconnected_callers(void) {
-    leaving_caller callers[CALLERS] = {0};
+    disconnecting_caller callers[CALLERS] = {0};
     gint stopping = 0;
     make_callers(callers);
     GThread *changes = g_thread_new("changes", change_engines, &stopping);
-    leaving_callers_run(callers, CALLERS);
+    disconnecting_callers_run(callers, CALLERS);
     g_atomic_int_set(&stopping, 1);
     g_thread_join(changes);
     bench_set_engines(TOKEN_ENGINE_FULL);
@@ -129,16 +130,17 @@
 
 /** Runs callers of one route that disconnect at random times while all engines refuse requests. */
 static void disconnect_during_refusals(const char *target, const char *prefix, const char *title) {
-    leaving_caller callers[WAITING_CALLERS] = {0};
+    disconnecting_caller callers[WAITING_CALLERS] = {0};
     GRand *random = g_rand_new_with_seed(SEED);
     for (guint index = 0; index < WAITING_CALLERS; index++) {
         g_snprintf(callers[index].id, sizeof callers[index].id, "%s-%u", prefix, index);
         callers[index].port = bench_front_port((int)(index % BENCH_DAEMONS));
         callers[index].bytes = request_bytes(target, callers[index].id, "hello");
-        callers[index].stays_ms = (uint32_t)g_rand_int_range(random, REFUSAL_DELAY_MS, MAX_STAY_MS);
+        callers[index].close_delay_ms =
+            (uint32_t)g_rand_int_range(random, REFUSAL_DELAY_MS, MAX_STAY_MS);
     }
     g_rand_free(random);
-    leaving_callers_run(callers, WAITING_CALLERS);
+    disconnecting_callers_run(callers, WAITING_CALLERS);
     hs_clock_sleep_ms(REFUSAL_MS);
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
     hs_clock_sleep_ms(REFUSAL_MS);
@@ -175,10 +177,10 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(caller);
     raw_caller_send(caller, bytes);
     CU_ASSERT_TRUE(raw_caller_read_until(caller, "id: 2\n", MAX_STAY_MS));
-    raw_caller_end_sending(caller);
-    CU_ASSERT_NOT_EQUAL(raw_caller_read_to_end(caller, LEAVING_LIMIT_MS), RAW_OPEN);
+    raw_caller_shutdown_send(caller);
+    CU_ASSERT_NOT_EQUAL(raw_caller_read_to_end(caller, MAX_WORK_AFTER_DISCONNECT_MS), RAW_OPEN);
     /* The engine's thread notices the end of its connection asynchronously. */
-    CU_ASSERT_TRUE(engine_runs_end_within(LEAVING_LIMIT_MS));
+    CU_ASSERT_TRUE(wait_for_engine_runs_to_end(MAX_WORK_AFTER_DISCONNECT_MS));
     raw_caller_close(caller);
     bench_set_engines(TOKEN_ENGINE_SOUND);
 }
@@ -198,7 +200,7 @@
 /** The daemon is stopped until all callers have disconnected. */
 static void unread_requests_of_disconnected_callers_are_not_sent(void) {
     static const char *const targets[] = {"/plain/x", "/again/x", "/once/x"};
-    leaving_caller callers[UNREAD_CALLERS] = {0};
+    disconnecting_caller callers[UNREAD_CALLERS] = {0};
     open_reusable_connections(0);
     for (guint index = 0; index < UNREAD_CALLERS; index++) {
         g_snprintf(callers[index].id, sizeof callers[index].id, "unread-%u", index);
@@ -207,7 +209,7 @@
             request_bytes(targets[index % G_N_ELEMENTS(targets)], callers[index].id, "hello");
     }
     CU_ASSERT_EQUAL(bench_signal(0, SIGSTOP), 0);
-    leaving_callers_run(callers, UNREAD_CALLERS);
+    disconnecting_callers_run(callers, UNREAD_CALLERS);
     hs_clock_sleep_ms(STOPPED_MS);
     CU_ASSERT_EQUAL(bench_signal(0, SIGCONT), 0);
     hs_clock_sleep_ms(STOPPED_MS);
--- a/tests/system/test_fleet_crash_trials.c
+++ b/tests/system/test_fleet_crash_trials.c
@@ -49,7 +49,7 @@
     while (g_atomic_int_get(&results->stopping) == 0) {
         gint number = g_atomic_int_add(&results->request_count, 1);
         g_autofree char *id = g_strdup_printf("innocent-%d", number);
-        bench_answer answer = crash_send(number % BENCH_DAEMONS, "/once/x", id, "innocent");
+        bench_answer answer = send_crash_request(number % BENCH_DAEMONS, "/once/x", id, "innocent");
         g_mutex_lock(caller->lock);
         if (answer.status == 200 && answer.whole)
             record_served(results);
@@ -71,22 +71,23 @@
     harmless_results results = {.last_served_ms = hs_clock_monotonic_ms()};
     harmless_caller caller = {.results = &results, .lock = &lock};
     GThread *threads[HARMLESS_CALLERS];
-    CU_ASSERT_TRUE(crash_fleet_wait_up(crash_engines()));
-    uint32_t before = crash_fleet_crashes(crash_engines());
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(get_crash_fleet()));
+    uint32_t before = crash_fleet_get_crash_count(get_crash_fleet());
     for (int index = 0; index < HARMLESS_CALLERS; index++)
         threads[index] = g_thread_new("harmless", send_harmless_requests, &caller);
     uint64_t start_ms = hs_clock_monotonic_ms();
     for (int arrival = 0; hs_clock_monotonic_ms() < start_ms + CRASH_REQUESTS_MS; arrival++) {
         const char *content = fatal[arrival % crashing_contents];
-        bench_answer answer = crash_send(arrival % BENCH_DAEMONS, "/plain/x", content, content);
+        bench_answer answer =
+            send_crash_request(arrival % BENCH_DAEMONS, "/plain/x", content, content);
         bench_answer_clear(&answer);
-        hs_clock_sleep_ms(ARRIVAL_MS);
+        hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
     }
     g_atomic_int_set(&results.stopping, 1);
     for (int index = 0; index < HARMLESS_CALLERS; index++)
         g_thread_join(threads[index]);
     uint64_t last_gap_ms = hs_clock_monotonic_ms() - results.last_served_ms;
-    uint32_t lost = crash_fleet_crashes(crash_engines()) - before;
+    uint32_t lost = crash_fleet_get_crash_count(get_crash_fleet()) - before;
     fprintf(stderr,
             "%d crashing contents: %u harmless requests served, longest gap %u ms, last gap %u ms, "
             "%u engines lost\n",
@@ -95,11 +96,12 @@
     CU_ASSERT(results.longest_gap_ms <= MAX_SERVICE_GAP_MS);
     CU_ASSERT(last_gap_ms <= MAX_SERVICE_GAP_MS);
     for (int index = 0; index < crashing_contents; index++) {
-        uint64_t known_ms = crash_fleet_end_ms(crash_engines(), fatal[index], CRASHES_KNOWN);
+        uint64_t known_ms =
+            crash_fleet_find_crash_ms(get_crash_fleet(), fatal[index], MIN_QUARANTINE_CRASHES);
         CU_ASSERT(known_ms > 0);
-        CU_ASSERT(crash_fleet_begun(crash_engines(), fatal[index], known_ms + KNOWN_WITHIN_MS) <=
-                  MAX_LATE_SENDS);
-        CU_ASSERT_TRUE(crash_is_refused(0, "/plain/x", fatal[index], fatal[index]));
+        CU_ASSERT(crash_fleet_count_starts(get_crash_fleet(), fatal[index],
+                                           known_ms + MAX_QUARANTINE_DELAY_MS) <= MAX_LATE_SENDS);
+        CU_ASSERT_TRUE(is_request_quarantined(0, "/plain/x", fatal[index], fatal[index]));
     }
     g_mutex_clear(&lock);
 }
@@ -107,10 +109,11 @@
 /** Starts few engines that restart quickly, with streams that last longer than a restart. */
 static int begin_few_engines(int count, uint32_t return_ms, int causes) {
     crashing_contents = causes;
-    return begin_crashes_with(&(crash_fleet_settings){.engines = count,
-                                                      .return_ms = return_ms,
-                                                      .pace = {.events = 40, .event_ms = 15},
-                                                      .keeps_ids = true});
+    return begin_crashes_with_settings(
+        &(crash_fleet_settings){.engines = count,
+                                .return_ms = return_ms,
+                                .pace = {.events = 40, .event_ms = 15},
+                                .keeps_ids = true});
 }
 
 int begin_crashes_few(void) {
--- a/tests/system/test_fleet_crashes.c
+++ b/tests/system/test_fleet_crashes.c
@@ -41,11 +41,11 @@
 static crash_fleet *engines;
 static crash_fleet_settings crash_settings;
 
-crash_fleet *crash_engines(void) {
+crash_fleet *get_crash_fleet(void) {
     return engines;
 }
 
-int begin_crashes_with(const crash_fleet_settings *settings) {
+int begin_crashes_with_settings(const crash_fleet_settings *settings) {
     crash_settings = *settings;
     return begin_crashes();
 }
@@ -67,14 +67,15 @@
     return end_bench();
 }
 
-bool crash_wait(uint32_t before, uint32_t count, uint64_t limit_ms) {
+bool wait_for_crashes(uint32_t before, uint32_t count, uint64_t limit_ms) {
     uint64_t until_ms = hs_clock_monotonic_ms() + limit_ms;
-    while (crash_fleet_crashes(engines) < before + count && hs_clock_monotonic_ms() < until_ms)
+    while (crash_fleet_get_crash_count(engines) < before + count &&
+           hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
-    return crash_fleet_crashes(engines) >= before + count;
+    return crash_fleet_get_crash_count(engines) >= before + count;
 }
 
-void crash_kill_all_daemons(void) {
+void kill_and_restart_all_daemons(void) {
     for (int index = 0; index < BENCH_DAEMONS; index++)
         bench_signal(index, SIGKILL);
     for (int index = 0; index < BENCH_DAEMONS; index++)
@@ -83,7 +84,7 @@
         CU_ASSERT_TRUE(bench_wait_ready(index));
 }
 
-bench_answer crash_send(int daemon, const char *target, const char *id, const char *body) {
+bench_answer send_crash_request(int daemon, const char *target, const char *id, const char *body) {
     return bench_send(&(bench_call){
         .daemon = daemon, .method = "POST", .target = target, .request_id = id, .body = body});
 }
@@ -93,8 +94,8 @@
            strstr(answer->body, quarantine_text) != NULL;
 }
 
-bool crash_is_refused(int daemon, const char *target, const char *id, const char *body) {
-    bench_answer answer = crash_send(daemon, target, id, body);
+bool is_request_quarantined(int daemon, const char *target, const char *id, const char *body) {
+    bench_answer answer = send_crash_request(daemon, target, id, body);
     bool is_refused = is_quarantine_refusal(&answer);
     bench_answer_clear(&answer);
     return is_refused;
@@ -121,8 +122,8 @@
     g_autofree char *id = g_strdup_printf("other-%d", number);
     g_autofree char *unique_body = g_strdup_printf("new-%d", number);
     const char *body = number % 2 == 0 ? "asked by many" : unique_body;
-    bench_answer answer =
-        crash_send(number % BENCH_DAEMONS, targets[number % G_N_ELEMENTS(targets)], id, body);
+    bench_answer answer = send_crash_request(number % BENCH_DAEMONS,
+                                             targets[number % G_N_ELEMENTS(targets)], id, body);
     g_mutex_lock(&group->lock);
     bool is_served = answer.status == 200 && answer.whole;
     group->served += is_served;
@@ -175,27 +176,29 @@
 static repeated_request repeat_request(const char *target, const char *body) {
     callers group;
     start_callers(&group);
-    uint32_t crashes_before = crash_fleet_crashes(engines);
+    uint32_t crashes_before = crash_fleet_get_crash_count(engines);
     uint64_t start_ms = hs_clock_monotonic_ms();
     uint64_t quarantined_wall_ms = 0;
     uint32_t broken_before = 0;
     int daemon = 0;
     while (hs_clock_monotonic_ms() < start_ms + REPEAT_MS) {
-        bool has_enough_crashes = crash_fleet_crashes(engines) >= crashes_before + CRASHES_KNOWN;
+        bool has_enough_crashes =
+            crash_fleet_get_crash_count(engines) >= crashes_before + MIN_QUARANTINE_CRASHES;
         if (quarantined_wall_ms == 0 && has_enough_crashes)
-            quarantined_wall_ms = hs_clock_wall_ms() + KNOWN_WITHIN_MS;
+            quarantined_wall_ms = hs_clock_wall_ms() + MAX_QUARANTINE_DELAY_MS;
         if (quarantined_wall_ms != 0 && hs_clock_wall_ms() < quarantined_wall_ms)
             broken_before = broken_count(&group);
-        bench_answer answer = crash_send(daemon++ % BENCH_DAEMONS, target, body, body);
+        bench_answer answer = send_crash_request(daemon++ % BENCH_DAEMONS, target, body, body);
         bench_answer_clear(&answer);
-        hs_clock_sleep_ms(ARRIVAL_MS);
+        hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
     }
     stop_callers(&group);
-    repeated_request outcome = {.crashes = crash_fleet_crashes(engines) - crashes_before,
-                                .late_sends = crash_fleet_begun(engines, body, quarantined_wall_ms),
+    repeated_request outcome = {.crashes = crash_fleet_get_crash_count(engines) - crashes_before,
+                                .late_sends =
+                                    crash_fleet_count_starts(engines, body, quarantined_wall_ms),
                                 .late_broken = group.broken - broken_before};
     for (int index = 0; index < BENCH_DAEMONS; index++) {
-        bench_answer answer = crash_send(index, target, body, body);
+        bench_answer answer = send_crash_request(index, target, body, body);
         const char *after =
             answer.fields != NULL ? hs_http_fields_find(answer.fields, "Retry-After") : NULL;
         outcome.refused += is_quarantine_refusal(&answer);
@@ -213,9 +216,9 @@
 }
 
 static void check_quarantine(const char *target, const char *body) {
-    CU_ASSERT_TRUE(crash_fleet_wait_up(engines));
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(engines));
     repeated_request outcome = repeat_request(target, body);
-    CU_ASSERT(outcome.crashes >= CRASHES_KNOWN);
+    CU_ASSERT(outcome.crashes >= MIN_QUARANTINE_CRASHES);
     CU_ASSERT(outcome.crashes <= MAX_CRASHES);
     CU_ASSERT_EQUAL(outcome.late_sends, 0);
     CU_ASSERT_EQUAL(outcome.refused, BENCH_DAEMONS);
@@ -241,19 +244,19 @@
 /** Waits until a daemon has a quarantine, checks that it covers @p body, returns the time in ms. */
 static uint64_t wait_for_quarantine(int daemon, const char *target, const char *body) {
     uint64_t start_ms = hs_clock_monotonic_ms();
-    while (metric_of(daemon, "heathsail_contents_held_back ") <= 0 &&
-           hs_clock_monotonic_ms() < start_ms + KNOWN_WITHIN_MS)
+    while (get_daemon_metric(daemon, "heathsail_contents_held_back ") <= 0 &&
+           hs_clock_monotonic_ms() < start_ms + MAX_QUARANTINE_DELAY_MS)
         hs_clock_sleep_ms(POLL_MS);
     uint64_t elapsed_ms = hs_clock_monotonic_ms() - start_ms;
-    uint32_t crashes = crash_fleet_crashes(engines);
-    CU_ASSERT_TRUE(crash_is_refused(daemon, target, body, body));
-    CU_ASSERT_EQUAL(crash_fleet_crashes(engines), crashes);
+    uint32_t crashes = crash_fleet_get_crash_count(engines);
+    CU_ASSERT_TRUE(is_request_quarantined(daemon, target, body, body));
+    CU_ASSERT_EQUAL(crash_fleet_get_crash_count(engines), crashes);
     return elapsed_ms;
 }
 
 /** A daemon that has just started quarantines the contents that the others quarantine. */
 static void a_starting_daemon_learns_the_quarantines(void) {
-    CU_ASSERT_TRUE(crash_is_refused(0, "/once/x", "fatal-stream", "fatal-stream"));
+    CU_ASSERT_TRUE(is_request_quarantined(0, "/once/x", "fatal-stream", "fatal-stream"));
     bench_signal(2, SIGKILL);
     bench_start_daemon(2, false);
     CU_ASSERT_TRUE(bench_wait_ready(2));
@@ -263,63 +266,65 @@
 /** A daemon that was stopped while the others quarantined a content learns it after it resumes. */
 static void a_daemon_that_was_stopped_learns_the_quarantines(void) {
     static const char body[] = "fatal-missed";
-    CU_ASSERT_TRUE(crash_fleet_wait_up(engines));
-    int before = metric_of(1, "heathsail_contents_held_back ");
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(engines));
+    int before = get_daemon_metric(1, "heathsail_contents_held_back ");
     bench_signal(1, SIGSTOP);
     uint64_t until_ms = hs_clock_monotonic_ms() + REPEAT_MS;
-    while (!crash_is_refused(0, "/once/x", body, body) && hs_clock_monotonic_ms() < until_ms)
-        hs_clock_sleep_ms(ARRIVAL_MS);
+    while (!is_request_quarantined(0, "/once/x", body, body) && hs_clock_monotonic_ms() < until_ms)
+        hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
     bench_signal(1, SIGCONT);
     uint64_t start_ms = hs_clock_monotonic_ms();
-    while (metric_of(1, "heathsail_contents_held_back ") <= before &&
+    while (get_daemon_metric(1, "heathsail_contents_held_back ") <= before &&
            hs_clock_monotonic_ms() < start_ms + QUARANTINE_SYNC_MS)
         hs_clock_sleep_ms(POLL_MS);
-    uint32_t crashes = crash_fleet_crashes(engines);
-    CU_ASSERT_TRUE(crash_is_refused(1, "/once/x", body, body));
-    CU_ASSERT_EQUAL(crash_fleet_crashes(engines), crashes);
+    uint32_t crashes = crash_fleet_get_crash_count(engines);
+    CU_ASSERT_TRUE(is_request_quarantined(1, "/once/x", body, body));
+    CU_ASSERT_EQUAL(crash_fleet_get_crash_count(engines), crashes);
 }
 
 /** The quarantines are read from the store again, and no further engine crashes. */
 static void quarantines_survive_a_kill_of_all_daemons(void) {
-    CU_ASSERT_TRUE(crash_is_refused(0, "/once/x", "fatal-stream", "fatal-stream"));
+    CU_ASSERT_TRUE(is_request_quarantined(0, "/once/x", "fatal-stream", "fatal-stream"));
     hs_clock_sleep_ms(STORE_WRITE_MS);
-    crash_kill_all_daemons();
+    kill_and_restart_all_daemons();
     for (int index = 0; index < BENCH_DAEMONS; index++)
         CU_ASSERT(wait_for_quarantine(index, "/once/x", "fatal-stream") <= QUARANTINE_SYNC_MS);
 }
 
 /** The metrics count refused requests, quarantined contents and engine crashes. */
 static void metrics_show_the_quarantines(void) {
-    int refused = metric_of(0, "heathsail_requests_ended{reason=\"held_back\"} ");
+    int refused = get_daemon_metric(0, "heathsail_requests_ended{reason=\"held_back\"} ");
     CU_ASSERT(refused > 0);
-    CU_ASSERT(metric_of(0, "heathsail_contents_held_back ") >= 1);
-    CU_ASSERT(metric_of(0, "heathsail_engine_crashes ") >= CRASHES_KNOWN);
-    CU_ASSERT_TRUE(crash_is_refused(0, "/once/x", "fatal-stream", "fatal-stream"));
-    CU_ASSERT_EQUAL(metric_of(0, "heathsail_requests_ended{reason=\"held_back\"} "), refused + 1);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_contents_held_back ") >= 1);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_engine_crashes ") >= MIN_QUARANTINE_CRASHES);
+    CU_ASSERT_TRUE(is_request_quarantined(0, "/once/x", "fatal-stream", "fatal-stream"));
+    CU_ASSERT_EQUAL(get_daemon_metric(0, "heathsail_requests_ended{reason=\"held_back\"} "),
+                    refused + 1);
 }
 
 /** Engine crashes without a cause in a request quarantine no content that ran there. */
 static void unrelated_engine_crashes_quarantine_nothing(void) {
     callers group;
-    int known = metric_of(0, "heathsail_contents_held_back ");
-    CU_ASSERT_TRUE(crash_fleet_wait_up(engines));
-    uint32_t before = crash_fleet_crashes(engines);
+    int known = get_daemon_metric(0, "heathsail_contents_held_back ");
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(engines));
+    uint32_t before = crash_fleet_get_crash_count(engines);
     start_callers(&group);
     for (int crash = 0; crash < UNRELATED_CRASHES; crash++) {
-        crash_fleet_crash(engines, crash % CRASH_FLEET_ENGINES);
+        crash_fleet_crash_engine(engines, crash % CRASH_FLEET_ENGINES);
         hs_clock_sleep_ms(UNRELATED_CRASH_INTERVAL_MS);
     }
-    CU_ASSERT_TRUE(crash_fleet_wait_up(engines));
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(engines));
     stop_callers(&group);
     fprintf(stderr, "unrelated crashes: %u requests served, %u broken\n", group.served,
             group.broken);
-    CU_ASSERT_EQUAL(crash_fleet_crashes(engines) - before, UNRELATED_CRASHES);
+    CU_ASSERT_EQUAL(crash_fleet_get_crash_count(engines) - before, UNRELATED_CRASHES);
     CU_ASSERT_EQUAL(group.quarantined, 0);
     CU_ASSERT(group.served > group.broken);
-    CU_ASSERT_EQUAL(metric_of(0, "heathsail_contents_held_back "), known);
+    CU_ASSERT_EQUAL(get_daemon_metric(0, "heathsail_contents_held_back "), known);
 }
 
-/** A job whose first item's body (base64) begins with CRASH_FLEET_FATAL. Free with g_free. */
+/** A job whose first item's body (base64) begins with CRASH_FLEET_FATAL_PREFIX. Free with g_free.
+ */
 static char *job_with_a_crashing_item(const char *id, int count) {
     GString *body = g_string_new("{\"requests\":[");
     for (int item = 0; item < count; item++)
@@ -342,33 +347,34 @@
 /** The other items of the job are completed. */
 static void an_item_that_crashes_engines_is_quarantined(void) {
     static const char id[] = "fatal-job";
-    CU_ASSERT_TRUE(crash_fleet_wait_up(engines));
-    uint32_t before = crash_fleet_crashes(engines);
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(engines));
+    uint32_t before = crash_fleet_get_crash_count(engines);
     g_autofree char *body = job_with_a_crashing_item(id, 4);
-    bench_answer answer = crash_send(0, "/jobs/x", id, body);
+    bench_answer answer = send_crash_request(0, "/jobs/x", id, body);
     CU_ASSERT_EQUAL(answer.status, 202);
     bench_answer_clear(&answer);
     g_autofree char *page = bench_wait_job(0, id, 3, JOB_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
-    CU_ASSERT_TRUE(crash_wait(before, CRASHES_KNOWN, JOB_LIMIT_MS));
-    uint64_t since_ms = crash_fleet_end_ms(engines, "fatal-job-0", CRASHES_KNOWN) + KNOWN_WITHIN_MS;
-    while (hs_clock_wall_ms() < since_ms + KNOWN_WITHIN_MS)
+    CU_ASSERT_TRUE(wait_for_crashes(before, MIN_QUARANTINE_CRASHES, JOB_LIMIT_MS));
+    uint64_t since_ms = crash_fleet_find_crash_ms(engines, "fatal-job-0", MIN_QUARANTINE_CRASHES) +
+                        MAX_QUARANTINE_DELAY_MS;
+    while (hs_clock_wall_ms() < since_ms + MAX_QUARANTINE_DELAY_MS)
         hs_clock_sleep_ms(POLL_MS);
     fprintf(stderr, "item that crashes engines: %u engines crashed\n",
-            crash_fleet_crashes(engines) - before);
-    CU_ASSERT(crash_fleet_crashes(engines) - before <= MAX_CRASHES);
-    CU_ASSERT_EQUAL(crash_fleet_begun(engines, "fatal-job-0", since_ms), 0);
-    CU_ASSERT(metric_of(0, "heathsail_contents_held_back ") >= 1);
+            crash_fleet_get_crash_count(engines) - before);
+    CU_ASSERT(crash_fleet_get_crash_count(engines) - before <= MAX_CRASHES);
+    CU_ASSERT_EQUAL(crash_fleet_count_starts(engines, "fatal-job-0", since_ms), 0);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_contents_held_back ") >= 1);
     end_job(id); /* A later trial run would crash an engine during other tests. */
 }
 
 /** Engines that restart under their ids before the daemons know of their crashes. */
-int begin_crashes_reborn(void) {
-    return begin_crashes_with(
+int begin_crashes_same_ids(void) {
+    return begin_crashes_with_settings(
         &(crash_fleet_settings){.return_ms = FAST_RESTART_MS, .keeps_ids = true});
 }
 
-int end_crashes_reborn(void) {
+int end_crashes_same_ids(void) {
     int ended = end_crashes();
     crash_settings = (crash_fleet_settings){0};
     return ended;
@@ -388,23 +394,25 @@
 /** Each daemon sees at most one crash itself and learns of the others from other daemons. */
 static void a_large_fleet_shares_the_quarantines(void) {
     static const char body[] = "fatal-large";
-    uint32_t before = crash_fleet_crashes(engines);
-    for (int daemon = 0; crash_fleet_crashes(engines) < before + CRASHES_KNOWN; daemon++) {
-        bench_answer answer = crash_send(daemon % LARGE_FLEET_DAEMONS, "/once/x", body, body);
+    uint32_t before = crash_fleet_get_crash_count(engines);
+    for (int daemon = 0; crash_fleet_get_crash_count(engines) < before + MIN_QUARANTINE_CRASHES;
+         daemon++) {
+        bench_answer answer =
+            send_crash_request(daemon % LARGE_FLEET_DAEMONS, "/once/x", body, body);
         bench_answer_clear(&answer);
-        hs_clock_sleep_ms(ARRIVAL_MS);
+        hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
         if (daemon >= LARGE_FLEET_DAEMONS)
             break;
     }
-    hs_clock_sleep_ms(KNOWN_WITHIN_MS);
-    uint32_t known = crash_fleet_crashes(engines);
+    hs_clock_sleep_ms(MAX_QUARANTINE_DELAY_MS);
+    uint32_t known = crash_fleet_get_crash_count(engines);
     for (int daemon = 0; daemon < LARGE_FLEET_DAEMONS; daemon++)
-        CU_ASSERT_TRUE(crash_is_refused(daemon, "/once/x", body, body));
+        CU_ASSERT_TRUE(is_request_quarantined(daemon, "/once/x", body, body));
     CU_ASSERT(known - before <= MAX_CRASHES);
-    CU_ASSERT_EQUAL(crash_fleet_crashes(engines), known);
+    CU_ASSERT_EQUAL(crash_fleet_get_crash_count(engines), known);
 }
 
-const test_case fleet_crash_reborn_system_tests[] = {
+const test_case fleet_crash_restart_system_tests[] = {
     {"a_stream_that_crashes_engines_is_quarantined", a_stream_that_crashes_engines_is_quarantined},
     {"a_plain_request_that_crashes_engines_is_quarantined",
      a_plain_request_that_crashes_engines_is_quarantined},
--- a/tests/system/test_fleet_edges.c
+++ b/tests/system/test_fleet_edges.c
@@ -86,9 +86,9 @@
         raw_caller_send(caller, "hello");
         CU_ASSERT_TRUE(raw_caller_read_until(caller, received[index], LIMIT_MS));
         hs_clock_sleep_ms(30);
-        CU_ASSERT_EQUAL(open_engine_runs(), 1);
+        CU_ASSERT_EQUAL(count_open_engine_runs(), 1);
         raw_caller_close(caller);
-        CU_ASSERT_TRUE(engine_runs_end_within(500));
+        CU_ASSERT_TRUE(wait_for_engine_runs_to_end(500));
     }
     bench_set_engines(TOKEN_ENGINE_SOUND);
 }
--- a/tests/system/test_fleet_entries.c
+++ b/tests/system/test_fleet_entries.c
@@ -96,11 +96,14 @@
     hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
     send_requests("beside");
     CU_ASSERT_EQUAL(g_atomic_int_get(&connections), 0);
-    CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"bad_number\"} ") >= 6);
-    CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"bad_text\"} ") >= 5);
-    CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"bad_state\"} ") >= 3);
-    CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"unreadable\"} ") >= 2);
-    CU_ASSERT(metric_of(0, "heathsail_engine_entries_rejected{reason=\"bad_id\"} ") >= 1);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_engine_entries_rejected{reason=\"bad_number\"} ") >=
+              6);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_engine_entries_rejected{reason=\"bad_text\"} ") >= 5);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_engine_entries_rejected{reason=\"bad_state\"} ") >=
+              3);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_engine_entries_rejected{reason=\"unreadable\"} ") >=
+              2);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_engine_entries_rejected{reason=\"bad_id\"} ") >= 1);
     for (size_t index = 0; index < G_N_ELEMENTS(invalid_entries); index++) {
         g_autofree char *id = invalid_entry_id(index);
         log_store_put(bench.store, TOPIC_ENGINES, id, "");
--- a/tests/system/test_fleet_item_losses.c
+++ b/tests/system/test_fleet_item_losses.c
@@ -50,7 +50,7 @@
 
 static void submit_distinct_bodies(const char *id, const char *first_body) {
     g_autofree char *body = job_of_distinct_bodies(id, first_body);
-    bench_answer answer = crash_send(0, "/jobs/x", id, body);
+    bench_answer answer = send_crash_request(0, "/jobs/x", id, body);
     CU_ASSERT_EQUAL(answer.status, 202);
     bench_answer_clear(&answer);
 }
@@ -94,11 +94,11 @@
 /** Submits a job and crashes the engines of its first item @p times times. */
 static void crash_engines_of_item(const char *id, uint32_t after_ms, uint32_t times) {
     g_autofree char *item = g_strdup_printf("%s-0", id);
-    CU_ASSERT_TRUE(crash_fleet_wait_up(crash_engines()));
-    uint32_t before = crash_fleet_crashes(crash_engines());
-    crash_fleet_crash_under(crash_engines(), item, after_ms, times);
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(get_crash_fleet()));
+    uint32_t before = crash_fleet_get_crash_count(get_crash_fleet());
+    crash_fleet_crash_during_requests(get_crash_fleet(), item, after_ms, times);
     submit_distinct_bodies(id, item);
-    CU_ASSERT_TRUE(crash_wait(before, times, FINISH_MS * 2));
+    CU_ASSERT_TRUE(wait_for_crashes(before, times, FINISH_MS * 2));
 }
 
 static void an_item_that_lost_two_engines_completes(void) {
@@ -124,7 +124,7 @@
 static void a_quarantined_item_completes_after_a_kill_of_all_daemons(void) {
     crash_engines_of_item("killed", MIDDLE_CRASH_MS, 3);
     hs_clock_sleep_ms(STORE_WRITE_MS);
-    crash_kill_all_daemons();
+    kill_and_restart_all_daemons();
     check_completes("killed");
 }
 
@@ -145,17 +145,19 @@
  */
 static void an_item_that_crashes_engines_gets_few_trial_runs(void) {
     static const char id[] = "crasher";
-    CU_ASSERT_TRUE(crash_fleet_wait_up(crash_engines()));
-    uint32_t before = crash_fleet_crashes(crash_engines());
-    submit_distinct_bodies(id, CRASH_FLEET_FATAL "-crasher");
-    CU_ASSERT_TRUE(crash_wait(before, CRASHES_KNOWN, FINISH_MS));
-    uint64_t known_ms = crash_fleet_end_ms(crash_engines(), "crasher-0", CRASHES_KNOWN);
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(get_crash_fleet()));
+    uint32_t before = crash_fleet_get_crash_count(get_crash_fleet());
+    submit_distinct_bodies(id, CRASH_FLEET_FATAL_PREFIX "-crasher");
+    CU_ASSERT_TRUE(wait_for_crashes(before, MIN_QUARANTINE_CRASHES, FINISH_MS));
+    uint64_t known_ms =
+        crash_fleet_find_crash_ms(get_crash_fleet(), "crasher-0", MIN_QUARANTINE_CRASHES);
     hs_clock_sleep_ms(CRASH_OBSERVATION_MS / 3);
-    crash_kill_all_daemons();
+    kill_and_restart_all_daemons();
     hs_clock_sleep_ms(CRASH_OBSERVATION_MS * 2 / 3);
-    uint32_t late = crash_fleet_begun(crash_engines(), "crasher-0", known_ms + KNOWN_WITHIN_MS);
+    uint32_t late = crash_fleet_count_starts(get_crash_fleet(), "crasher-0",
+                                             known_ms + MAX_QUARANTINE_DELAY_MS);
     fprintf(stderr, "crasher: %u engines crashed, %u late sends\n",
-            crash_fleet_crashes(crash_engines()) - before, late);
+            crash_fleet_get_crash_count(get_crash_fleet()) - before, late);
     CU_ASSERT(known_ms > 0);
     CU_ASSERT(late <= MAX_LATE_SENDS);
     g_autofree char *page = bench_wait_job(0, id, ITEMS - 1, JOB_LIMIT_MS);
@@ -165,12 +167,12 @@
 int begin_item_losses(void) {
     bench.settings = (bench_settings){
         .item_pace = {.events = STREAM_EVENTS, .event_ms = STREAM_EVENT_MS}, .retention_s = 120};
-    return begin_crashes_with(
+    return begin_crashes_with_settings(
         &(crash_fleet_settings){.pace = {.events = STREAM_EVENTS, .event_ms = STREAM_EVENT_MS}});
 }
 
 int end_item_losses(void) {
-    int ended = end_crashes_reborn();
+    int ended = end_crashes_same_ids();
     bench.settings = (bench_settings){0};
     return ended;
 }
--- a/tests/system/test_fleet_jobs.c
+++ b/tests/system/test_fleet_jobs.c
@@ -199,7 +199,7 @@
     fault_proxy *proxy = fault_proxy_start(log_store_port(bench.store));
     restart_daemon(0, fault_proxy_port(proxy));
     hs_clock_sleep_ms(MEMBERSHIP_CHANGE_MS); /* It joins the group. */
-    fault_proxy_set(proxy, PROXY_RESETS);
+    fault_proxy_set_mode(proxy, PROXY_RESETS);
     hs_clock_sleep_ms(MEMBERSHIP_CHANGE_MS); /* Its partitions are assigned to other daemons. */
     uint64_t start_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(submit_job(0, "job12", 3), 202);
@@ -208,7 +208,7 @@
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page != NULL)
         check_job_results(page, 3);
-    fault_proxy_set(proxy, PROXY_PASSES);
+    fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
 }
@@ -231,10 +231,10 @@
     CU_ASSERT_TRUE(wait_for_owners());
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
     CU_ASSERT_TRUE(submit_until_daemon_runs_item(0, "job13") > 0);
-    fault_proxy_set(proxy, PROXY_RESETS);
+    fault_proxy_set_mode(proxy, PROXY_RESETS);
     CU_ASSERT_TRUE(wait_for_metric(0, RUNNING_METRIC, 0, ASSIGNMENT_LIMIT_MS));
     bench_set_engines(TOKEN_ENGINE_SOUND);
-    fault_proxy_set(proxy, PROXY_PASSES);
+    fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
 }
@@ -246,7 +246,7 @@
     CU_ASSERT_TRUE(wait_for_owners());
     bench_set_engines(TOKEN_ENGINE_SLOW);
     int count = submit_until_daemon_runs_item(0, "job14");
-    fault_proxy_set(proxy, PROXY_RESETS);
+    fault_proxy_set_mode(proxy, PROXY_RESETS);
     CU_ASSERT_TRUE(count > 0);
     for (int index = 0; index < count; index++) {
         g_autofree char *id = g_strdup_printf("job14-%d", index);
@@ -256,7 +256,7 @@
         CU_ASSERT_EQUAL(bench_runs(item), 1);
     }
     bench_set_engines(TOKEN_ENGINE_SOUND);
-    fault_proxy_set(proxy, PROXY_PASSES);
+    fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
 }
--- a/tests/system/test_fleet_memory.c
+++ b/tests/system/test_fleet_memory.c
@@ -50,7 +50,7 @@
 #define ENDED_SLOW "heathsail_requests_ended{reason=\"reader_slow\"} "
 #define CHARGED "heathsail_memory_charged_bytes{kind=\"streams\"} "
 
-static impatient_engine *engine;
+static write_timeout_engine *engine;
 
 typedef struct {
     int descriptor;
@@ -70,11 +70,12 @@
 /** Daemon 0 has a large memory budget, daemon 1 a very small one and daemon 2 none. */
 int begin_memory(void) {
     bench_prepare();
-    engine = impatient_engine_start(&(impatient_engine_settings){.id = "impatient",
-                                                                 .service = "impatient",
-                                                                 .events = STREAM_EVENTS,
-                                                                 .event_bytes = EVENT_BYTES,
-                                                                 .patience_ms = UNREAD_LIMIT_MS});
+    engine = write_timeout_engine_start(
+        &(write_timeout_engine_settings){.id = "impatient",
+                                         .service = "impatient",
+                                         .events = STREAM_EVENTS,
+                                         .event_bytes = EVENT_BYTES,
+                                         .patience_ms = UNREAD_LIMIT_MS});
     log_store_put(
         bench.store, TOPIC_CONFIG, KEY_CONFIG,
         "{\"version\":9,\"routes\":["
@@ -91,7 +92,7 @@
         "{\"name\":\"impatient\",\"health-check\":\"/h\",\"max-connections\":2000}],"
         "\"limits\":{\"max-header-bytes\":8192,\"max-body-bytes\":8000000,"
         "\"header-timeout-ms\":3000,\"idle-timeout-ms\":60000}}");
-    impatient_engine_announce(engine, bench.store);
+    write_timeout_engine_announce(engine, bench.store);
     if (bench_start() != 0)
         return -1;
     g_autofree char *large_budget = g_strdup_printf("%d", LARGE_BUDGET_MB);
@@ -102,7 +103,7 @@
 
 int end_memory(void) {
     int ended = end_bench();
-    impatient_engine_stop(engine);
+    write_timeout_engine_stop(engine);
     return ended;
 }
 
@@ -264,7 +265,7 @@
 /** No reader loses its stream by the engine's cut-off, and fast callers are barely slowed down. */
 static void slow_readers_get_complete_streams(void) {
     uint64_t alone_ms = fast_p99_ms(0);
-    uint32_t cut_before = impatient_engine_cut(engine);
+    uint32_t cut_before = write_timeout_engine_timeout_count(engine);
     reader_group all = open_readers(0, SLOW_READERS);
     uint64_t start_ms = hs_clock_monotonic_ms();
     GThread *thread = g_thread_new("slow", read_slowly, &all);
@@ -272,8 +273,8 @@
     uint64_t concurrent_ms = fast_p99_ms(0);
     while (hs_clock_monotonic_ms() < start_ms + SLOW_READING_MS)
         hs_clock_sleep_ms(SLOW_READING_MS / 100);
-    int charged = metric_of(0, CHARGED);
-    int read_ahead = metric_of(0, READ_AHEAD);
+    int charged = get_daemon_metric(0, CHARGED);
+    int read_ahead = get_daemon_metric(0, READ_AHEAD);
     g_atomic_int_set(&all.stopping, 1);
     g_thread_join(thread);
     read_to_end(&all);
@@ -283,32 +284,32 @@
         "slow readers: %u of %u complete, %d read ahead, charged=%d peak_mb=%.1f fast callers' p99 "
         "alone=%u concurrent=%u ms, engine cut %u\n",
         complete, all.count, read_ahead, charged, peak_mb(0), (unsigned)alone_ms,
-        (unsigned)concurrent_ms, impatient_engine_cut(engine) - cut_before);
+        (unsigned)concurrent_ms, write_timeout_engine_timeout_count(engine) - cut_before);
     print_incomplete(&all);
     CU_ASSERT_EQUAL(complete, SLOW_READERS);
-    CU_ASSERT_EQUAL(impatient_engine_cut(engine), cut_before);
+    CU_ASSERT_EQUAL(write_timeout_engine_timeout_count(engine), cut_before);
     CU_ASSERT(read_ahead >= SLOW_READERS / 2);
-    CU_ASSERT_EQUAL(metric_of(0, DROPPED), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(0, DROPPED), 0);
     CU_ASSERT(peak_mb(0) > 0 && peak_mb(0) < LARGE_BUDGET_MB);
     CU_ASSERT((double)concurrent_ms <= MAX_P99_FACTOR * (double)alone_ms);
     close_readers(&all);
     hs_clock_sleep_ms(UNREAD_LIMIT_MS / 4);
-    CU_ASSERT_EQUAL(metric_of(0, CHARGED), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(0, CHARGED), 0);
 }
 
 /** The callers disconnect while the daemon reads their streams ahead. */
 static void disconnected_readers_free_their_memory(void) {
-    uint32_t begun_before = impatient_engine_begun(engine);
+    uint32_t begun_before = write_timeout_engine_start_count(engine);
     for (int round = 0; round < DISCONNECT_ROUNDS; round++) {
         reader_group all = open_readers(0, DISCONNECTING_READERS);
         /* Before, during and after the first checks of blocked streams. */
         hs_clock_sleep_ms((uint64_t)round * DISCONNECT_STEP_MS);
         close_readers(&all);
     }
-    CU_ASSERT(impatient_engine_begun(engine) > begun_before);
+    CU_ASSERT(write_timeout_engine_start_count(engine) > begun_before);
     hs_clock_sleep_ms(UNREAD_LIMIT_MS / 2);
-    CU_ASSERT_EQUAL(metric_of(0, CHARGED), 0);
-    CU_ASSERT_EQUAL(metric_of(0, "heathsail_memory_charged_bytes{kind=\"bodies\"} "), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(0, CHARGED), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(0, "heathsail_memory_charged_bytes{kind=\"bodies\"} "), 0);
     CU_ASSERT_EQUAL(kill(bench.pids[0], 0), 0);
     bench_answer answer = post_request(0, "/plain/x", "after-leaving");
     CU_ASSERT_EQUAL(answer.status, 200);
@@ -321,9 +322,9 @@
     reader_group all = open_readers(1, FEW_READERS);
     GThread *thread = g_thread_new("slow", read_slowly, &all);
     hs_clock_sleep_ms(SLOW_READING_MS);
-    int dropped = metric_of(1, DROPPED);
+    int dropped = get_daemon_metric(1, DROPPED);
     CU_ASSERT(dropped > 0);
-    CU_ASSERT_EQUAL(metric_of(1, ENDED_SLOW), dropped);
+    CU_ASSERT_EQUAL(get_daemon_metric(1, ENDED_SLOW), dropped);
     CU_ASSERT_EQUAL(kill(pid, 0), 0);
     bench_answer answer = post_request(1, "/plain/x", "beside");
     CU_ASSERT(answer.status == 200 || (answer.status == 503 && bench_runs("beside") == 0));
@@ -367,8 +368,8 @@
                                                    .body = body});
     CU_ASSERT_EQUAL(answer.status, 200);
     bench_answer_clear(&answer);
-    CU_ASSERT_EQUAL(metric_of(2, "heathsail_memory_budget_bytes "), 0);
-    CU_ASSERT_EQUAL(metric_of(2, READ_AHEAD), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(2, "heathsail_memory_budget_bytes "), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(2, READ_AHEAD), 0);
 }
 
 const test_case fleet_memory_system_tests[] = {
--- a/tests/system/test_fleet_runs.c
+++ b/tests/system/test_fleet_runs.c
@@ -58,9 +58,9 @@
 
 static bool wait_for_attempts(uint32_t wanted) {
     uint64_t until_ms = hs_clock_monotonic_ms() + ITEM_ATTEMPTS_LIMIT_MS;
-    while (surplus_engine_requests(surplus) < wanted && hs_clock_monotonic_ms() < until_ms)
+    while (surplus_engine_request_count(surplus) < wanted && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
-    return surplus_engine_requests(surplus) >= wanted;
+    return surplus_engine_request_count(surplus) >= wanted;
 }
 
 /** Has the engines refuse requests once one of them has started the item. NULL if none has. */
@@ -87,7 +87,7 @@
         if (strcmp(engine_id, SURPLUS_ID) != 0 || surplus_events++ > 0)
             continue;
         uint32_t requested_event = UINT32_MAX;
-        CU_ASSERT_TRUE(surplus_engine_asked_after(surplus, run, &requested_event));
+        CU_ASSERT_TRUE(surplus_engine_find_resume_event(surplus, run, &requested_event));
         CU_ASSERT_EQUAL(requested_event, before);
     }
     CU_ASSERT(surplus_events > 0);
--- a/tests/system/test_fleet_silence.c
+++ b/tests/system/test_fleet_silence.c
@@ -66,7 +66,7 @@
 }
 
 static bool suspects_an_engine(int daemon) {
-    g_autofree char *text = metrics_of(daemon);
+    g_autofree char *text = get_daemon_metrics(daemon);
     return strstr(text, "heathsail_engine_suspected{engine=\"engine-0\"} 1") != NULL ||
            strstr(text, "heathsail_engine_suspected{engine=\"engine-1\"} 1") != NULL;
 }
@@ -81,7 +81,7 @@
 
 static void silence_engines(proxy_silence silence) {
     for (int index = 0; index < BENCH_ENGINES; index++)
-        fault_proxy_silence_open(engine_proxies[index], silence);
+        fault_proxy_silence_open_connections(engine_proxies[index], silence);
 }
 
 /** Sends a request on silent connections to the engines. Returns the time to its answer's end. */
@@ -96,7 +96,7 @@
     return elapsed_ms;
 }
 
-static const proxy_silence silences[] = {PROXY_ACKNOWLEDGES, PROXY_DROPS_ALL_PACKETS};
+static const proxy_silence silences[] = {PROXY_ACKNOWLEDGES_DATA, PROXY_DROPS_ALL_PACKETS};
 
 /** The request is retried over a new connection, and no engine is suspected. */
 static void a_repeatable_request_is_retried_within_its_target(void) {
@@ -109,7 +109,7 @@
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
         CU_ASSERT_EQUAL(bench_runs(ids[round]), 1);
-        CU_ASSERT_EQUAL(metric_of(0, LOST_ENGINE), round + 1);
+        CU_ASSERT_EQUAL(get_daemon_metric(0, LOST_ENGINE), round + 1);
         CU_ASSERT_FALSE(suspects_an_engine(0));
     }
 }
@@ -128,7 +128,7 @@
         check_trace(&trace);
         bench_answer_clear(&answer);
         CU_ASSERT_EQUAL(bench_runs(ids[round]), 1);
-        CU_ASSERT_EQUAL(metric_of(1, LOST_ENGINE), round + 1);
+        CU_ASSERT_EQUAL(get_daemon_metric(1, LOST_ENGINE), round + 1);
         CU_ASSERT_FALSE(suspects_an_engine(1));
     }
 }
@@ -143,7 +143,7 @@
     CU_ASSERT_EQUAL(answer.status, 502);
     bench_answer_clear(&answer);
     CU_ASSERT_EQUAL(bench_runs("once-dropped"), 0);
-    CU_ASSERT_EQUAL(metric_of(2, LOST_ENGINE), 1);
+    CU_ASSERT_EQUAL(get_daemon_metric(2, LOST_ENGINE), 1);
     CU_ASSERT_FALSE(suspects_an_engine(2));
     answer = post_request(2, "/once/x", "once-after");
     CU_ASSERT_EQUAL(answer.status, 200);
@@ -154,7 +154,7 @@
     warm_up(2, "/once/x");
     hs_clock_sleep_ms(LONG_IDLE_MS);
     bench_answer answer;
-    CU_ASSERT(send_into_silence(PROXY_ACKNOWLEDGES, 2, "/once/x", "once-silent", &answer) <
+    CU_ASSERT(send_into_silence(PROXY_ACKNOWLEDGES_DATA, 2, "/once/x", "once-silent", &answer) <
               ROUTE_TIMEOUT_MS);
     CU_ASSERT_EQUAL(answer.status, 200);
     CU_ASSERT_TRUE(answer.whole);
@@ -166,7 +166,7 @@
 static bool is_applied_by_all(const char *line) {
     bool applied = true;
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
-        g_autofree char *text = metrics_of(daemon);
+        g_autofree char *text = get_daemon_metrics(daemon);
         applied = applied && strstr(text, line) != NULL;
     }
     return applied;
@@ -177,7 +177,7 @@
     for (int version = 2; version < 6; version++) {
         g_autofree char *line = g_strdup_printf("heathsail_config_version %d\n", version);
         hs_clock_sleep_ms(LONG_IDLE_MS + (uint64_t)version * PHASE_STEP_MS);
-        fault_proxy_silence_open(store_proxy, silences[version % 2]);
+        fault_proxy_silence_open_connections(store_proxy, silences[version % 2]);
         uint64_t start_ms = hs_clock_monotonic_ms();
         bench_configure(version);
         bool applied = false;
@@ -191,14 +191,14 @@
         CU_ASSERT(elapsed_ms < APPLY_MS);
     }
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
-        CU_ASSERT(metric_of(daemon, LOST_STORE) > 0);
+        CU_ASSERT(get_daemon_metric(daemon, LOST_STORE) > 0);
 }
 
 static bool wait_for_metric_at_least(int daemon, const char *name, int wanted, uint64_t limit_ms) {
     uint64_t until_ms = hs_clock_monotonic_ms() + limit_ms;
-    while (metric_of(daemon, name) < wanted && hs_clock_monotonic_ms() < until_ms)
+    while (get_daemon_metric(daemon, name) < wanted && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
-    return metric_of(daemon, name) >= wanted;
+    return get_daemon_metric(daemon, name) >= wanted;
 }
 
 static uint32_t open_run_count(void) {
@@ -225,7 +225,7 @@
     CU_ASSERT_TRUE(raw_caller_read_until(streaming, "id: 2\n", ROUTE_TIMEOUT_MS));
     CU_ASSERT_EQUAL(open_run_count(), 1);
     uint64_t start_ms = hs_clock_monotonic_ms();
-    fault_proxy_silence_open(proxy, PROXY_DROPS_ALL_PACKETS);
+    fault_proxy_silence_open_connections(proxy, PROXY_DROPS_ALL_PACKETS);
     while (open_run_count() > 0 && hs_clock_monotonic_ms() < start_ms + ROUTE_TIMEOUT_MS)
         hs_clock_sleep_ms(POLL_MS);
     uint64_t elapsed_ms = hs_clock_monotonic_ms() - start_ms;
--- a/tests/system/test_fleet_taking.c
+++ b/tests/system/test_fleet_taking.c
@@ -13,14 +13,14 @@
 #define OPEN_CALLERS 500
 #define QUEUED_CALLERS 1000
 /** More callers than a listener's connection limit and its queue hold together. */
-#define MANY_CALLERS CROWD_MOST
+#define MANY_CALLERS MAX_FLOOD_CONNECTIONS
 #define FEW_DESCRIPTORS 300
 
-static crowd_target target_of(int daemon) {
-    return (crowd_target){.pid = bench.pids[daemon],
-                          .port = bench_front_port(daemon),
-                          .ready_port = bench_ready_port(daemon),
-                          .ready = PATH_READY};
+static connection_flood_target target_of(int daemon) {
+    return (connection_flood_target){.pid = bench.pids[daemon],
+                                     .port = bench_front_port(daemon),
+                                     .readiness_port = bench_ready_port(daemon),
+                                     .ready = PATH_READY};
 }
 
 static const char silent_request[] =
@@ -38,61 +38,61 @@
 }
 
 static void many_idle_callers_block_no_others(void) {
-    crowd_target target = target_of(0);
-    crowd_open(&target, OPEN_CALLERS, NULL);
-    crowd_check_word(&target, "500 idle callers");
-    CU_ASSERT_EQUAL(crowd_ask_ready(&target), 200);
-    crowd_close();
-    crowd_check_recovers(&target);
+    connection_flood_target target = target_of(0);
+    connection_flood_open(&target, OPEN_CALLERS, NULL);
+    connection_flood_check_readiness(&target, "500 idle callers");
+    CU_ASSERT_EQUAL(connection_flood_get_readiness(&target), 200);
+    connection_flood_close();
+    connection_flood_check_recovery(&target);
 }
 
 static void a_full_queue_is_accepted_or_reported(void) {
-    crowd_target target = target_of(0);
+    connection_flood_target target = target_of(0);
     CU_ASSERT_EQUAL(bench_signal(0, SIGSTOP), 0);
-    crowd_open(&target, QUEUED_CALLERS, NULL);
+    connection_flood_open(&target, QUEUED_CALLERS, NULL);
     CU_ASSERT_EQUAL(bench_signal(0, SIGCONT), 0);
-    crowd_check_word(&target, "1000 callers in the queue");
-    crowd_close();
-    crowd_open(&target, MANY_CALLERS, NULL);
-    crowd_check_word(&target, "2100 idle callers");
-    crowd_close();
-    crowd_check_recovers(&target);
+    connection_flood_check_readiness(&target, "1000 callers in the queue");
+    connection_flood_close();
+    connection_flood_open(&target, MANY_CALLERS, NULL);
+    connection_flood_check_readiness(&target, "2100 idle callers");
+    connection_flood_close();
+    connection_flood_check_recovery(&target);
 }
 
 static void callers_waiting_for_engines_block_no_others(void) {
-    crowd_target target = target_of(0);
+    connection_flood_target target = target_of(0);
     bench_set_engines(TOKEN_ENGINE_SILENT);
-    crowd_open(&target, OPEN_CALLERS, silent_request);
-    crowd_check_word(&target, "500 callers wait on engines");
-    CU_ASSERT_EQUAL(crowd_ask_ready(&target), 200);
-    crowd_close();
+    connection_flood_open(&target, OPEN_CALLERS, silent_request);
+    connection_flood_check_readiness(&target, "500 callers wait on engines");
+    CU_ASSERT_EQUAL(connection_flood_get_readiness(&target), 200);
+    connection_flood_close();
     bench_set_engines(TOKEN_ENGINE_SOUND);
-    crowd_check_recovers(&target);
+    connection_flood_check_recovery(&target);
 }
 
 static void few_descriptors_and_waiting_callers_are_reported(void) {
     restart_confined(1, FEW_DESCRIPTORS);
-    crowd_target target = target_of(1);
+    connection_flood_target target = target_of(1);
     bench_set_engines(TOKEN_ENGINE_SILENT);
-    crowd_open(&target, OPEN_CALLERS, silent_request);
-    crowd_check_word(&target, "300 descriptors, 500 callers wait on engines");
-    crowd_close();
+    connection_flood_open(&target, OPEN_CALLERS, silent_request);
+    connection_flood_check_readiness(&target, "300 descriptors, 500 callers wait on engines");
+    connection_flood_close();
     bench_set_engines(TOKEN_ENGINE_SOUND);
-    crowd_check_recovers(&target);
-    crowd_open(&target, OPEN_CALLERS, half_request);
-    crowd_check_word(&target, "300 descriptors, 500 callers with half a body");
-    CU_ASSERT_EQUAL(crowd_ask_ready(&target), 503);
-    crowd_close();
-    crowd_check_recovers(&target);
+    connection_flood_check_recovery(&target);
+    connection_flood_open(&target, OPEN_CALLERS, half_request);
+    connection_flood_check_readiness(&target, "300 descriptors, 500 callers with half a body");
+    CU_ASSERT_EQUAL(connection_flood_get_readiness(&target), 503);
+    connection_flood_close();
+    connection_flood_check_recovery(&target);
 }
 
 static void few_descriptors_and_idle_callers_are_reported(void) {
     restart_confined(2, FEW_DESCRIPTORS);
-    crowd_target target = target_of(2);
-    crowd_open(&target, OPEN_CALLERS, NULL);
-    crowd_check_word(&target, "300 descriptors, 500 idle callers");
-    crowd_close();
-    crowd_check_recovers(&target);
+    connection_flood_target target = target_of(2);
+    connection_flood_open(&target, OPEN_CALLERS, NULL);
+    connection_flood_check_readiness(&target, "300 descriptors, 500 idle callers");
+    connection_flood_close();
+    connection_flood_check_recovery(&target);
 }
 
 const test_case fleet_taking_system_tests[] = {
--- a/tests/system/test_fleet_tenants.c
+++ b/tests/system/test_fleet_tenants.c
@@ -293,12 +293,12 @@
 static void keys_are_valid_for_a_limited_time_without_the_store(void) {
     fault_proxy *proxy = start_strict_daemon(2);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "strict", ALPHA_KEY), 200);
-    fault_proxy_set(proxy, PROXY_RESETS);
+    fault_proxy_set_mode(proxy, PROXY_RESETS);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "just-cut", ALPHA_KEY), 200);
     hs_clock_sleep_ms(STRICT_EXPIRY_MS);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "long-cut", ALPHA_KEY), 503);
     CU_ASSERT_EQUAL(post_at(2, "/plain/open/x", "long-cut-open", NULL), 200);
-    fault_proxy_set(proxy, PROXY_PASSES);
+    fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     hs_clock_sleep_ms(STRICT_EXPIRY_MS);
     CU_ASSERT_EQUAL(post_at(2, "/plain/x", "healed", ALPHA_KEY), 200);
     end_strict_daemon(2, proxy);
@@ -399,7 +399,7 @@
     hs_clock_sleep_ms((uint64_t)(seconds * 1000) + 20);
     CU_ASSERT_EQUAL(post_with("/plain/x", "returned", ALPHA_KEY), 200);
     CU_ASSERT_EQUAL(post_with("/plain/x", "of-beta", BETA_KEY), 200);
-    CU_ASSERT(metric_of(0, "heathsail_requests_ended{reason=\"over_limit\"}") > 0);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_requests_ended{reason=\"over_limit\"}") > 0);
     configure(BOTH_TENANTS);
 }
 
@@ -412,7 +412,7 @@
         CU_ASSERT_PTR_NOT_NULL(strstr(text, "config_applied"));
         CU_ASSERT_PTR_NULL(strstr(text, "secretkey"));
     }
-    CU_ASSERT(metric_of(0, "heathsail_requests_ended{reason=\"key_unknown\"}") > 0);
+    CU_ASSERT(get_daemon_metric(0, "heathsail_requests_ended{reason=\"key_unknown\"}") > 0);
 }
 
 const test_case fleet_tenant_system_tests[] = {
--- a/tests/system/test_fleet_upgrade.c
+++ b/tests/system/test_fleet_upgrade.c
@@ -49,7 +49,7 @@
 static void submit_upgrade_job(callers *group, int daemon, gint number) {
     g_autofree char *id = g_strdup_printf("up-%d-%" G_GINT64_FORMAT, number, g_get_real_time());
     g_autofree char *body = bench_job(id, JOB_ITEMS);
-    bench_answer answer = crash_send(daemon, "/jobs/x", id, body);
+    bench_answer answer = send_crash_request(daemon, "/jobs/x", id, body);
     g_mutex_lock(&group->lock);
     if (answer.status == 202)
         g_ptr_array_add(group->job_ids, g_steal_pointer(&id));
@@ -66,7 +66,7 @@
     uint64_t start_ms = hs_clock_monotonic_ms();
     for (int turn = 0; turn < BENCH_DAEMONS && answer.status == 0; turn++) {
         bench_answer_clear(&answer);
-        answer = crash_send((daemon + turn) % BENCH_DAEMONS, target, id, "asked");
+        answer = send_crash_request((daemon + turn) % BENCH_DAEMONS, target, id, "asked");
     }
     bool is_served = answer.status == 200 && answer.whole;
     g_mutex_lock(&group->lock);
@@ -181,24 +181,25 @@
     static const char body[] = "fatal-upgrade";
     run_all_as(true);
     replace(1, SIGTERM, false);
-    CU_ASSERT_TRUE(crash_fleet_wait_up(crash_engines()));
-    uint32_t before = crash_fleet_crashes(crash_engines());
-    for (int arrival = 0; crash_fleet_crashes(crash_engines()) < before + CRASHES_KNOWN &&
-                          arrival < BENCH_DAEMONS * CRASHES_KNOWN * 2;
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(get_crash_fleet()));
+    uint32_t before = crash_fleet_get_crash_count(get_crash_fleet());
+    for (int arrival = 0;
+         crash_fleet_get_crash_count(get_crash_fleet()) < before + MIN_QUARANTINE_CRASHES &&
+         arrival < BENCH_DAEMONS * MIN_QUARANTINE_CRASHES * 2;
          arrival++) {
-        bench_answer answer = crash_send(arrival % BENCH_DAEMONS, "/plain/x", body, body);
+        bench_answer answer = send_crash_request(arrival % BENCH_DAEMONS, "/plain/x", body, body);
         bench_answer_clear(&answer);
-        hs_clock_sleep_ms(ARRIVAL_MS);
+        hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
     }
-    hs_clock_sleep_ms(KNOWN_WITHIN_MS);
-    uint32_t known = crash_fleet_crashes(crash_engines());
+    hs_clock_sleep_ms(MAX_QUARANTINE_DELAY_MS);
+    uint32_t known = crash_fleet_get_crash_count(get_crash_fleet());
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
-        CU_ASSERT_TRUE(crash_is_refused(daemon, "/plain/x", body, body));
+        CU_ASSERT_TRUE(is_request_quarantined(daemon, "/plain/x", body, body));
     hs_clock_sleep_ms(STORE_WRITE_MS);
     run_all_as(false);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
-        CU_ASSERT_TRUE(crash_is_refused(daemon, "/plain/x", body, body));
-    CU_ASSERT_EQUAL(crash_fleet_crashes(crash_engines()), known);
+        CU_ASSERT_TRUE(is_request_quarantined(daemon, "/plain/x", body, body));
+    CU_ASSERT_EQUAL(crash_fleet_get_crash_count(get_crash_fleet()), known);
 }
 
 /**
@@ -208,18 +209,19 @@
 static void a_quarantined_item_completes_on_new_daemons(void) {
     run_all_as(true);
     replace(0, SIGTERM, false);
-    CU_ASSERT_TRUE(crash_fleet_wait_up(crash_engines()));
-    uint32_t before = crash_fleet_crashes(crash_engines());
-    crash_fleet_crash_under(crash_engines(), "unlucky-0", CRASH_DELAY_MS, CRASHES_KNOWN);
+    CU_ASSERT_TRUE(crash_fleet_wait_all_up(get_crash_fleet()));
+    uint32_t before = crash_fleet_get_crash_count(get_crash_fleet());
+    crash_fleet_crash_during_requests(get_crash_fleet(), "unlucky-0", CRASH_DELAY_MS,
+                                      MIN_QUARANTINE_CRASHES);
     g_autofree char *body =
         g_strdup("{\"requests\":[{\"id\":\"unlucky-0\",\"path\":\"/jobs/run\",\"headers\":{},"
                  "\"body\":\"dW5sdWNreQ==\",\"tokens\":10}]}");
-    bench_answer answer = crash_send(0, "/jobs/x", "unlucky", body);
+    bench_answer answer = send_crash_request(0, "/jobs/x", "unlucky", body);
     CU_ASSERT_EQUAL(answer.status, 202);
     bench_answer_clear(&answer);
-    CU_ASSERT_TRUE(crash_wait(before, CRASHES_KNOWN, FINISH_MS));
+    CU_ASSERT_TRUE(wait_for_crashes(before, MIN_QUARANTINE_CRASHES, FINISH_MS));
     replace(1, SIGTERM, false); /* One old daemon remains. */
-    bool is_owner_old = metric_of(2, "heathsail_job_partitions_owned ") > 0;
+    bool is_owner_old = get_daemon_metric(2, "heathsail_job_partitions_owned ") > 0;
     fprintf(stderr, "upgrade: old daemon owns partitions: %d\n", is_owner_old);
     g_autofree char *page = bench_wait_job(0, "unlucky", 1, FINISH_MS);
     if (page == NULL) /* The old daemon owns it. */
@@ -234,12 +236,12 @@
         return -1;
     for (int index = 0; index < BENCH_DAEMONS; index++)
         bench.is_past[index] = true;
-    return begin_crashes_with(
+    return begin_crashes_with_settings(
         &(crash_fleet_settings){.pace = {.events = STREAM_EVENTS, .event_ms = STREAM_EVENT_MS}});
 }
 
 int end_upgrade(void) {
-    int ended = end_crashes_reborn();
+    int ended = end_crashes_same_ids();
     for (int index = 0; index < BENCH_DAEMONS; index++)
         bench.is_past[index] = false;
     bench.past_program = NULL;
--- a/tests/system/test_fleet_waking.c
+++ b/tests/system/test_fleet_waking.c
@@ -39,7 +39,7 @@
 /** The store is unavailable when the daemon resumes; the other daemons stay ready. */
 static void a_resumed_daemon_is_ready_after_reading_the_store(void) {
     CU_ASSERT_EQUAL(ready_status(SUSPENDED_DAEMON), 200);
-    CU_ASSERT_EQUAL(metric_of(SUSPENDED_DAEMON, SUSPENSIONS_METRIC), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(SUSPENDED_DAEMON, SUSPENSIONS_METRIC), 0);
     log_store_set_mode(bench.store, LOG_STORE_REFUSES, NULL, G_MAXUINT32);
     suspend(SUSPENDED_DAEMON);
     uint64_t until_ms = hs_clock_monotonic_ms() + STORE_UNAVAILABLE_MS;
@@ -48,10 +48,10 @@
         CU_ASSERT_EQUAL(ready_status(0), 200);
         hs_clock_sleep_ms(POLL_MS);
     } while (hs_clock_monotonic_ms() < until_ms);
-    CU_ASSERT_EQUAL(metric_of(SUSPENDED_DAEMON, SUSPENSIONS_METRIC), 1);
+    CU_ASSERT_EQUAL(get_daemon_metric(SUSPENDED_DAEMON, SUSPENSIONS_METRIC), 1);
     log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
     CU_ASSERT_TRUE(bench_wait_ready(SUSPENDED_DAEMON));
-    CU_ASSERT_EQUAL(metric_of(0, SUSPENSIONS_METRIC), 0);
+    CU_ASSERT_EQUAL(get_daemon_metric(0, SUSPENSIONS_METRIC), 0);
 }
 
 static void a_resumed_daemon_serves_again(void) {
@@ -61,7 +61,7 @@
     CU_ASSERT_EQUAL(answer.status, 200);
     CU_ASSERT_TRUE(answer.whole);
     bench_answer_clear(&answer);
-    CU_ASSERT_EQUAL(metric_of(SUSPENDED_DAEMON, SUSPENSIONS_METRIC), 2);
+    CU_ASSERT_EQUAL(get_daemon_metric(SUSPENDED_DAEMON, SUSPENSIONS_METRIC), 2);
 }
 
 const test_case fleet_waking_system_tests[] = {
--- a/tests/unit/test_attempt.c
+++ b/tests/unit/test_attempt.c
@@ -314,7 +314,7 @@
         hs_attempt_finish(&attempt, HS_ATTEMPT_SERVED);
     }
     CU_ASSERT_EQUAL(hs_fleet_engines_opened_connection_count(test.engines), 1);
-    CU_ASSERT_EQUAL(scripted_peer_requests(test.peer), 3);
+    CU_ASSERT_EQUAL(scripted_peer_request_count(test.peer), 3);
     close_fixture(&test);
 }
 
@@ -434,14 +434,14 @@
     hs_clock_sleep_ms(60);
     hs_engine_lease_note_first_token(attempt.lease);
     hs_attempt_finish(&attempt, HS_ATTEMPT_SERVED);
-    uint32_t before = scripted_peer_requests(test.peer);
+    uint32_t before = scripted_peer_request_count(test.peer);
     test.parameters.refuse_if_late = true;
     test.parameters.wait.deadline = hs_clock_monotonic_ms() + 20;
     CU_ASSERT_FALSE(hs_attempt_start(test.engines, &test.parameters, &attempt));
     CU_ASSERT_PTR_NULL(attempt.lease);
     CU_ASSERT_TRUE(attempt.prospect.will_miss_deadline);
     CU_ASSERT_EQUAL(attempt.run, HS_RUN_NOT_EXECUTED);
-    CU_ASSERT_EQUAL(scripted_peer_requests(test.peer), before);
+    CU_ASSERT_EQUAL(scripted_peer_request_count(test.peer), before);
     CU_ASSERT_EQUAL(hs_fleet_engines_capacity(test.engines, "svc").online, 0);
     test.parameters.refuse_if_late = false;
     test.parameters.wait.deadline = hs_clock_monotonic_ms() + DEADLINE_MS;
--- a/tests/unit/test_connection_guard.c
+++ b/tests/unit/test_connection_guard.c
@@ -124,7 +124,7 @@
     CU_ASSERT_FALSE(hs_client_connection_is_reused(opened->connection));
     CU_ASSERT_EQUAL(hs_client_connection_read_all(opened->connection, LIMIT_MS, &opened->wait),
                     HS_STEP_COMPLETE);
-    fault_proxy_silence_open(opened->proxy, silence);
+    fault_proxy_silence_open_connections(opened->proxy, silence);
 }
 
 static void close_test_connection(test_connection *opened) {
@@ -169,7 +169,7 @@
 
 /** A missing acknowledgement is a loss; an acknowledged request without a response is none. */
 static void liveness_check_detects_an_unacknowledged_request(void) {
-    static const proxy_silence silences[] = {PROXY_ACKNOWLEDGES, PROXY_DROPS_ALL_PACKETS};
+    static const proxy_silence silences[] = {PROXY_ACKNOWLEDGES_DATA, PROXY_DROPS_ALL_PACKETS};
     static const hs_step steps[] = {HS_STEP_PROGRESS, HS_STEP_LOST};
     for (size_t index = 0; index < G_N_ELEMENTS(silences); index++) {
         test_connection opened;
--- a/tests/unit/test_deal.c
+++ b/tests/unit/test_deal.c
@@ -242,7 +242,7 @@
     CU_ASSERT_EQUAL(hs_job_plan_rank(&item), 0);
 }
 
-const test_case deal_tests[] = {
+const test_case allocation_tests[] = {
     {"a_burst_delays_only_its_tenant", a_burst_delays_only_its_tenant},
     {"a_heap_costs_others_nothing", a_heap_costs_others_nothing},
     {"grouping_by_job_ends_fewer_items_in_time", grouping_by_job_ends_fewer_items_in_time},
--- a/tests/unit/test_words.c
+++ b/tests/unit/test_words.c
@@ -181,7 +181,7 @@
     hs_slot_ledger_free(ledger);
 }
 
-const test_case word_tests[] = {
+const test_case load_report_tests[] = {
     {"the_most_recent_reports_are_relayed", the_most_recent_reports_are_relayed},
     {"report_weight_decays_with_age", report_weight_decays_with_age},
     {"only_newer_reports_are_stored", only_newer_reports_are_stored},
--- a/tests/unit/test_words_travel.c
+++ b/tests/unit/test_words_travel.c
@@ -137,7 +137,7 @@
     free_member(&arbiter);
 }
 
-const test_case words_travel_tests[] = {
+const test_case relayed_report_tests[] = {
     {"a_response_relays_reports_on_other_engines", a_response_relays_reports_on_other_engines},
     {"a_small_fleet_relays_no_reports", a_small_fleet_relays_no_reports},
     {NULL, NULL}};
--- a/tests/unit/unit_tests.h
+++ b/tests/unit/unit_tests.h
@@ -1,4 +1,4 @@
-/** @file unit_tests.h  The suites of unit tests, one a file. */
+/** @file unit_tests.h  Declares the suites of unit tests, one per file. */
 #ifndef TESTS_UNIT_UNIT_TESTS_H
 #define TESTS_UNIT_UNIT_TESTS_H
 
@@ -27,14 +27,14 @@
 extern const test_case attempt_tests[];
 extern const test_case job_tests[];
 extern const test_case item_plan_tests[];
-extern const test_case deal_tests[];
+extern const test_case allocation_tests[];
 extern const test_case forecast_tests[];
 extern const test_case quota_tests[];
 extern const test_case slot_tests[];
 extern const test_case health_tests[];
 extern const test_case suspicion_tests[];
-extern const test_case word_tests[];
-extern const test_case words_travel_tests[];
+extern const test_case load_report_tests[];
+extern const test_case relayed_report_tests[];
 extern const test_case spread_tests[];
 extern const test_case crash_tests[];
 extern const test_case record_tests[];
