--- a/tests/soak/checks.c
+++ b/tests/soak/checks.c
@@ -1,4 +1,4 @@
-/** @file checks.c  Checks of answers, results and daemons; see checks.h. */
+/** @file checks.c  Checks of answers, results and daemons. */
 #include "tests/soak/checks.h"
 
 #include "tests/soak/soak.h"
@@ -6,19 +6,19 @@
 
 #include <string.h>
 
-/** Daemons' fleet.grace_s, and a moment to be collected. */
-#define GRACE_LIMIT_MS 6500
+/** The daemons' fleet.grace_s, and a margin for the process to exit. */
+#define MAX_STOP_DURATION_MS 6500
 
-bool soak_is_promise(uint32_t status) {
+bool soak_is_refusal(uint32_t status) {
     return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
-/** A whole stream has every event once, in order; a cut one begins so. */
+/** Checks that a complete stream has every event once and in order, and a cut one a prefix. */
 static void check_stream(const char *id, const char *target, const bench_answer *answer) {
     bool is_long = strstr(target, "/long") != NULL;
     event_trace trace = event_trace_stream(id, answer->body, answer->whole && !is_long);
     if (trace.fault != NULL)
-        soak_violation("stream of %s: %s; whole=%d", id, trace.fault, answer->whole);
+        soak_report_violation("stream of %s: %s; complete=%d", id, trace.fault, answer->whole);
     g_free(trace.fault);
     g_mutex_lock(&record.lock);
     record.stream_joints += trace.joints;
@@ -28,28 +28,29 @@
 void soak_check_answer(const char *id, const char *target, const bench_answer *answer) {
     bool is_plain = g_str_has_prefix(target, "/plain/");
     if (answer->status == 200 && is_plain && answer->whole && strcmp(answer->body, target) != 0)
-        soak_violation("answer to %s is another one's: %s", id, answer->body);
+        soak_report_violation("answer to %s belongs to another request: %s", id, answer->body);
     if (answer->status == 200 && !is_plain)
         check_stream(id, target, answer);
     if (answer->status == 401 || answer->status == 403 || answer->status == 404)
-        soak_violation("%s of %s was denied: %u", id, target, answer->status);
-    if (soak_is_promise(answer->status))
-        soak_remember(record.refused, id);
+        soak_report_violation("request %s to %s was denied with status %u", id, target,
+                              answer->status);
+    if (soak_is_refusal(answer->status))
+        soak_add_id(record.refused_ids, id);
     g_mutex_lock(&record.lock);
-    record.sent++;
-    record.served += answer->status == 200 && answer->whole;
-    record.refusals += soak_is_promise(answer->status);
-    record.cut += answer->status == 200 && !answer->whole && !answer->left;
+    record.requests_sent++;
+    record.requests_served += answer->status == 200 && answer->whole;
+    record.requests_refused += soak_is_refusal(answer->status);
+    record.streams_cut += answer->status == 200 && !answer->whole && !answer->left;
     g_mutex_unlock(&record.lock);
 }
 
-/** A text is whole, and put together from runs that were asked to go on where they do. */
+/** Checks that a text is complete and that each run in it was asked to resume where it does. */
 static void check_text(const char *job, guint position, const json_t *result) {
     const char *item = json_string_value(json_object_get(result, "id"));
     const char *message = json_string_value(json_object_get(result, "message"));
     event_trace trace = event_trace_text(item, message, true);
     if (trace.fault != NULL)
-        soak_violation("job %s: position %u, item %s: %s", job, position, item, trace.fault);
+        soak_report_violation("job %s: position %u, item %s: %s", job, position, item, trace.fault);
     g_free(trace.fault);
     g_mutex_lock(&record.lock);
     record.text_joints += trace.joints;
@@ -67,7 +68,7 @@
     bool is_same = position < seen->len && strcmp(seen->pdata[position], text) == 0;
     g_mutex_unlock(&record.lock);
     if (!is_same)
-        soak_violation("job %s: position %u is %s now", job, position, text);
+        soak_report_violation("job %s: result at position %u changed to %s", job, position, text);
     const char *state = json_string_value(json_object_get(result, "state"));
     if (is_new && g_strcmp0(state, "completed") == 0)
         check_text(job, position, result);
@@ -77,7 +78,8 @@
 uint32_t soak_check_page(int daemon, const char *job, const bench_answer *answer) {
     uint32_t count = 0;
     if (answer->status == 404 || answer->status == 410)
-        soak_violation("accepted job %s: %u at daemon %d", job, answer->status, daemon);
+        soak_report_violation("accepted job %s: status %u from daemon %d", job, answer->status,
+                              daemon);
     json_t *page =
         answer->status == 200 && answer->whole ? json_loads(answer->body, 0, NULL) : NULL;
     const json_t *results = json_object_get(page, "results");
@@ -87,26 +89,28 @@
     return count;
 }
 
-void soak_check_listed(int daemon, const char *job, uint32_t wanted, uint32_t listed) {
-    bool was_ended = g_hash_table_contains(record.ended, job);
-    if (listed > wanted || (listed < wanted && !was_ended))
-        soak_violation("job %s: %u of %u results at daemon %d", job, listed, wanted, daemon);
+void soak_check_listed(int daemon, const char *job, uint32_t expected, uint32_t listed) {
+    bool is_delete_requested = g_hash_table_contains(record.deleted_jobs, job);
+    if (listed > expected || (listed < expected && !is_delete_requested))
+        soak_report_violation("job %s: %u of %u results at daemon %d", job, listed, expected,
+                              daemon);
 }
 
 void soak_check_config(int daemon, const char *metrics) {
-    g_autofree char *wanted =
+    g_autofree char *expected =
         g_strdup_printf("heathsail_config_version %d\n", record.config_version);
-    if (metrics == NULL || strstr(metrics, wanted) == NULL)
-        soak_violation("daemon %d has not version %d of the configuration", daemon,
-                       record.config_version);
+    if (metrics == NULL || strstr(metrics, expected) == NULL)
+        soak_report_violation("daemon %d does not have configuration version %d in force", daemon,
+                              record.config_version);
 }
 
 void soak_check_stop(int daemon, int status, uint64_t took_ms) {
-    if (status != 0 || took_ms > GRACE_LIMIT_MS)
-        soak_violation("daemon %d ended with %d after %u ms", daemon, status, (unsigned)took_ms);
+    if (status != 0 || took_ms > MAX_STOP_DURATION_MS)
+        soak_report_violation("daemon %d exited with status %d after %u ms", daemon, status,
+                              (unsigned)took_ms);
 }
 
 void soak_check_ready(int daemon, bool is_ready) {
     if (!is_ready)
-        soak_violation("daemon %d is not ready after the faults", daemon);
+        soak_report_violation("daemon %d is not ready after the faults", daemon);
 }
--- a/tests/soak/checks.h
+++ b/tests/soak/checks.h
@@ -1,4 +1,4 @@
-/** @file checks.h  The soak's checks, each of one fact; what is wrong becomes a violation. */
+/** @file checks.h  The checks of the soak. Each reports what it finds wrong as a violation. */
 #ifndef TESTS_SOAK_CHECKS_H
 #define TESTS_SOAK_CHECKS_H
 
@@ -9,49 +9,59 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Statuses that promise that nothing ran. */
-bool soak_is_promise(uint32_t status);
+/** Returns whether a status guarantees that no engine ran the request. */
+bool soak_is_refusal(uint32_t status);
 
-/** An answer to an online request; the request's id is remembered as its answer asks for it. */
+/** Checks the answer to an online request, and records the id if the request was refused. */
 void soak_check_answer(const char *id, const char *target, const bench_answer *answer);
 
-/** A result keeps its place, and a completed one has a text that is rightly made. */
+/**
+ * Checks that a result equals the one read earlier at its position, and that the text of a
+ * completed item is complete and traceable to engine runs.
+ */
 void soak_check_result(const char *job, guint position, const json_t *result);
 
-/** What a daemon answers to a read of an accepted job; how many results it lists. */
+/** Checks a daemon's answer to a read of an accepted job. Returns how many results it lists. */
 uint32_t soak_check_page(int daemon, const char *job, const bench_answer *answer);
 
-/** A job that was not ended has all its results. */
-void soak_check_listed(int daemon, const char *job, uint32_t wanted, uint32_t listed);
+/** Checks that a job for which no DELETE was sent has all its results. */
+void soak_check_listed(int daemon, const char *job, uint32_t expected, uint32_t listed);
 
-/** The configuration that was written last is in force. @p metrics: a daemon's, may be NULL. */
+/**
+ * Checks that the version of the configuration written last is in force. @p metrics: metrics page
+ * of the daemon, or NULL.
+ */
 void soak_check_config(int daemon, const char *metrics);
 
-/** A daemon ends in order on SIGTERM, and within its time. */
+/** Checks that a daemon exited on SIGTERM with status 0 and within its grace period. */
 void soak_check_stop(int daemon, int status, uint64_t took_ms);
 
-/** A daemon without any fault is ready. */
+/** Checks that a daemon is ready after all faults have ended. */
 void soak_check_ready(int daemon, bool is_ready);
 
-/** Requests that may run once did; what was refused never ran. */
+/** Checks that run-once requests ran at most once and refused requests never ran. */
 void soak_check_runs(void);
 
-/** Remember that nothing of @p id may run from now on: acknowledged, or its caller has left. */
-void soak_note_end(const char *id);
+/**
+ * Records that no run of @p id may continue from now on, because its end was acknowledged or its
+ * caller disconnected.
+ */
+void soak_record_end(const char *id);
 
-/** Only what crashes engines may be held back. */
-void soak_check_hold(const char *id, bool is_fatal, bool is_held);
+/** Checks that only contents that crash engines are quarantined. */
+void soak_check_hold(const char *id, bool is_crash_content, bool is_quarantined);
 
 /**
- * What crashes engines is sent to none once it is known, at @p known_ms (wall time; 0: it is not).
- * @p begun_ms: when engines began it, of uint64_t. Judged only where no fault was near.
+ * Checks that a content is not sent to engines once daemons know that it crashes them.
+ * @p quarantined_ms: wall time at which they know, or 0 if they do not. @p started_ms: wall times
+ * (uint64_t) at which engines started it. Starts near an injected fault are not counted.
  */
-void soak_check_sends(const char *content, uint64_t known_ms, const GArray *begun_ms);
+void soak_check_sends(const char *content, uint64_t quarantined_ms, const GArray *started_ms);
 
-/** The same for all contents that crashed engines. */
+/** Runs soak_check_sends for all contents that crashed engines. */
 void soak_check_crashes(void);
 
-/** Nothing ran on after its end. */
+/** Checks that no run continued after its recorded end. */
 void soak_check_ends(void);
 
 #endif
--- a/tests/soak/crash_callers.c
+++ b/tests/soak/crash_callers.c
@@ -1,7 +1,7 @@
 /**
  * @file crash_callers.c
- * Requests that end each engine which begins them, and others beside them, at engines of their own;
- * see soak.h. New ones come now and then, up to FATAL_CONTENTS at a time.
+ * Sends requests that crash every engine that starts them, and harmless ones, to a separate crash
+ * fleet, and checks that daemons quarantine the former and only them.
  */
 #include "base/clock.h"
 #include "tests/soak/checks.h"
@@ -10,107 +10,115 @@
 
 #include <string.h>
 
-/** Contents that crash engines at one time, and for how long they come, in ms. */
-#define FATAL_CONTENTS 2 /* One a target: with another target a body is another content. */
-#define FATAL_FOR_MS 12000
-/** One request in so many is one of them. */
-#define FATAL_ONE_IN 4
-#define PAUSE_MOST_MS 60
+/** Contents that crash engines at one time: one per target, as the content includes the target. */
+#define CRASH_CONTENTS 2
+/** Time after which new contents replace them. */
+#define CONTENT_LIFETIME_MS 12000
+/** Mean number of requests per request that crashes engines. */
+#define REQUESTS_PER_CRASH 4
+#define MAX_PAUSE_MS 60
 #define TIMEOUT_MS 3000
-/** A daemon has known for so long, in ms, without a fault beside, that it must not send. */
-#define KNOWN_AFTER_MS 3000
-/** Engines that a content may end before it is known. */
-#define ENDS_KNOWN 3
-/** Sends that are allowed after that. */
-#define LATE_SENDS_MOST 3
+/** Time without faults within which all daemons learn of a quarantine. */
+#define QUARANTINE_SPREAD_MS 3000
+/** Engine crashes after which a content is quarantined. */
+#define CRASHES_TO_QUARANTINE 3
+/** Sends that are permitted afterwards, for trial runs. */
+#define MAX_LATE_SENDS 3
 
-/** Engines that start again under their ids are back after one of these times, in ms. */
-static const uint32_t RETURNS_MS[] = {60, 300, 1500, 4000};
+/** Restart delays of engines that restart under the same id; the seed selects one. */
+static const uint32_t RESTART_DELAYS_MS[] = {60, 300, 1500, 4000};
 
-static crash_fleet *frail;
+static crash_fleet *crashing_fleet;
 
-void soak_start_crashes(unsigned seed) {
+void soak_start_crash_fleet(unsigned seed) {
     crash_fleet_settings settings = {0};
     settings.keeps_ids = seed % 2 == 1;
-    settings.return_ms = settings.keeps_ids ? RETURNS_MS[seed / 2 % G_N_ELEMENTS(RETURNS_MS)] : 0;
-    frail = crash_fleet_start(bench.store, "frail", &settings);
+    settings.return_ms =
+        settings.keeps_ids ? RESTART_DELAYS_MS[seed / 2 % G_N_ELEMENTS(RESTART_DELAYS_MS)] : 0;
+    crashing_fleet = crash_fleet_start(bench.store, "frail", &settings);
 }
 
-void soak_stop_crashes(void) {
-    crash_fleet_stop(frail);
+void soak_stop_crash_fleet(void) {
+    crash_fleet_stop(crashing_fleet);
 }
 
 static const char *const targets[] = {"/frail/once/x", "/frail/plain/x"};
 
-/** A content that crashes engines, by time, so that all callers have the same few. */
-static char *fatal_content(int which, uint64_t began_ms) {
-    uint64_t epoch = (hs_clock_monotonic_ms() - began_ms) / FATAL_FOR_MS;
+/** Makes a content that crashes engines, the same for all callers in the same period. */
+static char *make_crash_content(int which, uint64_t record_started_ms) {
+    uint64_t epoch = (hs_clock_monotonic_ms() - record_started_ms) / CONTENT_LIFETIME_MS;
     return g_strdup_printf(CRASH_FLEET_FATAL "-%u-%d.", (unsigned)epoch, which);
 }
 
-/** Send and judge; @p fatal: a content, or NULL for what many ask and what is new each time. */
-static void send_one(GRand *chance, const char *target, const char *fatal, const char *id) {
-    const char *other = g_rand_boolean(chance) ? "asked by many" : id;
+/** Sends a request. @p crash_content: content that crashes engines, or NULL for a harmless body. */
+static void send_crash_fleet_request(GRand *rng, const char *target, const char *crash_content,
+                                     const char *id) {
+    const char *harmless = g_rand_boolean(rng) ? "asked by many" : id;
     bench_answer answer =
-        bench_send(&(bench_call){.daemon = g_rand_int_range(chance, 0, bench_daemons()),
+        bench_send(&(bench_call){.daemon = g_rand_int_range(rng, 0, bench_daemons()),
                                  .method = "POST",
                                  .target = target,
                                  .request_id = id,
-                                 .body = fatal != NULL ? fatal : other,
+                                 .body = crash_content != NULL ? crash_content : harmless,
                                  .timeout_ms = TIMEOUT_MS});
-    bool is_held =
+    bool is_quarantined =
         answer.status == 503 && answer.body != NULL && strstr(answer.body, "crashed engines");
     bool is_served = answer.status == 200 && answer.whole;
-    soak_check_hold(id, fatal != NULL, is_held);
+    soak_check_hold(id, crash_content != NULL, is_quarantined);
     g_mutex_lock(&record.lock);
-    record.fatal_sent += fatal != NULL;
-    record.fatal_held += is_held;
-    record.beside_sent += fatal == NULL;
-    record.beside_served += fatal == NULL && is_served;
+    record.crash_requests_sent += crash_content != NULL;
+    record.crash_requests_quarantined += is_quarantined;
+    record.other_requests_sent += crash_content == NULL;
+    record.other_requests_served += crash_content == NULL && is_served;
     g_mutex_unlock(&record.lock);
     bench_answer_clear(&answer);
 }
 
-gpointer soak_run_crashers(gpointer data) {
-    g_autoptr(GRand) chance = g_rand_new_with_seed(GPOINTER_TO_UINT(data));
-    uint64_t began_ms = record.began_ms;
+gpointer soak_run_crash_caller(gpointer data) {
+    g_autoptr(GRand) rng = g_rand_new_with_seed(GPOINTER_TO_UINT(data));
+    uint64_t record_started_ms = record.started_ms;
     uint32_t number = 0;
     while (g_atomic_int_get(&record.stopping) == 0) {
-        bool is_fatal = g_rand_int_range(chance, 0, FATAL_ONE_IN) == 0;
-        int which = g_rand_int_range(chance, 0, FATAL_CONTENTS);
-        g_autofree char *fatal = is_fatal ? fatal_content(which, began_ms) : NULL;
-        g_autofree char *id = g_strdup_printf("%s%u-%u", is_fatal ? fatal : "beside-",
-                                              GPOINTER_TO_UINT(data), number++);
-        if (is_fatal)
-            soak_remember(record.fatal, fatal);
-        send_one(chance, targets[which], fatal, id);
-        hs_clock_sleep_ms((uint64_t)g_rand_int_range(chance, 1, PAUSE_MOST_MS));
+        bool is_crash_content = g_rand_int_range(rng, 0, REQUESTS_PER_CRASH) == 0;
+        int which = g_rand_int_range(rng, 0, CRASH_CONTENTS);
+        g_autofree char *crash_content =
+            is_crash_content ? make_crash_content(which, record_started_ms) : NULL;
+        g_autofree char *id =
+            g_strdup_printf("%s%u-%u", is_crash_content ? crash_content : "beside-",
+                            GPOINTER_TO_UINT(data), number++);
+        if (is_crash_content)
+            soak_add_id(record.crash_contents, crash_content);
+        send_crash_fleet_request(rng, targets[which], crash_content, id);
+        hs_clock_sleep_ms((uint64_t)g_rand_int_range(rng, 1, MAX_PAUSE_MS));
     }
     return NULL;
 }
 
-void soak_check_hold(const char *id, bool is_fatal, bool is_held) {
-    if (is_held && !is_fatal)
-        soak_violation("%s was held back though it crashed no engine", id);
+void soak_check_hold(const char *id, bool is_crash_content, bool is_quarantined) {
+    if (is_quarantined && !is_crash_content)
+        soak_report_violation("%s was quarantined though it crashed no engine", id);
 }
 
-void soak_check_sends(const char *content, uint64_t known_ms, const GArray *begun_ms) {
+void soak_check_sends(const char *content, uint64_t quarantined_ms, const GArray *started_ms) {
     uint32_t late = 0;
-    for (guint index = 0; known_ms != 0 && index < begun_ms->len; index++) {
-        uint64_t at_ms = g_array_index(begun_ms, uint64_t, index);
-        late += at_ms > known_ms + KNOWN_AFTER_MS && soak_was_calm(at_ms - KNOWN_AFTER_MS, at_ms);
+    for (guint index = 0; quarantined_ms != 0 && index < started_ms->len; index++) {
+        uint64_t at_ms = g_array_index(started_ms, uint64_t, index);
+        late += at_ms > quarantined_ms + QUARANTINE_SPREAD_MS &&
+                soak_was_fault_free(at_ms - QUARANTINE_SPREAD_MS, at_ms);
     }
-    if (late > LATE_SENDS_MOST)
-        soak_violation("%s was sent %u times after it was known to crash engines", content, late);
+    if (late > MAX_LATE_SENDS)
+        soak_report_violation("%s was sent %u times after its quarantine", content, late);
 }
 
 void soak_check_crashes(void) {
     GHashTableIter iterator;
     gpointer content = NULL;
-    g_hash_table_iter_init(&iterator, record.fatal);
+    g_hash_table_iter_init(&iterator, record.crash_contents);
     while (g_hash_table_iter_next(&iterator, &content, NULL)) {
-        g_autoptr(GArray) begun_ms = crash_fleet_begun_ms(frail, content);
-        soak_check_sends(content, crash_fleet_end_ms(frail, content, ENDS_KNOWN), begun_ms);
+        g_autoptr(GArray) started_ms = crash_fleet_begun_ms(crashing_fleet, content);
+        soak_check_sends(content,
+                         crash_fleet_end_ms(crashing_fleet, content, CRASHES_TO_QUARANTINE),
+                         started_ms);
     }
-    record.crashes = crash_fleet_crashes(frail);
+    record.engine_crashes = crash_fleet_crashes(crashing_fleet);
 }
--- a/tests/soak/end_checks.c
+++ b/tests/soak/end_checks.c
@@ -1,65 +1,65 @@
-/** @file end_checks.c  What must be there once all faults have ended; see soak.h. */
+/** @file end_checks.c  Checks of the final state, after all faults have ended. */
 #include "base/clock.h"
 #include "tests/soak/checks.h"
 #include "tests/soak/soak.h"
 
 #include <string.h>
 
-/** Until all accepted jobs have ended; the longest text lasts 8 s. */
-#define JOBS_LIMIT_MS 90000
-#define CONFIG_LIMIT_MS 8000
-#define LOOK_MS 100
-/** Daemons that are asked for each job: all of them in turn, so that hundreds take no hour. */
-#define ASKED_MOST 8
+/** For all accepted jobs together; the longest text takes 8 s. */
+#define JOBS_TIMEOUT_MS 90000
+#define CONFIG_TIMEOUT_MS 8000
+#define POLL_INTERVAL_MS 100
+/** Daemons that each job is read from, to limit the duration; jobs rotate over all daemons. */
+#define MAX_DAEMONS_PER_JOB 8
 
 static void check_ready(void) {
     for (int daemon = 0; daemon < bench_daemons(); daemon++)
         soak_check_ready(daemon, bench_wait_ready(daemon));
 }
 
-static bool has_config(const char *metrics) {
-    g_autofree char *wanted =
+static bool has_expected_config(const char *metrics) {
+    g_autofree char *expected =
         g_strdup_printf("heathsail_config_version %d\n", record.config_version);
-    return metrics != NULL && strstr(metrics, wanted) != NULL;
+    return metrics != NULL && strstr(metrics, expected) != NULL;
 }
 
 static void check_config(void) {
-    uint64_t limit_ms = hs_clock_monotonic_ms() + CONFIG_LIMIT_MS;
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + CONFIG_TIMEOUT_MS;
     for (int daemon = 0; daemon < bench_daemons(); daemon++) {
         bench_answer metrics = {0};
         do {
             bench_answer_clear(&metrics);
             metrics = bench_send(&(bench_call){
                 .method = "GET", .target = "/metrics", .port = bench_metrics_port(daemon)});
-        } while (!has_config(metrics.body) && hs_clock_monotonic_ms() < limit_ms);
+        } while (!has_expected_config(metrics.body) && hs_clock_monotonic_ms() < deadline_ms);
         soak_check_config(daemon, metrics.body);
         bench_answer_clear(&metrics);
     }
 }
 
-/** The results of a job at a daemon, once they are all there. */
-static void check_job_at(int daemon, const char *job, uint32_t wanted, uint64_t limit_ms) {
+/** Polls a daemon until it lists all results of a job, then checks their number. */
+static void check_job_at(int daemon, const char *job, uint32_t expected, uint64_t deadline_ms) {
     uint32_t listed = soak_read_job(daemon, job);
-    bool was_ended = g_hash_table_contains(record.ended, job);
-    while (listed < wanted && !was_ended && hs_clock_monotonic_ms() < limit_ms) {
-        hs_clock_sleep_ms(LOOK_MS);
+    bool is_delete_requested = g_hash_table_contains(record.deleted_jobs, job);
+    while (listed < expected && !is_delete_requested && hs_clock_monotonic_ms() < deadline_ms) {
+        hs_clock_sleep_ms(POLL_INTERVAL_MS);
         listed = soak_read_job(daemon, job);
     }
-    soak_check_listed(daemon, job, wanted, listed);
+    soak_check_listed(daemon, job, expected, listed);
 }
 
-/** Every accepted job ends, with the same results at the daemons that are asked. */
+/** Checks that every accepted job completes, with the same results at several daemons. */
 static void check_jobs(void) {
-    uint64_t limit_ms = hs_clock_monotonic_ms() + JOBS_LIMIT_MS;
-    int asked = 0;
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + JOBS_TIMEOUT_MS;
+    int read_count = 0;
     GHashTableIter iterator;
     gpointer job = NULL;
     gpointer items = NULL;
-    g_hash_table_iter_init(&iterator, record.jobs);
+    g_hash_table_iter_init(&iterator, record.accepted_jobs);
     while (g_hash_table_iter_next(&iterator, &job, &items))
-        for (int count = 0; count < MIN(bench_daemons(), ASKED_MOST); count++)
-            check_job_at(asked++ % bench_daemons(), job, (uint32_t)GPOINTER_TO_INT(items),
-                         limit_ms);
+        for (int count = 0; count < MIN(bench_daemons(), MAX_DAEMONS_PER_JOB); count++)
+            check_job_at(read_count++ % bench_daemons(), job, (uint32_t)GPOINTER_TO_INT(items),
+                         deadline_ms);
 }
 
 void soak_check_end(void) {
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -1,30 +1,30 @@
-/** @file faults.c  Which fault comes when; see faults.h. */
+/** @file faults.c  Injects random faults in series, with fault-free periods between them. */
 #include "tests/soak/faults.h"
 
 #include "base/clock.h"
 #include "tests/soak/soak.h"
 #include "tools/surface/fleet_bench.h"
 
-#define TARGET_KINDS (FAULT_CONFIG + 1)
-#define REST_MOST_MS 700
-/** A series of faults, and the calm after it, in which daemons recover and are judged. */
+#define FAULT_TARGET_KINDS (FAULT_CONFIG + 1)
+#define MAX_FAULT_GAP_MS 700
+/** Length of a series of faults, and of the period after it in which daemons recover. */
 #define SERIES_MS 16000
-#define CALM_MS 9000
+#define FAULT_FREE_MS 9000
 
 static struct {
     GMutex lock;
-    bool taken[TARGET_KINDS][BENCH_DAEMONS_MOST];
+    bool taken[FAULT_TARGET_KINDS][BENCH_DAEMONS_MOST];
 } targets;
 
-/** Times without a fault. */
+/** Periods without a fault. Times are wall times in ms. */
 static struct {
     GMutex lock;
-    int lasting;      /**< Faults that last now. */
-    uint64_t from_ms; /**< Wall time since which none lasts. */
-    GArray *over;     /**< of uint64_t[2]: begin and end of such times that are over. */
-} calm;
+    int active;       /**< Number of active faults. */
+    uint64_t from_ms; /**< Start of the current period, if no fault is active. */
+    GArray *past;     /**< of uint64_t[2]: start and end of earlier periods. */
+} fault_free;
 
-bool soak_take(fault_target target, int index) {
+bool soak_acquire_target(fault_target target, int index) {
     g_mutex_lock(&targets.lock);
     bool was_free = !targets.taken[target][index];
     targets.taken[target][index] = true;
@@ -32,77 +32,84 @@
     return was_free;
 }
 
-void soak_give_back(fault_target target, int index) {
+void soak_release_target(fault_target target, int index) {
     g_mutex_lock(&targets.lock);
     targets.taken[target][index] = false;
     g_mutex_unlock(&targets.lock);
 }
 
-void soak_hold(const fault_lane *lane, int least_ms, int most_ms) {
+void soak_wait_random(const fault_injector *injector, int min_ms, int max_ms) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint64_t hold_ms = (uint64_t)g_rand_int_range(lane->chance, least_ms, most_ms + 1);
-    if (now_ms < lane->until_ms)
-        hs_clock_sleep_ms(MIN(hold_ms, lane->until_ms - now_ms));
+    uint64_t hold_ms = (uint64_t)g_rand_int_range(injector->rng, min_ms, max_ms + 1);
+    if (now_ms < injector->until_ms)
+        hs_clock_sleep_ms(MIN(hold_ms, injector->until_ms - now_ms));
 }
 
-int soak_any_daemon(const fault_lane *lane) {
-    return g_rand_int_range(lane->chance, 0, bench_daemons());
+int soak_pick_daemon(const fault_injector *injector) {
+    return g_rand_int_range(injector->rng, 0, bench_daemons());
 }
 
 void soak_begin_fault(void) {
-    g_mutex_lock(&calm.lock);
-    if (calm.over == NULL)
-        calm.over = g_array_new(FALSE, FALSE, 2 * sizeof(uint64_t));
-    uint64_t span[2] = {calm.from_ms, hs_clock_wall_ms()};
-    if (calm.lasting++ == 0)
-        g_array_append_val(calm.over, span);
-    g_mutex_unlock(&calm.lock);
+    g_mutex_lock(&fault_free.lock);
+    if (fault_free.past == NULL)
+        fault_free.past = g_array_new(FALSE, FALSE, 2 * sizeof(uint64_t));
+    uint64_t span[2] = {fault_free.from_ms, hs_clock_wall_ms()};
+    if (fault_free.active++ == 0)
+        g_array_append_val(fault_free.past, span);
+    g_mutex_unlock(&fault_free.lock);
 }
 
 void soak_end_fault(void) {
-    g_mutex_lock(&calm.lock);
-    if (--calm.lasting == 0)
-        calm.from_ms = hs_clock_wall_ms();
-    g_mutex_unlock(&calm.lock);
+    g_mutex_lock(&fault_free.lock);
+    if (--fault_free.active == 0)
+        fault_free.from_ms = hs_clock_wall_ms();
+    g_mutex_unlock(&fault_free.lock);
 }
 
-bool soak_was_calm(uint64_t from_ms, uint64_t to_ms) {
-    g_mutex_lock(&calm.lock);
-    bool was_calm = calm.lasting == 0 && calm.from_ms <= from_ms;
-    for (guint index = 0; calm.over != NULL && index < calm.over->len && !was_calm; index++) {
-        const uint64_t *span = (const uint64_t *)(void *)calm.over->data + (gsize)2 * index;
-        was_calm = span[0] <= from_ms && to_ms <= span[1];
+bool soak_was_fault_free(uint64_t from_ms, uint64_t to_ms) {
+    g_mutex_lock(&fault_free.lock);
+    bool was_free_of_faults = fault_free.active == 0 && fault_free.from_ms <= from_ms;
+    for (guint index = 0;
+         fault_free.past != NULL && index < fault_free.past->len && !was_free_of_faults; index++) {
+        const uint64_t *span = (const uint64_t *)(void *)fault_free.past->data + (gsize)2 * index;
+        was_free_of_faults = span[0] <= from_ms && to_ms <= span[1];
     }
-    g_mutex_unlock(&calm.lock);
-    return was_calm;
+    g_mutex_unlock(&fault_free.lock);
+    return was_free_of_faults;
 }
 
-static void run_series(const fault_lane *lane) {
-    static void (*const faults[])(const fault_lane *) = {
-        soak_kill_daemons,   soak_kill_daemons,     soak_stop_daemon,     soak_stop_daemon,
-        soak_pause_daemon,   soak_harm_store_link,  soak_harm_store_link, soak_deal_while_cut,
-        soak_deal_while_cut, soak_chase_owners,     soak_chase_owners,    soak_chase_owners,
-        soak_chase_owners,   soak_harm_engine_link, soak_silence_links,   soak_cut_engine_links,
-        soak_harm_store,     soak_delay_store,      soak_surprise_store,  soak_harm_engine,
-        soak_drain_engine,   soak_cut_slow_engines, soak_change_config,   soak_reload_daemon,
+static void run_series(const fault_injector *injector) {
+    static void (*const faults[])(const fault_injector *) = {
+        soak_kill_daemons,         soak_kill_daemons,
+        soak_stop_daemon,          soak_stop_daemon,
+        soak_pause_daemon,         soak_degrade_store_link,
+        soak_degrade_store_link,   soak_rebalance_while_cut,
+        soak_rebalance_while_cut,  soak_kill_owners_in_turn,
+        soak_kill_owners_in_turn,  soak_kill_owners_in_turn,
+        soak_kill_owners_in_turn,  soak_degrade_engine_link,
+        soak_silence_open_links,   soak_reset_engine_links,
+        soak_fail_store_calls,     soak_delay_store,
+        soak_trigger_store_change, soak_fail_engine,
+        soak_drain_engine,         soak_reset_slow_engine_links,
+        soak_change_config,        soak_reload_daemon,
     };
-    while (hs_clock_monotonic_ms() < lane->until_ms) {
-        g_atomic_int_inc(&record.faults);
+    while (hs_clock_monotonic_ms() < injector->until_ms) {
+        g_atomic_int_inc(&record.fault_count);
         soak_begin_fault();
-        faults[g_rand_int_range(lane->chance, 0, G_N_ELEMENTS(faults))](lane);
+        faults[g_rand_int_range(injector->rng, 0, G_N_ELEMENTS(faults))](injector);
         soak_end_fault();
-        soak_hold(lane, 0, REST_MOST_MS);
+        soak_wait_random(injector, 0, MAX_FAULT_GAP_MS);
     }
 }
 
-void soak_run_faults(GRand *chance, uint64_t until_ms) {
+void soak_run_faults(GRand *rng, uint64_t until_ms) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     while (now_ms < until_ms) {
-        fault_lane lane = {.chance = chance, .until_ms = MIN(until_ms, now_ms + SERIES_MS)};
-        run_series(&lane);
+        fault_injector injector = {.rng = rng, .until_ms = MIN(until_ms, now_ms + SERIES_MS)};
+        run_series(&injector);
         now_ms = hs_clock_monotonic_ms();
         if (now_ms < until_ms)
-            hs_clock_sleep_ms(MIN((uint64_t)CALM_MS, until_ms - now_ms));
+            hs_clock_sleep_ms(MIN((uint64_t)FAULT_FREE_MS, until_ms - now_ms));
         now_ms = hs_clock_monotonic_ms();
     }
 }
--- a/tests/soak/faults.h
+++ b/tests/soak/faults.h
@@ -1,7 +1,8 @@
 /**
  * @file faults.h
- * Faults of the soak. Several threads cause them at one time; each thing that can be harmed is
- * taken by one fault at a time, so that the end of one fault is not the end of another.
+ * Faults of the soak. Several threads inject faults at once. A fault acquires its target, so that
+ * only one fault affects a target at a time and ends only itself. Functions whose target is in use
+ * return without a fault.
  */
 #ifndef TESTS_SOAK_FAULTS_H
 #define TESTS_SOAK_FAULTS_H
@@ -10,63 +11,67 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What can be harmed. */
 typedef enum {
-    FAULT_PROCESS,     /**< A daemon's process. */
-    FAULT_STORE_LINK,  /**< A daemon's link to the store. */
-    FAULT_ENGINE_LINK, /**< All daemons' links to an engine. */
+    FAULT_PROCESS,     /**< Process of a daemon. */
+    FAULT_STORE_LINK,  /**< Link of a daemon to the store. */
+    FAULT_ENGINE_LINK, /**< Links of all daemons to an engine. */
     FAULT_ENGINE,
     FAULT_STORE,
     FAULT_STORE_DELAY,
     FAULT_CONFIG,
 } fault_target;
 
-/** One cause of faults: its chance, and what it may not take. */
+/** State of one thread that injects faults. */
 typedef struct {
-    GRand *chance;
-    uint64_t until_ms; /**< Monotonic time at which no fault lasts any longer. */
-} fault_lane;
+    GRand *rng;
+    uint64_t until_ms; /**< Monotonic time at which all faults of the series must have ended. */
+} fault_injector;
 
-/** Take a thing for a fault. False: another fault has it. */
-bool soak_take(fault_target target, int index);
-void soak_give_back(fault_target target, int index);
+/** Acquires a target for a fault. Returns false if another fault holds it. */
+bool soak_acquire_target(fault_target target, int index);
+void soak_release_target(fault_target target, int index);
 
-/** Last for a time that chance decides, in ms, but not past the end of faults. */
-void soak_hold(const fault_lane *lane, int least_ms, int most_ms);
+/** Sleeps for a random time between two bounds in ms, but not beyond the end of the series. */
+void soak_wait_random(const fault_injector *injector, int min_ms, int max_ms);
 
-int soak_any_daemon(const fault_lane *lane);
+int soak_pick_daemon(const fault_injector *injector);
 
-/** A fault begins, or has ended: for what is judged in calm times alone. */
+/** Mark the start and the end of a fault; see soak_was_fault_free. */
 void soak_begin_fault(void);
 void soak_end_fault(void);
 
-/** Start a daemon again: as one of the two builds, by chance, where there is an earlier one. */
-void soak_start_daemon(const fault_lane *lane, int daemon);
+/** Starts a stopped daemon, as a random one of the two builds if there is an earlier build. */
+void soak_start_daemon(const fault_injector *injector, int daemon);
 
-/** Faults of processes. */
-void soak_kill_daemon(const fault_lane *lane, int daemon);
-void soak_kill_daemons(const fault_lane *lane);
-void soak_stop_daemon(const fault_lane *lane);
-void soak_pause_daemon(const fault_lane *lane);
+/** Kill a daemon, or several in turn, and start them again. */
+void soak_kill_daemon(const fault_injector *injector, int daemon);
+void soak_kill_daemons(const fault_injector *injector);
+/** Ends a daemon with SIGTERM, checks the exit and starts the daemon again. */
+void soak_stop_daemon(const fault_injector *injector);
+/** Suspends a daemon with SIGSTOP for some time. */
+void soak_pause_daemon(const fault_injector *injector);
 
-/** Faults of links. */
-void soak_harm_store_link(const fault_lane *lane);
-void soak_deal_while_cut(const fault_lane *lane);
-void soak_chase_owners(const fault_lane *lane);
-void soak_harm_engine_link(const fault_lane *lane);
-void soak_silence_links(const fault_lane *lane);
-void soak_cut_engine_links(const fault_lane *lane);
+void soak_degrade_store_link(const fault_injector *injector);
+/** Rebalances partitions while a daemon is cut off from the store. */
+void soak_rebalance_while_cut(const fault_injector *injector);
+/** Kills daemons in turn, after two of them have run the items of the same partitions. */
+void soak_kill_owners_in_turn(const fault_injector *injector);
+void soak_degrade_engine_link(const fault_injector *injector);
+/** Silences the open connections of a link for good; new connections work. */
+void soak_silence_open_links(const fault_injector *injector);
+void soak_reset_engine_links(const fault_injector *injector);
 
-/** Faults of the store and the engines. */
-void soak_harm_store(const fault_lane *lane);
-void soak_delay_store(const fault_lane *lane);
-void soak_surprise_store(const fault_lane *lane);
-void soak_harm_engine(const fault_lane *lane);
-void soak_cut_slow_engines(const fault_lane *lane);
-void soak_drain_engine(const fault_lane *lane);
+void soak_fail_store_calls(const fault_injector *injector);
+void soak_delay_store(const fault_injector *injector);
+/** Makes the store drop the records of a topic, or rebalance the partitions. */
+void soak_trigger_store_change(const fault_injector *injector);
+void soak_fail_engine(const fault_injector *injector);
+/** Resets engine links while an engine delays the start of its answers. */
+void soak_reset_slow_engine_links(const fault_injector *injector);
+void soak_drain_engine(const fault_injector *injector);
 
-/** What operators do. */
-void soak_change_config(const fault_lane *lane);
-void soak_reload_daemon(const fault_lane *lane);
+/** Operators' actions. */
+void soak_change_config(const fault_injector *injector);
+void soak_reload_daemon(const fault_injector *injector);
 
 #endif
--- a/tests/soak/link_faults.c
+++ b/tests/soak/link_faults.c
@@ -1,5 +1,4 @@
-/** @file link_faults.c  Proxies before the store and the engines, and their faults; see faults.h.
- */
+/** @file link_faults.c  Fault proxies before the store and the engines, and their faults. */
 #include "base/clock.h"
 #include "tests/soak/faults.h"
 #include "tests/soak/soak.h"
@@ -8,22 +7,22 @@
 
 #include <signal.h>
 
-#define LINK_LEAST_MS 300
-#define LINK_MOST_MS 6000
-/** Before the store deals partitions anew, and from then until the daemon is killed or heals. */
-#define BEFORE_DEAL_MOST_MS 1500
-#define AFTER_DEAL_LEAST_MS 500
-#define AFTER_DEAL_MOST_MS 5000
-/** So that both owners store progress, each 1.5 s, more than once. */
-#define TWO_OWNERS_LEAST_MS 1600
-#define TWO_OWNERS_MOST_MS 4500
-/** Between the deaths of owners. */
-#define CHASE_MOST_MS 1500
-#define CHASED_MOST 3
-#define CUTS_MOST 8
-#define CUT_PAUSE_MOST_MS 300
-/** The proxies look at their mode each 10 ms. */
-#define CUT_MS 30
+#define MIN_LINK_FAULT_MS 300
+#define MAX_LINK_FAULT_MS 6000
+/** Times from the cut to the rebalance, and from the rebalance to the end of the cut. */
+#define MAX_BEFORE_REBALANCE_MS 1500
+#define MIN_AFTER_REBALANCE_MS 500
+#define MAX_AFTER_REBALANCE_MS 5000
+/** Long enough for both owners to store progress, every 1.5 s, at least once. */
+#define MIN_TWO_OWNERS_MS 1600
+#define MAX_TWO_OWNERS_MS 4500
+/** Between the kills of two owners. */
+#define MAX_OWNER_KILL_GAP_MS 1500
+#define MAX_OWNER_KILLS 3
+#define MAX_LINK_RESETS 8
+#define MAX_LINK_RESET_GAP_MS 300
+/** Proxies poll their mode every 10 ms. */
+#define LINK_RESET_MS 30
 
 static fault_proxy *store_proxies[BENCH_DAEMONS_MOST];
 static fault_proxy *engine_proxies[BENCH_ENGINES];
@@ -46,124 +45,122 @@
         fault_proxy_stop(engine_proxies[index]);
 }
 
-static proxy_mode any_mode(const fault_lane *lane) {
-    return (proxy_mode)g_rand_int_range(lane->chance, PROXY_DELAYS, PROXY_HOLDS_ANSWERS + 1);
+static proxy_mode pick_link_fault(const fault_injector *injector) {
+    return (proxy_mode)g_rand_int_range(injector->rng, PROXY_DELAYS, PROXY_HOLDS_ANSWERS + 1);
 }
 
-void soak_harm_store_link(const fault_lane *lane) {
-    int daemon = soak_any_daemon(lane);
-    proxy_mode mode = any_mode(lane);
-    if (!soak_take(FAULT_STORE_LINK, daemon))
+void soak_degrade_store_link(const fault_injector *injector) {
+    int daemon = soak_pick_daemon(injector);
+    proxy_mode mode = pick_link_fault(injector);
+    if (!soak_acquire_target(FAULT_STORE_LINK, daemon))
         return;
-    soak_say("fault store link daemon=%d mode=%d", daemon, mode);
+    soak_log("fault store link daemon=%d mode=%d", daemon, mode);
     fault_proxy_set(store_proxies[daemon], mode);
-    soak_hold(lane, LINK_LEAST_MS, LINK_MOST_MS);
+    soak_wait_random(injector, MIN_LINK_FAULT_MS, MAX_LINK_FAULT_MS);
     fault_proxy_set(store_proxies[daemon], PROXY_PASSES);
-    soak_say("fault store link ended daemon=%d", daemon);
-    soak_give_back(FAULT_STORE_LINK, daemon);
+    soak_log("fault store link ended daemon=%d", daemon);
+    soak_release_target(FAULT_STORE_LINK, daemon);
 }
 
-/** Half of the time a cut of one way alone: what the daemon says is done, but it hears nothing. */
-static proxy_mode any_cut(const fault_lane *lane) {
-    return g_rand_boolean(lane->chance) ? PROXY_HOLDS_ANSWERS : any_mode(lane);
+/** Picks a one-way cut in half of all cases: the store gets calls, the daemon gets no answers. */
+static proxy_mode pick_store_cut(const fault_injector *injector) {
+    return g_rand_boolean(injector->rng) ? PROXY_HOLDS_ANSWERS : pick_link_fault(injector);
 }
 
-/** One daemon does not hear that its partitions go to others; at last it heals, or is killed. */
-void soak_deal_while_cut(const fault_lane *lane) {
-    int daemon = soak_any_daemon(lane);
-    proxy_mode mode = any_cut(lane);
-    bool kills = g_rand_boolean(lane->chance);
-    if (!soak_take(FAULT_STORE_LINK, daemon))
+/** The daemon does not learn of the rebalance until the cut ends, or is killed before. */
+void soak_rebalance_while_cut(const fault_injector *injector) {
+    int daemon = soak_pick_daemon(injector);
+    proxy_mode mode = pick_store_cut(injector);
+    bool kills = g_rand_boolean(injector->rng);
+    if (!soak_acquire_target(FAULT_STORE_LINK, daemon))
         return;
-    soak_say("fault deal while cut daemon=%d mode=%d kills=%d", daemon, mode, kills);
+    soak_log("fault rebalance while cut daemon=%d mode=%d kills=%d", daemon, mode, kills);
     fault_proxy_set(store_proxies[daemon], mode);
-    soak_hold(lane, 0, BEFORE_DEAL_MOST_MS);
+    soak_wait_random(injector, 0, MAX_BEFORE_REBALANCE_MS);
     log_store_rebalance(bench.store);
-    soak_hold(lane, AFTER_DEAL_LEAST_MS, AFTER_DEAL_MOST_MS);
-    kills = kills && soak_take(FAULT_PROCESS, daemon);
+    soak_wait_random(injector, MIN_AFTER_REBALANCE_MS, MAX_AFTER_REBALANCE_MS);
+    kills = kills && soak_acquire_target(FAULT_PROCESS, daemon);
     if (kills)
         bench_signal(daemon, SIGKILL);
     fault_proxy_set(store_proxies[daemon], PROXY_PASSES);
-    soak_say("fault deal while cut ended daemon=%d kills=%d", daemon, kills);
+    soak_log("fault rebalance while cut ended daemon=%d kills=%d", daemon, kills);
     if (kills)
-        soak_start_daemon(lane, daemon);
+        soak_start_daemon(injector, daemon);
     if (kills)
-        soak_give_back(FAULT_PROCESS, daemon);
-    soak_give_back(FAULT_STORE_LINK, daemon);
+        soak_release_target(FAULT_PROCESS, daemon);
+    soak_release_target(FAULT_STORE_LINK, daemon);
 }
 
 /**
- * Two owners at work at one time, then one dies, and soon the others one after the other: what goes
- * on has been put together from what both stored.
+ * Two daemons run the items of the same partitions at once; then the daemons are killed in turn.
+ * Later owners must resume items from the progress that both have stored.
  */
-void soak_chase_owners(const fault_lane *lane) {
-    int daemon = soak_any_daemon(lane);
-    if (!soak_take(FAULT_STORE_LINK, daemon))
+void soak_kill_owners_in_turn(const fault_injector *injector) {
+    int daemon = soak_pick_daemon(injector);
+    if (!soak_acquire_target(FAULT_STORE_LINK, daemon))
         return;
-    soak_say("fault chase owners daemon=%d", daemon);
+    soak_log("fault kill owners in turn daemon=%d", daemon);
     fault_proxy_set(store_proxies[daemon], PROXY_HOLDS_ANSWERS);
     log_store_rebalance(bench.store);
-    soak_hold(lane, TWO_OWNERS_LEAST_MS, TWO_OWNERS_MOST_MS);
-    soak_kill_daemon(lane, daemon);
+    soak_wait_random(injector, MIN_TWO_OWNERS_MS, MAX_TWO_OWNERS_MS);
+    soak_kill_daemon(injector, daemon);
     fault_proxy_set(store_proxies[daemon], PROXY_PASSES);
-    soak_give_back(FAULT_STORE_LINK, daemon);
-    for (int next = 1; next < MIN(bench_daemons(), CHASED_MOST); next++) {
-        soak_hold(lane, 0, CHASE_MOST_MS);
-        soak_kill_daemon(lane, (daemon + next) % bench_daemons());
+    soak_release_target(FAULT_STORE_LINK, daemon);
+    for (int next = 1; next < MIN(bench_daemons(), MAX_OWNER_KILLS); next++) {
+        soak_wait_random(injector, 0, MAX_OWNER_KILL_GAP_MS);
+        soak_kill_daemon(injector, (daemon + next) % bench_daemons());
     }
 }
 
-/** What is open at the moment goes silent for good; new connections work. */
-void soak_silence_links(const fault_lane *lane) {
-    int which = g_rand_int_range(lane->chance, 0, bench_daemons() + BENCH_ENGINES);
+void soak_silence_open_links(const fault_injector *injector) {
+    int which = g_rand_int_range(injector->rng, 0, bench_daemons() + BENCH_ENGINES);
     bool is_store = which < bench_daemons();
     proxy_silence silence =
-        g_rand_boolean(lane->chance) ? PROXY_ACKNOWLEDGES : PROXY_DROPS_ALL_PACKETS;
+        g_rand_boolean(injector->rng) ? PROXY_ACKNOWLEDGES : PROXY_DROPS_ALL_PACKETS;
     fault_target target = is_store ? FAULT_STORE_LINK : FAULT_ENGINE_LINK;
     int index = is_store ? which : which - bench_daemons();
-    if (!soak_take(target, index))
+    if (!soak_acquire_target(target, index))
         return;
-    soak_say("fault silence open links of=%s%d silence=%d", is_store ? "daemon" : "engine", index,
+    soak_log("fault silence open links of=%s%d silence=%d", is_store ? "daemon" : "engine", index,
              silence);
     fault_proxy_silence_open(is_store ? store_proxies[index] : engine_proxies[index], silence);
-    soak_hold(lane, LINK_LEAST_MS, LINK_MOST_MS / 2);
-    soak_give_back(target, index);
+    soak_wait_random(injector, MIN_LINK_FAULT_MS, MAX_LINK_FAULT_MS / 2);
+    soak_release_target(target, index);
 }
 
-void soak_harm_engine_link(const fault_lane *lane) {
-    int which = g_rand_int_range(lane->chance, 0, BENCH_ENGINES);
-    proxy_mode mode = any_mode(lane);
-    if (!soak_take(FAULT_ENGINE_LINK, which))
+void soak_degrade_engine_link(const fault_injector *injector) {
+    int which = g_rand_int_range(injector->rng, 0, BENCH_ENGINES);
+    proxy_mode mode = pick_link_fault(injector);
+    if (!soak_acquire_target(FAULT_ENGINE_LINK, which))
         return;
-    soak_say("fault engine link engine=%d mode=%d", which, mode);
+    soak_log("fault engine link engine=%d mode=%d", which, mode);
     fault_proxy_set(engine_proxies[which], mode);
-    soak_hold(lane, LINK_LEAST_MS, LINK_MOST_MS / 2);
+    soak_wait_random(injector, MIN_LINK_FAULT_MS, MAX_LINK_FAULT_MS / 2);
     fault_proxy_set(engine_proxies[which], PROXY_PASSES);
-    soak_give_back(FAULT_ENGINE_LINK, which);
+    soak_release_target(FAULT_ENGINE_LINK, which);
 }
 
-void soak_cut_engine_links(const fault_lane *lane) {
-    int which = g_rand_int_range(lane->chance, 0, BENCH_ENGINES);
-    int times = g_rand_int_range(lane->chance, 1, CUTS_MOST + 1);
-    if (!soak_take(FAULT_ENGINE_LINK, which))
+void soak_reset_engine_links(const fault_injector *injector) {
+    int which = g_rand_int_range(injector->rng, 0, BENCH_ENGINES);
+    int times = g_rand_int_range(injector->rng, 1, MAX_LINK_RESETS + 1);
+    if (!soak_acquire_target(FAULT_ENGINE_LINK, which))
         return;
-    soak_say("fault cut engine links engine=%d times=%d", which, times);
+    soak_log("fault reset engine links engine=%d times=%d", which, times);
     for (int step = 0; step < times; step++) {
-        soak_hold(lane, 1, CUT_PAUSE_MOST_MS);
+        soak_wait_random(injector, 1, MAX_LINK_RESET_GAP_MS);
         fault_proxy_set(engine_proxies[which], PROXY_RESETS);
-        hs_clock_sleep_ms(CUT_MS);
+        hs_clock_sleep_ms(LINK_RESET_MS);
         fault_proxy_set(engine_proxies[which], PROXY_PASSES);
     }
-    soak_give_back(FAULT_ENGINE_LINK, which);
+    soak_release_target(FAULT_ENGINE_LINK, which);
 }
 
-/** Links break while engines have requests whose answers have not begun. */
-void soak_cut_slow_engines(const fault_lane *lane) {
-    int which = g_rand_int_range(lane->chance, 0, BENCH_ENGINES);
-    if (!soak_take(FAULT_ENGINE, which))
+void soak_reset_slow_engine_links(const fault_injector *injector) {
+    int which = g_rand_int_range(injector->rng, 0, BENCH_ENGINES);
+    if (!soak_acquire_target(FAULT_ENGINE, which))
         return;
     token_engine_set_mode(bench.engines[which], TOKEN_ENGINE_SLOW);
-    soak_cut_engine_links(lane);
+    soak_reset_engine_links(injector);
     token_engine_set_mode(bench.engines[which], TOKEN_ENGINE_SOUND);
-    soak_give_back(FAULT_ENGINE, which);
+    soak_release_target(FAULT_ENGINE, which);
 }
--- a/tests/soak/process_faults.c
+++ b/tests/soak/process_faults.c
@@ -1,4 +1,4 @@
-/** @file process_faults.c  Kills, stops and pauses of daemons; see faults.h. */
+/** @file process_faults.c  Kills, stops, pauses and reloads of daemons. */
 #include "base/clock.h"
 #include "tests/soak/checks.h"
 #include "tests/soak/faults.h"
@@ -7,78 +7,77 @@
 
 #include <signal.h>
 
-#define ROUNDS_MOST 3
-#define DOWN_LEAST_MS 100
-#define DOWN_MOST_MS 2500
-#define BETWEEN_KILLS_MOST_MS 2500
-/** Longer than the time after which the store's group drops a silent member, 3 s, half of the time.
- */
-#define PAUSE_LEAST_MS 500
-#define PAUSE_MOST_MS 6000
-#define RELOADS_MOST 4
-#define BETWEEN_RELOADS_MOST_MS 200
+#define MAX_KILLS 3
+#define MIN_DAEMON_DOWN_MS 100
+#define MAX_DAEMON_DOWN_MS 2500
+#define MAX_KILL_GAP_MS 2500
+/** About half of the pauses exceed the 3 s after which the store's group drops a silent member. */
+#define MIN_DAEMON_PAUSE_MS 500
+#define MAX_DAEMON_PAUSE_MS 6000
+#define MAX_RELOADS 4
+#define MAX_RELOAD_GAP_MS 200
 
-void soak_start_daemon(const fault_lane *lane, int daemon) {
+void soak_start_daemon(const fault_injector *injector, int daemon) {
     if (bench.past_program != NULL) {
-        bench.is_past[daemon] = g_rand_boolean(lane->chance);
-        soak_say("starts daemon=%d past=%d", daemon, bench.is_past[daemon]);
+        bench.is_past[daemon] = g_rand_boolean(injector->rng);
+        soak_log("starts daemon=%d past=%d", daemon, bench.is_past[daemon]);
     }
     if (!bench_start_daemon(daemon, false))
-        soak_violation("daemon %d can't be started", daemon);
+        soak_report_violation("daemon %d failed to start", daemon);
 }
 
-void soak_kill_daemon(const fault_lane *lane, int daemon) {
-    if (!soak_take(FAULT_PROCESS, daemon))
+void soak_kill_daemon(const fault_injector *injector, int daemon) {
+    if (!soak_acquire_target(FAULT_PROCESS, daemon))
         return;
-    soak_say("fault kill daemon=%d", daemon);
+    soak_log("fault kill daemon=%d", daemon);
     bench_signal(daemon, SIGKILL);
-    soak_hold(lane, DOWN_LEAST_MS, DOWN_MOST_MS);
-    soak_start_daemon(lane, daemon);
-    soak_give_back(FAULT_PROCESS, daemon);
+    soak_wait_random(injector, MIN_DAEMON_DOWN_MS, MAX_DAEMON_DOWN_MS);
+    soak_start_daemon(injector, daemon);
+    soak_release_target(FAULT_PROCESS, daemon);
 }
 
-void soak_kill_daemons(const fault_lane *lane) {
-    int rounds = g_rand_int_range(lane->chance, 1, ROUNDS_MOST + 1);
+void soak_kill_daemons(const fault_injector *injector) {
+    int rounds = g_rand_int_range(injector->rng, 1, MAX_KILLS + 1);
     for (int round = 0; round < rounds; round++) {
-        soak_kill_daemon(lane, soak_any_daemon(lane));
-        soak_hold(lane, 0, BETWEEN_KILLS_MOST_MS);
+        soak_kill_daemon(injector, soak_pick_daemon(injector));
+        soak_wait_random(injector, 0, MAX_KILL_GAP_MS);
     }
 }
 
-void soak_stop_daemon(const fault_lane *lane) {
-    int daemon = soak_any_daemon(lane);
-    if (!soak_take(FAULT_PROCESS, daemon))
+void soak_stop_daemon(const fault_injector *injector) {
+    int daemon = soak_pick_daemon(injector);
+    if (!soak_acquire_target(FAULT_PROCESS, daemon))
         return;
-    soak_say("fault stop daemon=%d", daemon);
-    uint64_t begun_ms = hs_clock_monotonic_ms();
+    soak_log("fault stop daemon=%d", daemon);
+    uint64_t started_ms = hs_clock_monotonic_ms();
     int status = bench_signal(daemon, SIGTERM);
-    soak_check_stop(daemon, status, hs_clock_monotonic_ms() - begun_ms);
-    soak_hold(lane, 0, DOWN_LEAST_MS);
-    soak_start_daemon(lane, daemon);
-    soak_give_back(FAULT_PROCESS, daemon);
+    soak_check_stop(daemon, status, hs_clock_monotonic_ms() - started_ms);
+    soak_wait_random(injector, 0, MIN_DAEMON_DOWN_MS);
+    soak_start_daemon(injector, daemon);
+    soak_release_target(FAULT_PROCESS, daemon);
 }
 
-void soak_pause_daemon(const fault_lane *lane) {
-    int daemon = soak_any_daemon(lane);
-    if (!soak_take(FAULT_PROCESS, daemon))
+void soak_pause_daemon(const fault_injector *injector) {
+    int daemon = soak_pick_daemon(injector);
+    if (!soak_acquire_target(FAULT_PROCESS, daemon))
         return;
-    soak_say("fault pause daemon=%d", daemon);
+    soak_log("fault pause daemon=%d", daemon);
     bench_signal(daemon, SIGSTOP);
-    soak_hold(lane, PAUSE_LEAST_MS, PAUSE_MOST_MS);
+    soak_wait_random(injector, MIN_DAEMON_PAUSE_MS, MAX_DAEMON_PAUSE_MS);
     bench_signal(daemon, SIGCONT);
-    soak_say("fault pause ended daemon=%d", daemon);
-    soak_give_back(FAULT_PROCESS, daemon);
+    soak_log("fault pause ended daemon=%d", daemon);
+    soak_release_target(FAULT_PROCESS, daemon);
 }
 
-void soak_reload_daemon(const fault_lane *lane) {
-    int daemon = soak_any_daemon(lane);
-    int times = g_rand_int_range(lane->chance, 1, RELOADS_MOST + 1);
-    if (!soak_take(FAULT_PROCESS, daemon))
+void soak_reload_daemon(const fault_injector *injector) {
+    int daemon = soak_pick_daemon(injector);
+    int times = g_rand_int_range(injector->rng, 1, MAX_RELOADS + 1);
+    if (!soak_acquire_target(FAULT_PROCESS, daemon))
         return;
-    soak_say("fault reload daemon=%d times=%d", daemon, times);
+    soak_log("fault reload daemon=%d times=%d", daemon, times);
     for (int step = 0; step < times; step++) {
         bench_signal(daemon, SIGHUP);
-        soak_hold(lane, 0, BETWEEN_RELOADS_MOST_MS);
+        soak_wait_random(injector, 0, MAX_RELOAD_GAP_MS);
     }
-    soak_give_back(FAULT_PROCESS, daemon);
+    soak_release_target(FAULT_PROCESS, daemon);
 }
--- a/tests/soak/record.c
+++ b/tests/soak/record.c
@@ -1,4 +1,4 @@
-/** @file record.c  What callers saw; see soak.h. */
+/** @file record.c  The shared record of observations and violations. */
 #include "tests/soak/soak.h"
 
 #include "base/clock.h"
@@ -14,33 +14,33 @@
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-void soak_open_record(void) {
+void soak_record_init(void) {
     memset(&record, 0, sizeof record);
     g_mutex_init(&record.lock);
-    record.once = new_set();
-    record.refused = new_set();
-    record.jobs = new_set();
-    record.ended = new_set();
+    record.run_once_ids = new_set();
+    record.refused_ids = new_set();
+    record.accepted_jobs = new_set();
+    record.deleted_jobs = new_set();
     record.results =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_ptr_array_unref);
-    record.fatal = new_set();
-    record.began_ms = hs_clock_monotonic_ms();
+    record.crash_contents = new_set();
+    record.started_ms = hs_clock_monotonic_ms();
     record.violations = g_ptr_array_new_with_free_func(g_free);
     record.config_version = 1;
 }
 
-void soak_close_record(void) {
-    g_hash_table_destroy(record.once);
-    g_hash_table_destroy(record.refused);
-    g_hash_table_destroy(record.jobs);
-    g_hash_table_destroy(record.ended);
+void soak_record_clear(void) {
+    g_hash_table_destroy(record.run_once_ids);
+    g_hash_table_destroy(record.refused_ids);
+    g_hash_table_destroy(record.accepted_jobs);
+    g_hash_table_destroy(record.deleted_jobs);
     g_hash_table_destroy(record.results);
-    g_hash_table_destroy(record.fatal);
+    g_hash_table_destroy(record.crash_contents);
     g_ptr_array_free(record.violations, TRUE);
     g_mutex_clear(&record.lock);
 }
 
-void soak_say(const char *format, ...) {
+void soak_log(const char *format, ...) {
     va_list arguments;
     va_start(arguments, format);
     g_autofree char *text = g_strdup_vprintf(format, arguments);
@@ -48,19 +48,19 @@
     printf("%.3f %s\n", (double)hs_clock_wall_ms() / MS_PER_S, text);
 }
 
-void soak_violation(const char *format, ...) {
+void soak_report_violation(const char *format, ...) {
     va_list arguments;
     va_start(arguments, format);
     char *text = g_strdup_vprintf(format, arguments);
     va_end(arguments);
     if (!record.is_quiet)
-        soak_say("VIOLATION %s", text);
+        soak_log("VIOLATION %s", text);
     g_mutex_lock(&record.lock);
     g_ptr_array_add(record.violations, text);
     g_mutex_unlock(&record.lock);
 }
 
-void soak_remember(GHashTable *set, const char *id) {
+void soak_add_id(GHashTable *set, const char *id) {
     g_mutex_lock(&record.lock);
     g_hash_table_add(set, g_strdup(id));
     g_mutex_unlock(&record.lock);
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,7 +1,8 @@
 /**
  * @file soak.h
- * The soak's parts: callers that remember what they saw, faults from outside, and the check of the
- * promises. Stand-ins run in this process, daemons are real programs.
+ * Common declarations of the soak test: callers that record what they observe, fault injection from
+ * outside the daemons, and checks of the guarantees. Stand-ins for the store and the engines run in
+ * this process; the daemons are separate processes.
  */
 #ifndef TESTS_SOAK_SOAK_H
 #define TESTS_SOAK_SOAK_H
@@ -10,78 +11,96 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What callers saw; shared by all of them. */
+/**
+ * Observations of one run, shared by all threads. @c lock guards the members that are written while
+ * callers run.
+ */
 typedef struct {
     GMutex lock;
-    GHashTable *once;      /**< Ids of requests that may run once, as a set. */
-    GHashTable *refused;   /**< Ids of requests and items that were refused, as a set. */
-    GHashTable *jobs;      /**< Accepted jobs: id -> count of items. */
-    GHashTable *ended;     /**< Jobs whose end was asked for, as a set; maybe it was stored. */
-    GHashTable *results;   /**< id of a job -> GPtrArray of char*: results as first read. */
-    GHashTable *fatal;     /**< Contents that crash engines, as a set. */
-    GPtrArray *violations; /**< of char* */
-    uint32_t sent, served, refusals, cut, kept, jobs_sent, reads;
-    uint32_t texts;         /**< Results that were traced to their runs. */
-    uint32_t text_joints;   /**< Places in them at which another run goes on, */
-    uint32_t stream_joints; /**< and in streams. */
-    uint32_t ends;          /**< Ends that were acknowledged, and callers that left, */
-    uint32_t ends_judged;   /**< and those of them that no fault was near to. */
-    uint32_t late_runs; /**< Runs that went on too long after an end that a fault was near to. */
-    uint32_t fatal_sent, fatal_held;     /**< Requests that crash engines. */
-    uint32_t beside_sent, beside_served; /**< Others at the same engines. */
-    uint32_t crashes;
-    uint64_t began_ms; /**< Monotonic. */
-    gint faults;
-    int config_version; /**< The last that was written. */
-    bool is_quiet;      /**< Say nothing: a violation is planted. */
-    gint stopping;
+    GHashTable *run_once_ids;   /**< Set of ids of requests that may run only once. */
+    GHashTable *refused_ids;    /**< Set of ids of refused requests and items. */
+    GHashTable *accepted_jobs;  /**< Job id -> number of items. */
+    GHashTable *deleted_jobs;   /**< Set of ids of jobs for which a DELETE was sent; the store may
+                                   hold the end of the job or not. */
+    GHashTable *results;        /**< Job id -> GPtrArray of char*: results as first read. */
+    GHashTable *crash_contents; /**< Set of request contents that crash engines. */
+    GPtrArray *violations;      /**< of char* */
+    uint32_t requests_sent, requests_served, requests_refused, streams_cut, connections_reused,
+        jobs_sent, job_reads;
+    uint32_t texts;         /**< Results that were traced to the engine runs that made them. */
+    uint32_t text_joints;   /**< Positions in texts at which another run resumes. */
+    uint32_t stream_joints; /**< The same in streams. */
+    uint32_t end_count;     /**< Acknowledged ends of items and disconnects of callers. */
+    uint32_t ends_checked;  /**< Ends that are not near an injected fault. */
+    uint32_t late_runs;     /**< Runs that went on too long after an end near an injected fault. */
+    uint32_t crash_requests_sent, crash_requests_quarantined;
+    uint32_t other_requests_sent, other_requests_served; /**< At the engines of the crash fleet. */
+    uint32_t engine_crashes;
+    uint64_t started_ms; /**< Monotonic time. */
+    gint fault_count;
+    int config_version; /**< Version that was written last. */
+    bool is_quiet;      /**< Violations are not printed, because a fault is planted. */
+    gint stopping;      /**< Atomic; callers return once it is 1. */
 } soak_record;
 
 extern soak_record record;
 
-/** Begin an empty record, and free what one holds. */
-void soak_open_record(void);
-void soak_close_record(void);
+/** Makes the record empty. Call soak_record_clear before a second call. */
+void soak_record_init(void);
+/** Frees what the record holds. */
+void soak_record_clear(void);
 
-/** Note a broken promise. */
-void soak_violation(const char *format, ...) G_GNUC_PRINTF(1, 2);
+/** Records and prints a violated guarantee. */
+void soak_report_violation(const char *format, ...) G_GNUC_PRINTF(1, 2);
 
-/** Print one line with the wall time before it, as the daemons' logs have it. */
-void soak_say(const char *format, ...) G_GNUC_PRINTF(1, 2);
+/** Prints one line after the wall time in seconds, in the format of the daemons' logs. */
+void soak_log(const char *format, ...) G_GNUC_PRINTF(1, 2);
 
-/** Add to a set of the record. */
-void soak_remember(GHashTable *set, const char *id);
+/** Adds a copy of @p id to a set of the record. */
+void soak_add_id(GHashTable *set, const char *id);
 
-/** Callers' duties; @p data: a seed as a pointer's number. They end when record.stopping is set. */
-gpointer soak_run_online(gpointer data);
-gpointer soak_run_jobs(gpointer data);
-gpointer soak_run_leavers(gpointer data);
-gpointer soak_run_crashers(gpointer data);
+/**
+ * Thread functions of the callers. @p data is a seed from GUINT_TO_POINTER. They return once
+ * record.stopping is set.
+ */
+gpointer soak_run_online_caller(gpointer data);
+gpointer soak_run_job_caller(gpointer data);
+gpointer soak_run_disconnecting_caller(gpointer data);
+gpointer soak_run_crash_caller(gpointer data);
 
-/** Engines that crash, for callers whose requests do that; after bench_prepare. */
-void soak_start_crashes(unsigned seed);
-void soak_stop_crashes(void);
+/** Starts the engines that crash on certain requests. Call it after bench_prepare. */
+void soak_start_crash_fleet(unsigned seed);
+void soak_stop_crash_fleet(void);
 
-/** Read all results of a job at a daemon and compare with what was read before; how many. */
+/**
+ * Reads all results of a job at a daemon and compares them with earlier reads. Returns how many
+ * results the daemon listed.
+ */
 uint32_t soak_read_job(int daemon, const char *job);
 
-/** Proxies before the store, one for each daemon, and before the engines; after bench_prepare. */
+/**
+ * Starts a fault proxy before the store for each daemon, and one before each engine. Call it after
+ * bench_prepare.
+ */
 void soak_start_proxies(void);
 void soak_stop_proxies(void);
 
 /**
- * Series of faults with calm times between them until @p until_ms (monotonic); @p chance decides.
- * For several threads.
+ * Injects series of random faults with fault-free periods between them until @p until_ms
+ * (monotonic). Several threads may run it at once, each with its own @p rng.
  */
-void soak_run_faults(GRand *chance, uint64_t until_ms);
+void soak_run_faults(GRand *rng, uint64_t until_ms);
 
-/** Whether no fault lasted at any time between two wall times in ms. */
-bool soak_was_calm(uint64_t from_ms, uint64_t to_ms);
+/** Returns whether no fault was active at any time between two wall times in ms. */
+bool soak_was_fault_free(uint64_t from_ms, uint64_t to_ms);
 
-/** Once all faults have ended: the promises about what is there in the end. */
+/** Runs the checks of the final state, after all faults have ended. */
 void soak_check_end(void);
 
-/** Plant a fault for each check; each must be found, and none without it. 0, or -1. */
-int soak_test_self(void);
+/**
+ * Plants a fault for each check: the check must report it, and must report nothing without it.
+ * Returns 0, or -1 if a check failed to do so.
+ */
+int soak_run_self_test(void);
 
 #endif
