--- a/tests/fuzz/caller.c
+++ b/tests/fuzz/caller.c
@@ -1,7 +1,7 @@
 /**
  * @file caller.c
- * Fuzz target: a caller's target and fields, and the head that is made of them for an engine. The
- * first line is the target, the others are fields.
+ * Fuzz target: the request target and header fields of a caller, and the request head built from
+ * them for an engine. The first line of the input is the target, the others are fields.
  */
 #include "http/http_fields.h"
 #include "platform/caller_codec.h"
@@ -35,7 +35,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
     g_autofree char *text = g_strndup((const char *)data, size);
-    g_strdelimit(text, "\r", ' '); /* The HTTP library passes none on. */
+    g_strdelimit(text, "\r", ' '); /* The HTTP library delivers none. */
     g_auto(GStrv) lines = g_strsplit(text, "\n", -1);
     GArray *fields = hs_http_fields_new();
     const char *target = lines[0] != NULL ? lines[0] : "";
@@ -58,7 +58,7 @@
                                  .timeout_ms = 5};
     GString *head = hs_platform_write_engine_head(&request);
     FUZZ_CHECK(g_str_has_suffix(head->str, "\r\n\r\n"));
-    /* The line of the request, four of our own at most, the empty one: no field makes two. */
+    /* Request line, at most four fields of the daemon, empty line: no field may add two lines. */
     FUZZ_CHECK(count_lines(head->str) <= fields->len + 6);
     g_string_free(head, TRUE);
     hs_http_fields_free(fields);
--- a/tests/fuzz/config.c
+++ b/tests/fuzz/config.c
@@ -1,4 +1,4 @@
-/** @file config.c  Fuzz target: the operator's configuration and engines' entries. */
+/** @file config.c  Fuzz target: the operator's configuration and the entries of engines. */
 #include "fleet/config_source.h"
 #include "platform/config_codec.h"
 #include "platform/entry_codec.h"
@@ -19,8 +19,9 @@
         const hs_fleet_tenant *tenant = config->tenants->pdata[index];
         FUZZ_CHECK(tenant->rate_per_s >= 0 && tenant->burst >= 0);
         for (guint key = 0; key < tenant->keys->len; key++) {
-            const hs_fleet_tenant *holder = hs_tenant_index_find(config, tenant->keys->pdata[key]);
-            FUZZ_CHECK(holder == NULL || strcmp(holder->name, tenant->name) == 0);
+            const hs_fleet_tenant *key_owner =
+                hs_tenant_index_find(config, tenant->keys->pdata[key]);
+            FUZZ_CHECK(key_owner == NULL || strcmp(key_owner->name, tenant->name) == 0);
         }
     }
     for (guint index = 0; index < config->routes->len; index++) {
--- a/tests/fuzz/engine_answer.c
+++ b/tests/fuzz/engine_answer.c
@@ -1,7 +1,7 @@
 /**
  * @file engine_answer.c
- * Fuzz target: an engine's answer from a socket that then ends. Whatever the bytes are, an answer
- * counts as whole only where the parser says so, and a connection with surplus is never kept.
+ * Fuzz target: an engine's answer on a connection that the engine closes after it. A connection may
+ * be reused only after a complete final answer, and only if no surplus bytes follow.
  */
 #include "base/clock.h"
 #include "http/client_connection.h"
@@ -12,11 +12,11 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define BODY_LIMIT 65536
-#define WAIT_MS 1000
-#define INPUT_MOST 60000
+#define MAX_BODY_BYTES 65536
+#define ANSWER_TIMEOUT_MS 1000
+#define MAX_INPUT_BYTES 60000
 
-/** A load that is present or not, and a slowdown that an engine can mean or none. */
+/** Checks that a slowdown is within its limits, and is reported only together with a load. */
 static void check_load(const hs_engine_load *load) {
     FUZZ_CHECK(load->slowdown_percent == 0 ||
                (load->present && load->slowdown_percent >= HS_MIN_SLOWDOWN_PERCENT &&
@@ -26,9 +26,10 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
     int sockets[2];
-    if (size > INPUT_MOST || socketpair(AF_UNIX, SOCK_STREAM, 0, sockets) != 0)
+    if (size > MAX_INPUT_BYTES || socketpair(AF_UNIX, SOCK_STREAM, 0, sockets) != 0)
         return 0;
-    hs_wait wait = {.deadline = hs_clock_monotonic_ms() + WAIT_MS, .watched = HS_WATCH_NOTHING};
+    hs_wait wait = {.deadline = hs_clock_monotonic_ms() + ANSWER_TIMEOUT_MS,
+                    .watched = HS_WATCH_NOTHING};
     hs_client_connection *connection = hs_client_connection_adopt(sockets[0]);
     GString *head = g_string_new("GET / HTTP/1.1\r\n\r\n");
     hs_client_connection_send(connection, head, NULL, 0, false, &wait);
@@ -40,7 +41,7 @@
         hs_platform_read_engine_answer(hs_client_connection_status(connection),
                                        hs_client_connection_fields(connection), &answer);
         check_load(&answer.load);
-        step = hs_client_connection_read_all(connection, BODY_LIMIT, &wait);
+        step = hs_client_connection_read_all(connection, MAX_BODY_BYTES, &wait);
     }
     FUZZ_CHECK(step != HS_STEP_PROGRESS);
     if (hs_client_connection_is_reusable(connection)) {
--- a/tests/fuzz/fuzz.h
+++ b/tests/fuzz/fuzz.h
@@ -1,7 +1,7 @@
 /**
  * @file fuzz.h
- * Entry of every fuzz target: libFuzzer calls it with inputs it makes. A target checks what must
- * hold for any bytes at all; FUZZ_CHECK ends the run where it does not.
+ * Entry point and check macro of the libFuzzer targets. Each target checks properties that must
+ * hold for any input; FUZZ_CHECK aborts the run if a property is violated.
  */
 #ifndef TESTS_FUZZ_FUZZ_H
 #define TESTS_FUZZ_FUZZ_H
--- a/tests/fuzz/store_answer.c
+++ b/tests/fuzz/store_answer.c
@@ -1,8 +1,8 @@
-/** @file store_answer.c  Fuzz target: answers of the store; the first byte chooses the call. */
+/** @file store_answer.c  Fuzz target: answers of the store. The first byte selects the call. */
 #include "platform/store_codec.h"
 #include "tests/fuzz/fuzz.h"
 
-typedef enum { READ_PLAIN, READ_KEYED, NEWEST, JOINED, APPENDED, FIRST_KEPT, CALLS } call;
+typedef enum { READ_PLAIN, READ_KEYED, NEWEST, JOINED, APPENDED, FIRST_OFFSET, CALLS } call;
 
 static void read_records(const GByteArray *answer, bool keyed) {
     hs_store_record record;
--- a/tests/matrix/faults.c
+++ b/tests/matrix/faults.c
@@ -7,10 +7,10 @@
 #include <string.h>
 #include <sys/wait.h>
 
-#define POLL_MS 5
-#define STRIKE_TIMEOUT_MS 6000
+#define POLL_INTERVAL_MS 5
+#define INJECT_TIMEOUT_MS 6000
 #define HEAL_TIMEOUT_MS 15000
-#define RACERS 6
+#define LIMIT_WRITE_COUNT 6
 #define NO_FAULTS                                                                                  \
     "{\"down\":false,\"refuse\":false,\"slow_ms\":0,\"list_lag_ms\":50,"                           \
     "\"lose_answer\":{\"count\":0},\"duplicate\":{\"count\":0}}"
@@ -21,17 +21,17 @@
                                               "repeated",      "engine-killed",    "engine-leaving",
                                               "stale-list",    "racing-operators", "planned-stop"};
 
-bool await(bool (*condition)(void *user_data), void *user_data, unsigned timeout_ms) {
+bool wait_for_condition(bool (*condition)(void *user_data), void *user_data, unsigned timeout_ms) {
     uint64_t deadline_ms = hs_clock_monotonic_ms() + timeout_ms;
     while (!condition(user_data)) {
         if (hs_clock_monotonic_ms() >= deadline_ms)
             return false;
-        hs_clock_sleep_ms(POLL_MS);
+        hs_clock_sleep_ms(POLL_INTERVAL_MS);
     }
     return true;
 }
 
-static bool touches_engine(const matrix_step *step) {
+static bool involves_engine(const matrix_step *step) {
     static const char *const names[] = {"intent-before",    "intent-after",    "dispatch",
                                         "mid-stream",       "complete-before", "online-dispatch",
                                         "online-mid-stream"};
@@ -41,13 +41,13 @@
     return false;
 }
 
-const char *fault_is_void(const matrix_step *step, fault_kind fault) {
+const char *get_inapplicable_reason(const matrix_step *step, fault_kind fault) {
     switch (fault) {
     case FAULT_CUT:
     case FAULT_ENGINE_KILLED:
     case FAULT_ENGINE_LEAVING:
     case FAULT_STALE_LIST:
-        return touches_engine(step) ? NULL : "no engine takes part in this step";
+        return involves_engine(step) ? NULL : "no engine takes part in this step";
     case FAULT_RACING_OPERATORS:
         return step->operation == OPERATION_PUBLISH ? NULL : "operators change configuration only";
     case FAULT_PLANNED_STOP:
@@ -60,7 +60,7 @@
     }
 }
 
-json_int_t platform_number(const fleet *fleet, const char *name) {
+json_int_t get_platform_counter(const fleet *fleet, const char *name) {
     json_t *faults = NULL;
     client_call("GET", fleet->platform_url, "/control/faults", NULL, NULL, NULL, &faults);
     json_int_t number = json_integer_value(json_object_get(faults, name));
@@ -74,7 +74,7 @@
                        NULL) == 200;
 }
 
-bool victim_stands_still(void *user_data) {
+bool is_victim_stopped(void *user_data) {
     const fleet *fleet = user_data;
     g_autofree char *path = g_strdup_printf("/proc/%d/stat", (int)fleet->daemon_pids[VICTIM]);
     g_autofree char *text = NULL;
@@ -85,7 +85,7 @@
 }
 
 /** Whether the witness holds the victim for dead. */
-static bool victim_counts_as_dead(void *user_data) {
+static bool is_victim_reported_dead(void *user_data) {
     const fleet *fleet = user_data;
     json_t *status = NULL;
     client_call("GET", fleet->admin_urls[WITNESS], "/admin/v1/status", NULL, NULL, NULL, &status);
@@ -106,47 +106,47 @@
 typedef struct {
     const fleet *fleet;
     const char *name;
-    json_int_t at_least;
-} platform_bound;
+    json_int_t min_value;
+} counter_condition;
 
-static bool platform_passed(void *user_data) {
-    const platform_bound *bound = user_data;
-    return platform_number(bound->fleet, bound->name) >= bound->at_least;
+static bool has_counter_reached_min(void *user_data) {
+    const counter_condition *condition = user_data;
+    return get_platform_counter(condition->fleet, condition->name) >= condition->min_value;
 }
 
-static bool append_fault_struck(void *user_data) {
-    const platform_bound *bound = user_data;
-    return platform_number(bound->fleet, bound->name) == 0;
+static bool is_append_fault_used_up(void *user_data) {
+    const counter_condition *condition = user_data;
+    return get_platform_counter(condition->fleet, condition->name) == 0;
 }
 
-static void let_go_on(matrix_cell *cell) {
+static void resume_victim(matrix_cell *cell) {
     fleet_signal(&cell->fleet->daemon_pids[VICTIM], SIGCONT);
 }
 
-static void strike_platform_down(matrix_cell *cell) {
-    platform_bound bound = {cell->fleet, "failed_calls",
-                            platform_number(cell->fleet, "failed_calls") + 5};
+static void inject_platform_outage(matrix_cell *cell) {
+    counter_condition condition = {cell->fleet, "failed_calls",
+                            get_platform_counter(cell->fleet, "failed_calls") + 5};
     fleet_set_faults(cell->fleet->platform_url, "{\"down\":true}");
-    let_go_on(cell);
-    await(platform_passed, &bound, STRIKE_TIMEOUT_MS);
+    resume_victim(cell);
+    wait_for_condition(has_counter_reached_min, &condition, INJECT_TIMEOUT_MS);
     fleet_set_faults(cell->fleet->platform_url, "{\"down\":false}");
 }
 
-static void strike_platform_slow(matrix_cell *cell) {
-    platform_bound bound = {cell->fleet, "append_count",
-                            platform_number(cell->fleet, "append_count") + 1};
+static void inject_platform_delay(matrix_cell *cell) {
+    counter_condition condition = {cell->fleet, "append_count",
+                            get_platform_counter(cell->fleet, "append_count") + 1};
     fleet_set_faults(cell->fleet->platform_url, "{\"slow_ms\":250}");
-    let_go_on(cell);
-    await(platform_passed, &bound, STRIKE_TIMEOUT_MS);
+    resume_victim(cell);
+    wait_for_condition(has_counter_reached_min, &condition, INJECT_TIMEOUT_MS);
     fleet_set_faults(cell->fleet->platform_url, "{\"slow_ms\":0}");
 }
 
-static void strike_append(matrix_cell *cell, const char *fault, const char *left) {
+static void inject_append_fault(matrix_cell *cell, const char *fault, const char *remaining_counter) {
     g_autofree char *text = g_strdup_printf("{\"%s\":{\"count\":2}}", fault);
-    platform_bound bound = {cell->fleet, left, 0};
+    counter_condition condition = {cell->fleet, remaining_counter, 0};
     fleet_set_faults(cell->fleet->platform_url, text);
-    let_go_on(cell);
-    await(append_fault_struck, &bound, STRIKE_TIMEOUT_MS);
+    resume_victim(cell);
+    wait_for_condition(is_append_fault_used_up, &condition, INJECT_TIMEOUT_MS);
 }
 
 static void set_engine_faults(matrix_cell *cell, const char *text) {
@@ -155,74 +155,74 @@
 }
 
 /** Kill the engine of the victim's zone; its record of what it ran is kept first. */
-static void strike_engine(matrix_cell *cell) {
+static void kill_victim_engine(matrix_cell *cell) {
     json_t *own = NULL;
     client_call("GET", cell->fleet->engine_urls[VICTIM], "/control/record", NULL, NULL, NULL, &own);
-    json_array_extend(cell->lost_records, json_object_get(own, "requests"));
+    json_array_extend(cell->killed_engine_records, json_object_get(own, "requests"));
     json_decref(own);
     fleet_signal(&cell->fleet->engine_pids[VICTIM], SIGKILL);
-    let_go_on(cell);
+    resume_victim(cell);
 }
 
 typedef struct {
     matrix_cell *cell;
     int daemon;
     long status;
-} racer;
+} limit_write;
 
-static gpointer race(gpointer data) {
-    racer *self = data;
-    g_autofree char *path = g_strdup_printf("/admin/v1/limits/raced-%s", self->cell->name);
+static gpointer put_raced_limit(gpointer data) {
+    limit_write *write = data;
+    g_autofree char *path = g_strdup_printf("/admin/v1/limits/raced-%s", write->cell->name);
     const char *const headers[] = {"If-Match", "\"0\"", NULL};
-    g_autofree char *body = g_strdup_printf("{\"max_in_flight\":%d}", self->daemon + 1);
-    self->status = client_call("PUT", self->cell->fleet->admin_urls[self->daemon], path, NULL, body,
+    g_autofree char *body = g_strdup_printf("{\"max_in_flight\":%d}", write->daemon + 1);
+    write->status = client_call("PUT", write->cell->fleet->admin_urls[write->daemon], path, NULL, body,
                                headers, NULL);
     return NULL;
 }
 
-static void strike_operators(matrix_cell *cell) {
-    racer racers[RACERS];
-    GThread *threads[RACERS];
-    let_go_on(cell);
-    for (int index = 0; index < RACERS; index++) {
-        racers[index] = (racer){.cell = cell, .daemon = index % 3};
-        threads[index] = g_thread_new("race", race, &racers[index]);
+static void race_operators(matrix_cell *cell) {
+    limit_write writes[LIMIT_WRITE_COUNT];
+    GThread *threads[LIMIT_WRITE_COUNT];
+    resume_victim(cell);
+    for (int index = 0; index < LIMIT_WRITE_COUNT; index++) {
+        writes[index] = (limit_write){.cell = cell, .daemon = index % 3};
+        threads[index] = g_thread_new("race", put_raced_limit, &writes[index]);
     }
-    for (int index = 0; index < RACERS; index++) {
+    for (int index = 0; index < LIMIT_WRITE_COUNT; index++) {
         g_thread_join(threads[index]);
-        cell->race_winners += racers[index].status == 200;
-        cell->race_losers += racers[index].status == 412;
+        cell->race_winners += writes[index].status == 200;
+        cell->race_losers += writes[index].status == 412;
     }
 }
 
-void strike(matrix_cell *cell, fault_kind fault) {
+void inject_fault(matrix_cell *cell, fault_kind fault) {
     fleet *fleet = cell->fleet;
     switch (fault) {
     case FAULT_KILL:
         fleet_signal(&fleet->daemon_pids[VICTIM], SIGKILL);
         return;
     case FAULT_FREEZE:
-        await(victim_counts_as_dead, fleet, STRIKE_TIMEOUT_MS);
-        let_go_on(cell);
+        wait_for_condition(is_victim_reported_dead, fleet, INJECT_TIMEOUT_MS);
+        resume_victim(cell);
         return;
     case FAULT_CUT:
         set_engine_faults(cell, "{\"cut_count\":2,\"cut_after_tokens\":3}");
-        let_go_on(cell);
+        resume_victim(cell);
         return;
     case FAULT_PLATFORM_DOWN:
-        strike_platform_down(cell);
+        inject_platform_outage(cell);
         return;
     case FAULT_PLATFORM_SLOW:
-        strike_platform_slow(cell);
+        inject_platform_delay(cell);
         return;
     case FAULT_ANSWER_LOST:
-        strike_append(cell, "lose_answer", "lose_answer_left");
+        inject_append_fault(cell, "lose_answer", "lose_answer_left");
         return;
     case FAULT_REPEATED:
-        strike_append(cell, "duplicate", "duplicate_left");
+        inject_append_fault(cell, "duplicate", "duplicate_left");
         return;
     case FAULT_ENGINE_KILLED:
-        strike_engine(cell);
+        kill_victim_engine(cell);
         return;
     case FAULT_STALE_LIST:
         fleet_set_faults(fleet->platform_url, "{\"list_lag_ms\":30000}");
@@ -231,13 +231,13 @@
         __attribute__((fallthrough));
     case FAULT_ENGINE_LEAVING:
         fleet_set_faults(fleet->engine_urls[VICTIM], "{\"leaving\":true}");
-        let_go_on(cell);
+        resume_victim(cell);
         return;
     case FAULT_RACING_OPERATORS:
-        strike_operators(cell);
+        race_operators(cell);
         return;
     case FAULT_PLANNED_STOP:
-        let_go_on(cell);
+        resume_victim(cell);
         cell->planned_stop_failed = fleet_signal(&fleet->daemon_pids[VICTIM], SIGTERM) != 0;
         return;
     default:
@@ -246,33 +246,33 @@
 }
 
 /** Reap a daemon that ended by itself or by an earlier signal. */
-static void reap(fleet *fleet, int index) {
+static void reap_daemon(fleet *fleet, int index) {
     int status = 0;
     if (fleet->daemon_pids[index] > 0 &&
         waitpid(fleet->daemon_pids[index], &status, WNOHANG) == fleet->daemon_pids[index])
         fleet->daemon_pids[index] = 0;
 }
 
-static bool daemon_is_ready(const fleet *fleet, int index) {
+static bool is_daemon_ready(const fleet *fleet, int index) {
     return client_call("GET", fleet->admin_urls[index], "/readyz", NULL, NULL, NULL, NULL) == 200;
 }
 
 /** A stopping daemon is waited for, then started again. */
-static bool bring_up(fleet *fleet, int index) {
+static bool start_until_ready(fleet *fleet, int index) {
     uint64_t deadline_ms = hs_clock_monotonic_ms() + HEAL_TIMEOUT_MS;
     while (hs_clock_monotonic_ms() < deadline_ms) {
-        reap(fleet, index);
+        reap_daemon(fleet, index);
         if (fleet->daemon_pids[index] == 0)
             fleet_start_daemon(fleet, index, NULL);
-        if (daemon_is_ready(fleet, index))
+        if (is_daemon_ready(fleet, index))
             return true;
-        hs_clock_sleep_ms(POLL_MS);
+        hs_clock_sleep_ms(POLL_INTERVAL_MS);
     }
     return false;
 }
 
 /** Whether each daemon holds all three for alive. */
-static bool all_alive(void *user_data) {
+static bool are_all_daemons_alive(void *user_data) {
     const fleet *fleet = user_data;
     for (int daemon = 0; daemon < fleet->options.daemon_count; daemon++) {
         json_t *status = NULL;
@@ -290,7 +290,7 @@
     return true;
 }
 
-bool heal(fleet *fleet) {
+bool heal_fleet(fleet *fleet) {
     fleet_set_faults(fleet->platform_url, NO_FAULTS);
     for (int index = 0; index < fleet->engine_count; index++) {
         if (fleet->engine_pids[index] == 0 && !fleet_start_engine(fleet, index))
@@ -299,8 +299,8 @@
         fleet_list_engine(fleet, index, "live");
     }
     for (int index = 0; index < fleet->options.daemon_count; index++)
-        if (!bring_up(fleet, index))
+        if (!start_until_ready(fleet, index))
             return false;
     client_call("PUT", fleet->admin_urls[VICTIM], "/internal/v1/fault", NULL, "", NULL, NULL);
-    return await(all_alive, fleet, HEAL_TIMEOUT_MS);
+    return wait_for_condition(are_all_daemons_alive, fleet, HEAL_TIMEOUT_MS);
 }
--- a/tests/matrix/main.c
+++ b/tests/matrix/main.c
@@ -8,8 +8,8 @@
 #include <string.h>
 #include <ulfius.h>
 
-#define REACH_TIMEOUT_MS 20000
-#define JOB_TRIES 8
+#define STEP_TIMEOUT_MS 20000
+#define MAX_JOB_SUBMISSIONS 8
 
 static const matrix_step steps[] = {
     {"accept-before", "accept_before", OPERATION_SUBMIT, false},
@@ -72,12 +72,12 @@
  * when others took all that would bring the victim to its step, another job is submitted.
  */
 static bool reach_step(matrix_cell *cell) {
-    int tries = cell->step->operation == OPERATION_JOB ? JOB_TRIES : 1;
-    unsigned timeout_ms = REACH_TIMEOUT_MS / (unsigned)tries;
-    while (!await(victim_stands_still, cell->fleet, timeout_ms)) {
-        if (--tries == 0)
+    int attempts = cell->step->operation == OPERATION_JOB ? MAX_JOB_SUBMISSIONS : 1;
+    unsigned timeout_ms = STEP_TIMEOUT_MS / (unsigned)attempts;
+    while (!wait_for_condition(is_victim_stopped, cell->fleet, timeout_ms)) {
+        if (--attempts == 0)
             return false;
-        if (!operation_prepare(cell) || !operation_begin(cell))
+        if (!prepare_operation(cell) || !start_operation(cell))
             return false;
     }
     return true;
@@ -86,50 +86,50 @@
 /** Run the cell up to its verdict. */
 static bool run_cell(matrix_cell *cell, fault_kind first, const fault_kind *second) {
     fleet *fleet = cell->fleet;
-    if (!heal(fleet) || !operation_prepare(cell) || !arm_victim(fleet, cell->step->point) ||
-        !operation_begin(cell)) {
+    if (!heal_fleet(fleet) || !prepare_operation(cell) || !arm_victim(fleet, cell->step->point) ||
+        !start_operation(cell)) {
         g_strlcpy(cell->reason, "the cell could not begin", sizeof cell->reason);
         return false;
     }
     bool reached = reach_step(cell);
     if (reached) {
-        strike(cell, first);
+        inject_fault(cell, first);
         if (second != NULL && fleet->daemon_pids[VICTIM] > 0)
-            strike(cell, *second);
+            inject_fault(cell, *second);
     }
-    operation_join(cell);
-    bool healed = heal(fleet);
+    join_operation(cell);
+    bool healed = heal_fleet(fleet);
     if (!reached || !healed) {
         g_strlcpy(cell->reason, reached ? "the fleet did not heal" : "the step was not reached",
                   sizeof cell->reason);
         return false;
     }
-    if (!operation_repeat(cell)) {
+    if (!repeat_operation(cell)) {
         g_strlcpy(cell->reason, "the repeated call was not answered", sizeof cell->reason);
         return false;
     }
-    return oracle_holds(cell);
+    return check_cell(cell);
 }
 
 /** Counts of a run. */
 typedef struct {
     int number;
-    int good;
+    int passed;
     int failed;
-    int void_cells;
+    int not_applicable;
 } matrix_counts;
 
 static void run_and_report(fleet *fleet, const matrix_step *step, fault_kind first,
-                           const fault_kind *second, json_t *lost_records, matrix_counts *counts) {
-    matrix_cell cell = {.fleet = fleet, .step = step, .lost_records = lost_records};
+                           const fault_kind *second, json_t *killed_engine_records, matrix_counts *counts) {
+    matrix_cell cell = {.fleet = fleet, .step = step, .killed_engine_records = killed_engine_records};
     g_snprintf(cell.name, sizeof cell.name, "c%03d", ++counts->number);
     uint64_t started_ms = hs_clock_monotonic_ms();
-    bool good = run_cell(&cell, first, second);
-    counts->good += good;
-    counts->failed += !good;
+    bool passed = run_cell(&cell, first, second);
+    counts->passed += passed;
+    counts->failed += !passed;
     printf("%s%s%s %s %s%s%s\n", fault_names[first], second != NULL ? "+" : "",
-           second != NULL ? fault_names[*second] : "", step->name, good ? "ok" : "FAILED",
-           good ? "" : ": ", good ? "" : cell.reason);
+           second != NULL ? fault_names[*second] : "", step->name, passed ? "ok" : "FAILED",
+           passed ? "" : ": ", passed ? "" : cell.reason);
     fflush(stdout);
     if (g_getenv("HS_MATRIX_TIMES") != NULL)
         fprintf(stderr, "%s %s %s %llu ms\n", cell.name, fault_names[first], step->name,
@@ -148,32 +148,32 @@
 }
 
 /** Cells may be limited to a step by the first argument and to a fault by the second. */
-static bool is_wanted(const char *wanted, const char *name) {
-    return wanted == NULL || strcmp(wanted, "all") == 0 || strcmp(wanted, name) == 0;
+static bool matches_filter(const char *filter, const char *name) {
+    return filter == NULL || strcmp(filter, "all") == 0 || strcmp(filter, name) == 0;
 }
 
 static void run_matrix(fleet *fleet, const char *step_name, const char *fault_name,
                        matrix_counts *counts) {
-    json_t *lost_records = json_array();
+    json_t *killed_engine_records = json_array();
     for (size_t index = 0; index < G_N_ELEMENTS(steps); index++) {
         for (int fault = 0; fault < FAULT_KINDS; fault++) {
-            if (!is_wanted(step_name, steps[index].name) ||
-                !is_wanted(fault_name, fault_names[fault]))
+            if (!matches_filter(step_name, steps[index].name) ||
+                !matches_filter(fault_name, fault_names[fault]))
                 continue;
-            const char *reason = fault_is_void(&steps[index], (fault_kind)fault);
+            const char *reason = get_inapplicable_reason(&steps[index], (fault_kind)fault);
             if (reason == NULL) {
-                run_and_report(fleet, &steps[index], (fault_kind)fault, NULL, lost_records, counts);
+                run_and_report(fleet, &steps[index], (fault_kind)fault, NULL, killed_engine_records, counts);
                 continue;
             }
-            counts->void_cells++;
+            counts->not_applicable++;
             printf("%s %s not-applicable: %s\n", fault_names[fault], steps[index].name, reason);
         }
     }
     for (size_t index = 0; index < G_N_ELEMENTS(pairs); index++)
-        if (is_wanted(step_name, pairs[index].step) && is_wanted(fault_name, "pairs"))
+        if (matches_filter(step_name, pairs[index].step) && matches_filter(fault_name, "pairs"))
             run_and_report(fleet, find_step(pairs[index].step), pairs[index].first,
-                           &pairs[index].second, lost_records, counts);
-    json_decref(lost_records);
+                           &pairs[index].second, killed_engine_records, counts);
+    json_decref(killed_engine_records);
 }
 
 int main(int argument_count, char **arguments) {
@@ -195,8 +195,8 @@
         run_matrix(&running, argument_count > 1 ? arguments[1] : NULL,
                    argument_count > 2 ? arguments[2] : NULL, &counts);
     fleet_stop(&running);
-    printf("cells=%d ok=%d failed=%d not_applicable=%d seconds=%llu\n", counts.good + counts.failed,
-           counts.good, counts.failed, counts.void_cells,
+    printf("cells=%d ok=%d failed=%d not_applicable=%d seconds=%llu\n", counts.passed + counts.failed,
+           counts.passed, counts.failed, counts.not_applicable,
            (unsigned long long)(hs_clock_monotonic_ms() - started_ms) / 1000);
     if (counts.failed > 0)
         fprintf(stderr, "logs are in %s\n", log_directory);
--- a/tests/matrix/matrix.h
+++ b/tests/matrix/matrix.h
@@ -68,7 +68,7 @@
     long call_status;     /**< Answer of that call; 0: none. */
     client_stream stream; /**< Of OPERATION_ONLINE. */
     bool planned_stop_failed;
-    json_t *lost_records; /**< Records of engines that were killed. Borrowed from main. */
+    json_t *killed_engine_records; /**< Records of engines that were killed. Borrowed from main. */
     int race_winners;     /**< Of FAULT_RACING_OPERATORS. */
     int race_losers;
     char reason[128]; /**< Why the cell failed. */
@@ -77,35 +77,35 @@
 extern const char *const fault_names[FAULT_KINDS];
 
 /** Why this fault makes no sense at this step; NULL when it does. */
-const char *fault_is_void(const matrix_step *step, fault_kind fault);
+const char *get_inapplicable_reason(const matrix_step *step, fault_kind fault);
 
 /** Bring all processes up and switch all faults off. */
-bool heal(fleet *fleet);
+bool heal_fleet(fleet *fleet);
 
 /** Begin the operation; the victim is armed already. False when it could not begin. */
-bool operation_prepare(matrix_cell *cell);
-bool operation_begin(matrix_cell *cell);
+bool prepare_operation(matrix_cell *cell);
+bool start_operation(matrix_cell *cell);
 
 /** Wait for the call to the victim, if any. */
-void operation_join(matrix_cell *cell);
+void join_operation(matrix_cell *cell);
 
 /** What the client does when it had no good answer: the same call through another daemon. */
-bool operation_repeat(matrix_cell *cell);
+bool repeat_operation(matrix_cell *cell);
 
 /** Strike while the victim stands still, and let it go on. */
-void strike(matrix_cell *cell, fault_kind fault);
+void inject_fault(matrix_cell *cell, fault_kind fault);
 
 /** True when the promises hold; otherwise @c reason is set. */
-bool oracle_holds(matrix_cell *cell);
+bool check_cell(matrix_cell *cell);
 
 /** Ask the victim to stop at @p point. */
 bool arm_victim(fleet *fleet, const char *point);
-bool victim_stands_still(void *fleet);
+bool is_victim_stopped(void *fleet);
 
 /** Poll until @p condition says true. */
-bool await(bool (*condition)(void *user_data), void *user_data, unsigned timeout_ms);
+bool wait_for_condition(bool (*condition)(void *user_data), void *user_data, unsigned timeout_ms);
 
 /** A number of the platform's /control/faults. */
-json_int_t platform_number(const fleet *fleet, const char *name);
+json_int_t get_platform_counter(const fleet *fleet, const char *name);
 
 #endif
--- a/tests/matrix/operations.c
+++ b/tests/matrix/operations.c
@@ -10,10 +10,10 @@
 #define CHUNK_ITEMS 256
 #define MAX_NONCE 400
 #define JOB_TIMEOUT_MS 40000
-#define OWN_TIMEOUT_MS 10000
+#define PARTITIONS_TIMEOUT_MS 10000
 #define ONLINE_TOKENS 40
 
-static char *job_lines(const char *name, int nonce) {
+static char *make_job_lines(const char *name, int nonce) {
     GString *lines = g_string_new(NULL);
     for (int item = 0; item < JOB_ITEMS; item++)
         g_string_append_printf(lines,
@@ -29,12 +29,12 @@
 static bool owns_partition(const fleet *fleet, int daemon, uint32_t partition) {
     json_t *status = NULL;
     client_call("GET", fleet->admin_urls[daemon], "/admin/v1/status", NULL, NULL, NULL, &status);
-    const char *self = json_string_value(json_object_get(status, "id"));
+    const char *write = json_string_value(json_object_get(status, "id"));
     bool owns = false;
     size_t index;
     json_t *member;
     json_array_foreach(json_object_get(status, "members"), index, member) {
-        if (g_strcmp0(json_string_value(json_object_get(member, "id")), self) != 0)
+        if (g_strcmp0(json_string_value(json_object_get(member, "id")), write) != 0)
             continue;
         size_t position;
         json_t *owned;
@@ -46,15 +46,15 @@
 }
 
 /** Lines whose file falls into a partition of the wanted owner (-1: any). */
-static bool choose_lines(matrix_cell *cell, int owner) {
-    uint64_t deadline_ms = hs_clock_monotonic_ms() + OWN_TIMEOUT_MS;
+static bool choose_job_lines(matrix_cell *cell, int owner) {
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + PARTITIONS_TIMEOUT_MS;
     /* The owner may own nothing yet, so that the same nonces are tried again until it does. */
     int first = cell->next_nonce;
-    for (int tries = 0; hs_clock_monotonic_ms() < deadline_ms; tries++) {
-        int nonce = first + tries % MAX_NONCE;
+    for (int attempts = 0; hs_clock_monotonic_ms() < deadline_ms; attempts++) {
+        int nonce = first + attempts % MAX_NONCE;
         cell->next_nonce = nonce + 1;
         g_free(cell->lines);
-        cell->lines = job_lines(cell->name, nonce);
+        cell->lines = make_job_lines(cell->name, nonce);
         g_autofree char *file_id = hs_file_id(MATRIX_TENANT, cell->lines, strlen(cell->lines),
                                               CHUNK_ITEMS, MATRIX_PARTITIONS);
         uint32_t partition = 0;
@@ -97,7 +97,7 @@
 }
 
 /** Read the results whole; 0 when the transfer broke or lines are missing. */
-static long read_whole(matrix_cell *cell, int daemon) {
+static long read_complete_results(matrix_cell *cell, int daemon) {
     g_autofree char *path = client_results_path(cell->job_id);
     hs_http_answer answer;
     long status = 0;
@@ -137,7 +137,7 @@
         cell->call_status = cancel(cell, VICTIM);
         break;
     case OPERATION_READ:
-        cell->call_status = read_whole(cell, VICTIM);
+        cell->call_status = read_complete_results(cell, VICTIM);
         break;
     case OPERATION_PUBLISH:
         cell->call_status = publish(cell, VICTIM);
@@ -156,23 +156,23 @@
 typedef struct {
     const fleet *fleet;
     int daemon;
-    json_int_t at_least;
-} owner_bound;
+    json_int_t min_value;
+} partition_condition;
 
-static bool owns_enough(void *user_data) {
-    const owner_bound *bound = user_data;
+static bool has_min_partitions(void *user_data) {
+    const partition_condition *condition = user_data;
     json_t *status = NULL;
-    client_call("GET", bound->fleet->admin_urls[bound->daemon], "/admin/v1/status", NULL, NULL,
+    client_call("GET", condition->fleet->admin_urls[condition->daemon], "/admin/v1/status", NULL, NULL,
                 NULL, &status);
     json_int_t owned = json_integer_value(json_object_get(status, "partitions_owned"));
     json_decref(status);
-    return owned >= bound->at_least;
+    return owned >= condition->min_value;
 }
 
 /** What must stand before the victim is armed. */
-bool operation_prepare(matrix_cell *cell) {
+bool prepare_operation(matrix_cell *cell) {
     operation_kind operation = cell->step->operation;
-    if (!choose_lines(cell, cell->step->victim_owns ? VICTIM : -1))
+    if (!choose_job_lines(cell, cell->step->victim_owns ? VICTIM : -1))
         return false;
     if (operation == OPERATION_READ) {
         submit(cell, HELPER);
@@ -184,18 +184,18 @@
         return job != NULL;
     }
     /* Of the helper's partitions some fall to the victim once it has enough of them. */
-    owner_bound helper = {cell->fleet, HELPER, MATRIX_PARTITIONS / 4};
-    owner_bound victim = {cell->fleet, VICTIM, 1};
+    partition_condition helper = {cell->fleet, HELPER, MATRIX_PARTITIONS / 4};
+    partition_condition victim = {cell->fleet, VICTIM, 1};
     if (operation == OPERATION_CLAIM)
-        return await(owns_enough, &helper, OWN_TIMEOUT_MS) && submit(cell, WITNESS) == 200;
-    if (operation == OPERATION_RELEASE && !await(owns_enough, &victim, OWN_TIMEOUT_MS))
+        return wait_for_condition(has_min_partitions, &helper, PARTITIONS_TIMEOUT_MS) && submit(cell, WITNESS) == 200;
+    if (operation == OPERATION_RELEASE && !wait_for_condition(has_min_partitions, &victim, PARTITIONS_TIMEOUT_MS))
         return false;
     if (operation == OPERATION_CANCEL || operation == OPERATION_RELEASE)
         return submit(cell, HELPER) == 200;
     return true;
 }
 
-bool operation_begin(matrix_cell *cell) {
+bool start_operation(matrix_cell *cell) {
     switch (cell->step->operation) {
     case OPERATION_JOB:
         return submit(cell, HELPER) == 200;
@@ -209,13 +209,13 @@
     }
 }
 
-void operation_join(matrix_cell *cell) {
+void join_operation(matrix_cell *cell) {
     if (cell->thread != NULL)
         g_thread_join(cell->thread);
     cell->thread = NULL;
 }
 
-bool operation_repeat(matrix_cell *cell) {
+bool repeat_operation(matrix_cell *cell) {
     if (cell->call_status == 200)
         return true;
     switch (cell->step->operation) {
@@ -224,13 +224,13 @@
     case OPERATION_CANCEL:
         return cancel(cell, WITNESS) == 200;
     case OPERATION_READ:
-        return read_whole(cell, WITNESS) == 200;
+        return read_complete_results(cell, WITNESS) == 200;
     case OPERATION_PUBLISH:
         return publish(cell, WITNESS) == 200;
     case OPERATION_ONLINE: {
-        client_stream again;
-        send_online(cell, WITNESS, &again);
-        client_stream_clear(&again);
+        client_stream repeat_stream;
+        send_online(cell, WITNESS, &repeat_stream);
+        client_stream_clear(&repeat_stream);
         return true;
     }
     default:
--- a/tests/matrix/oracle.c
+++ b/tests/matrix/oracle.c
@@ -13,13 +13,13 @@
 #define SETTLE_TIMEOUT_MS 15000
 #define ONLINE_TOKENS 40
 
-static bool fails(matrix_cell *cell, const char *reason) {
+static bool fail_cell(matrix_cell *cell, const char *reason) {
     g_strlcpy(cell->reason, reason, sizeof cell->reason);
     return false;
 }
 
 /** Times the engines started a request with exactly this prompt. */
-static int starts_of(const json_t *records, const char *prompt) {
+static int count_prompt_starts(const json_t *records, const char *prompt) {
     int starts = 0;
     size_t index;
     json_t *record;
@@ -31,9 +31,9 @@
 }
 
 /** Records of all engines, of those killed too. Owned. */
-static json_t *all_records(matrix_cell *cell) {
+static json_t *get_all_engine_records(matrix_cell *cell) {
     json_t *records = fleet_engine_records(cell->fleet);
-    json_array_extend(records, cell->lost_records);
+    json_array_extend(records, cell->killed_engine_records);
     return records;
 }
 
@@ -42,7 +42,7 @@
 }
 
 /** One result line: its own answer, whole; or, for a run-once item only, indeterminate. */
-static bool result_is_right(const json_t *line, bool run_once) {
+static bool is_result_correct(const json_t *line, bool run_once) {
     const char *custom_id = json_string_value(json_object_get(line, "custom_id"));
     const json_t *response = json_object_get(line, "response");
     if (json_integer_value(json_object_get(response, "status_code")) != 200)
@@ -53,47 +53,47 @@
     return g_strcmp0(json_string_value(json_object_get(choice, "text")), expected) == 0;
 }
 
-static bool results_are_right(matrix_cell *cell, const json_t *results) {
-    json_t *records = all_records(cell);
+static bool are_results_correct(matrix_cell *cell, const json_t *results) {
+    json_t *records = get_all_engine_records(cell);
     g_autoptr(GHashTable) seen = g_hash_table_new(g_str_hash, g_str_equal);
-    bool right = true;
+    bool is_correct = true;
     size_t index;
     json_t *line;
     json_array_foreach(results, index, line) {
         const char *custom_id = json_string_value(json_object_get(line, "custom_id"));
         const char *number = custom_id != NULL ? strrchr(custom_id, '-') : NULL;
         if (number == NULL || !g_hash_table_add(seen, (gpointer)custom_id)) {
-            right = fails(cell, "an item has two results");
+            is_correct = fail_cell(cell, "an item has two results");
             break;
         }
         bool run_once = atoi(number + 1) % RUN_ONCE_EVERY == 0;
-        if (!result_is_right(line, run_once))
-            right = fails(cell, "a result is not the item's whole answer");
-        if (run_once && starts_of(records, custom_id) > 1)
-            right = fails(cell, "a run-once item ran twice");
+        if (!is_result_correct(line, run_once))
+            is_correct = fail_cell(cell, "a result is not the item's whole answer");
+        if (run_once && count_prompt_starts(records, custom_id) > 1)
+            is_correct = fail_cell(cell, "a run-once item ran twice");
     }
     json_decref(records);
-    return right;
+    return is_correct;
 }
 
-static bool job_completed_once(matrix_cell *cell) {
+static bool check_completed_job(matrix_cell *cell) {
     if (cell->job_id == NULL)
-        return fails(cell, "the job was never accepted");
+        return fail_cell(cell, "the job was never accepted");
     json_t *job = client_wait_batch(cell->fleet->caller_urls[WITNESS], MATRIX_TENANT, cell->job_id,
                                     JOB_TIMEOUT_MS);
     if (job == NULL)
-        return fails(cell, "the job did not complete");
+        return fail_cell(cell, "the job did not complete");
     json_decref(job);
     json_t *results = read_results(cell);
-    bool right = json_array_size(results) == JOB_ITEMS
-                     ? results_are_right(cell, results)
-                     : fails(cell, "results are missing or too many");
+    bool is_correct = json_array_size(results) == JOB_ITEMS
+                     ? are_results_correct(cell, results)
+                     : fail_cell(cell, "results are missing or too many");
     json_decref(results);
-    return right;
+    return is_correct;
 }
 
 /** Whether no engine works on the cell's items any more. */
-static bool engines_are_idle(void *user_data) {
+static bool are_engines_idle(void *user_data) {
     matrix_cell *cell = user_data;
     json_t *records = fleet_engine_records(cell->fleet);
     int busy = 0;
@@ -101,35 +101,35 @@
     json_t *record;
     json_array_foreach(records, index, record) {
         const char *state = json_string_value(json_object_get(record, "state"));
-        bool ours =
+        bool is_of_cell =
             g_str_has_prefix(json_string_value(json_object_get(record, "prompt")), cell->name);
-        busy += ours && (strcmp(state, "running") == 0 || strcmp(state, "waiting") == 0);
+        busy += is_of_cell && (strcmp(state, "running") == 0 || strcmp(state, "waiting") == 0);
     }
     json_decref(records);
     return busy == 0;
 }
 
 /** A cancelled job: no engine works for it, run-once items ran at most once, nothing is doubled. */
-static bool job_stopped(matrix_cell *cell) {
+static bool check_cancelled_job(matrix_cell *cell) {
     json_t *job = client_wait_batch(cell->fleet->caller_urls[WITNESS], MATRIX_TENANT, cell->job_id,
                                     JOB_TIMEOUT_MS);
     const char *status = json_string_value(json_object_get(job, "status"));
     bool cancelled = status != NULL && strcmp(status, "cancelled") == 0;
     json_decref(job);
     if (!cancelled)
-        return fails(cell, "the job is not cancelled");
-    if (!await(engines_are_idle, cell, SETTLE_TIMEOUT_MS))
-        return fails(cell, "engines still work for a cancelled job");
+        return fail_cell(cell, "the job is not cancelled");
+    if (!wait_for_condition(are_engines_idle, cell, SETTLE_TIMEOUT_MS))
+        return fail_cell(cell, "engines still work for a cancelled job");
     json_t *before = read_results(cell);
     json_t *after = read_results(cell);
-    bool still = json_array_size(before) == json_array_size(after);
-    bool right = results_are_right(cell, after);
+    bool is_unchanged = json_array_size(before) == json_array_size(after);
+    bool is_correct = are_results_correct(cell, after);
     json_decref(before);
     json_decref(after);
-    return still ? right : fails(cell, "results were counted after the cancellation");
+    return is_unchanged ? is_correct : fail_cell(cell, "results were counted after the cancellation");
 }
 
-static bool configuration_is_level(void *user_data) {
+static bool is_config_consistent(void *user_data) {
     matrix_cell *cell = user_data;
     json_int_t offsets[3] = {0};
     for (int daemon = 0; daemon < 3; daemon++) {
@@ -142,50 +142,50 @@
     return offsets[0] > 0 && offsets[0] == offsets[1] && offsets[1] == offsets[2];
 }
 
-static bool change_is_in_force(matrix_cell *cell) {
-    if (!await(configuration_is_level, cell, SETTLE_TIMEOUT_MS))
-        return fails(cell, "daemons hold different configurations");
+static bool check_published_change(matrix_cell *cell) {
+    if (!wait_for_condition(is_config_consistent, cell, SETTLE_TIMEOUT_MS))
+        return fail_cell(cell, "daemons hold different configurations");
     g_autofree char *path = g_strdup_printf("/admin/v1/limits/%s", cell->name);
     for (int daemon = 0; daemon < 3; daemon++)
         if (client_call("GET", cell->fleet->admin_urls[daemon], path, NULL, NULL, NULL, NULL) !=
             200)
-            return fails(cell, "an accepted change is not in force on a daemon");
+            return fail_cell(cell, "an accepted change is not in force on a daemon");
     if (cell->race_winners > 1)
-        return fails(cell, "two racing changes won");
+        return fail_cell(cell, "two racing changes won");
     if (cell->race_winners + cell->race_losers > 0 && cell->race_winners != 1)
-        return fails(cell, "no racing change won");
+        return fail_cell(cell, "no racing change won");
     return true;
 }
 
-static bool online_ran_once(matrix_cell *cell) {
+static bool check_online_request(matrix_cell *cell) {
     g_autofree char *prompt = g_strdup_printf("%s-online", cell->name);
     g_autofree char *expected = answer_text(prompt, ONLINE_TOKENS);
-    json_t *records = all_records(cell);
-    int starts = starts_of(records, prompt);
+    json_t *records = get_all_engine_records(cell);
+    int starts = count_prompt_starts(records, prompt);
     json_decref(records);
     if (starts > 1)
-        return fails(cell, "a run-once request ran twice");
+        return fail_cell(cell, "a run-once request ran twice");
     if (g_strcmp0(cell->stream.executed, "no") == 0 && cell->stream.token_count > 0)
-        return fails(cell, "executed \"no\" after tokens");
-    bool whole = strcmp(cell->stream.text->str, expected) == 0;
-    if (cell->stream.done_seen && !whole)
-        return fails(cell, "a short answer looked whole");
+        return fail_cell(cell, "executed \"no\" after tokens");
+    bool is_complete = strcmp(cell->stream.text->str, expected) == 0;
+    if (cell->stream.done_seen && !is_complete)
+        return fail_cell(cell, "a short answer looked whole");
     if (!g_str_has_prefix(expected, cell->stream.text->str))
-        return fails(cell, "the caller got another request's answer");
+        return fail_cell(cell, "the caller got another request's answer");
     return true;
 }
 
-bool oracle_holds(matrix_cell *cell) {
+bool check_cell(matrix_cell *cell) {
     if (cell->planned_stop_failed)
-        return fails(cell, "the planned stop did not end with 0");
+        return fail_cell(cell, "the planned stop did not end with 0");
     switch (cell->step->operation) {
     case OPERATION_CANCEL:
-        return job_stopped(cell);
+        return check_cancelled_job(cell);
     case OPERATION_PUBLISH:
-        return change_is_in_force(cell);
+        return check_published_change(cell);
     case OPERATION_ONLINE:
-        return online_ran_once(cell);
+        return check_online_request(cell);
     default:
-        return job_completed_once(cell);
+        return check_completed_job(cell);
     }
 }
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -13,7 +13,7 @@
 
 static struct {
     GMutex lock;
-    bool taken[FAULT_TARGET_KINDS][BENCH_DAEMONS_MOST];
+    bool in_use[FAULT_TARGET_KINDS][BENCH_DAEMONS_MOST];
 } targets;
 
 /** Periods without a fault. Times are wall times in ms. */
@@ -26,23 +26,23 @@
 
 bool soak_acquire_target(fault_target target, int index) {
     g_mutex_lock(&targets.lock);
-    bool was_free = !targets.taken[target][index];
-    targets.taken[target][index] = true;
+    bool was_free = !targets.in_use[target][index];
+    targets.in_use[target][index] = true;
     g_mutex_unlock(&targets.lock);
     return was_free;
 }
 
 void soak_release_target(fault_target target, int index) {
     g_mutex_lock(&targets.lock);
-    targets.taken[target][index] = false;
+    targets.in_use[target][index] = false;
     g_mutex_unlock(&targets.lock);
 }
 
 void soak_wait_random(const fault_injector *injector, int min_ms, int max_ms) {
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint64_t hold_ms = (uint64_t)g_rand_int_range(injector->rng, min_ms, max_ms + 1);
+    uint64_t wait_ms = (uint64_t)g_rand_int_range(injector->rng, min_ms, max_ms + 1);
     if (now_ms < injector->until_ms)
-        hs_clock_sleep_ms(MIN(hold_ms, injector->until_ms - now_ms));
+        hs_clock_sleep_ms(MIN(wait_ms, injector->until_ms - now_ms));
 }
 
 int soak_pick_daemon(const fault_injector *injector) {
