--- a/tests/fuzz/event_stream.c
+++ b/tests/fuzz/event_stream.c
@@ -1,7 +1,7 @@
 /**
  * @file event_stream.c
- * Fuzz target: an event stream must yield the same events whatever pieces it arrives in. The first
- * byte of the input selects the length of the pieces.
+ * Fuzz target: an event stream must produce the same events whatever pieces it arrives in. The
+ * first byte of the input selects the length of the pieces.
  */
 #include "online/event_stream.h"
 #include "tests/fuzz/fuzz.h"
--- a/tests/matrix/faults.c
+++ b/tests/matrix/faults.c
@@ -1,4 +1,4 @@
-/** @file faults.c  Striking, healing, and which fault makes no sense where. */
+/** @file faults.c  Injects the faults, removes them, and tells which fault applies to a step. */
 #include "base/clock.h"
 #include "tests/matrix/matrix.h"
 
@@ -9,8 +9,8 @@
 
 #define POLL_INTERVAL_MS 5
 #define INJECT_TIMEOUT_MS 6000
-#define HEAL_TIMEOUT_MS 15000
-#define LIMIT_WRITE_COUNT 6
+#define RESTORE_TIMEOUT_MS 15000
+#define LIMIT_UPDATE_COUNT 6
 #define NO_FAULTS                                                                                  \
     "{\"down\":false,\"refuse\":false,\"slow_ms\":0,\"list_lag_ms\":50,"                           \
     "\"lose_answer\":{\"count\":0},\"duplicate\":{\"count\":0}}"
@@ -84,7 +84,7 @@
     return state != NULL && state[2] == 'T';
 }
 
-/** Whether the witness holds the victim for dead. */
+/** Returns whether the witness reports the victim as dead. */
 static bool is_victim_reported_dead(void *user_data) {
     const fleet *fleet = user_data;
     json_t *status = NULL;
@@ -102,7 +102,7 @@
     return dead;
 }
 
-/** A number of the platform that must pass a bound. */
+/** A minimum for a counter of the platform. */
 typedef struct {
     const fleet *fleet;
     const char *name;
@@ -125,7 +125,7 @@
 
 static void inject_platform_outage(matrix_cell *cell) {
     counter_condition condition = {cell->fleet, "failed_calls",
-                            get_platform_counter(cell->fleet, "failed_calls") + 5};
+                                   get_platform_counter(cell->fleet, "failed_calls") + 5};
     fleet_set_faults(cell->fleet->platform_url, "{\"down\":true}");
     resume_victim(cell);
     wait_for_condition(has_counter_reached_min, &condition, INJECT_TIMEOUT_MS);
@@ -134,14 +134,15 @@
 
 static void inject_platform_delay(matrix_cell *cell) {
     counter_condition condition = {cell->fleet, "append_count",
-                            get_platform_counter(cell->fleet, "append_count") + 1};
+                                   get_platform_counter(cell->fleet, "append_count") + 1};
     fleet_set_faults(cell->fleet->platform_url, "{\"slow_ms\":250}");
     resume_victim(cell);
     wait_for_condition(has_counter_reached_min, &condition, INJECT_TIMEOUT_MS);
     fleet_set_faults(cell->fleet->platform_url, "{\"slow_ms\":0}");
 }
 
-static void inject_append_fault(matrix_cell *cell, const char *fault, const char *remaining_counter) {
+static void inject_append_fault(matrix_cell *cell, const char *fault,
+                                const char *remaining_counter) {
     g_autofree char *text = g_strdup_printf("{\"%s\":{\"count\":2}}", fault);
     counter_condition condition = {cell->fleet, remaining_counter, 0};
     fleet_set_faults(cell->fleet->platform_url, text);
@@ -154,7 +155,7 @@
         fleet_set_faults(cell->fleet->engine_urls[index], text);
 }
 
-/** Kill the engine of the victim's zone; its record of what it ran is kept first. */
+/** Saves the request records of the engine in the victim's zone, then kills that engine. */
 static void kill_victim_engine(matrix_cell *cell) {
     json_t *own = NULL;
     client_call("GET", cell->fleet->engine_urls[VICTIM], "/control/record", NULL, NULL, NULL, &own);
@@ -168,30 +169,30 @@
     matrix_cell *cell;
     int daemon;
     long status;
-} limit_write;
+} limit_update;
 
 static gpointer put_raced_limit(gpointer data) {
-    limit_write *write = data;
-    g_autofree char *path = g_strdup_printf("/admin/v1/limits/raced-%s", write->cell->name);
+    limit_update *update = data;
+    g_autofree char *path = g_strdup_printf("/admin/v1/limits/raced-%s", update->cell->name);
     const char *const headers[] = {"If-Match", "\"0\"", NULL};
-    g_autofree char *body = g_strdup_printf("{\"max_in_flight\":%d}", write->daemon + 1);
-    write->status = client_call("PUT", write->cell->fleet->admin_urls[write->daemon], path, NULL, body,
-                               headers, NULL);
+    g_autofree char *body = g_strdup_printf("{\"max_in_flight\":%d}", update->daemon + 1);
+    update->status = client_call("PUT", update->cell->fleet->admin_urls[update->daemon], path, NULL,
+                                 body, headers, NULL);
     return NULL;
 }
 
 static void race_operators(matrix_cell *cell) {
-    limit_write writes[LIMIT_WRITE_COUNT];
-    GThread *threads[LIMIT_WRITE_COUNT];
+    limit_update updates[LIMIT_UPDATE_COUNT];
+    GThread *threads[LIMIT_UPDATE_COUNT];
     resume_victim(cell);
-    for (int index = 0; index < LIMIT_WRITE_COUNT; index++) {
-        writes[index] = (limit_write){.cell = cell, .daemon = index % 3};
-        threads[index] = g_thread_new("race", put_raced_limit, &writes[index]);
+    for (int index = 0; index < LIMIT_UPDATE_COUNT; index++) {
+        updates[index] = (limit_update){.cell = cell, .daemon = index % 3};
+        threads[index] = g_thread_new("race", put_raced_limit, &updates[index]);
     }
-    for (int index = 0; index < LIMIT_WRITE_COUNT; index++) {
+    for (int index = 0; index < LIMIT_UPDATE_COUNT; index++) {
         g_thread_join(threads[index]);
-        cell->race_winners += writes[index].status == 200;
-        cell->race_losers += writes[index].status == 412;
+        cell->race_winners += updates[index].status == 200;
+        cell->race_losers += updates[index].status == 412;
     }
 }
 
@@ -227,7 +228,7 @@
     case FAULT_STALE_LIST:
         fleet_set_faults(fleet->platform_url, "{\"list_lag_ms\":30000}");
         fleet_list_engine(fleet, VICTIM, "leaving");
-        /* fall through: the engine leaves, and the list does not know it yet */
+        /* fall through: the engine leaves while daemons still read the stale list */
         __attribute__((fallthrough));
     case FAULT_ENGINE_LEAVING:
         fleet_set_faults(fleet->engine_urls[VICTIM], "{\"leaving\":true}");
@@ -245,7 +246,7 @@
     }
 }
 
-/** Reap a daemon that ended by itself or by an earlier signal. */
+/** Reaps a daemon that has exited. */
 static void reap_daemon(fleet *fleet, int index) {
     int status = 0;
     if (fleet->daemon_pids[index] > 0 &&
@@ -257,9 +258,9 @@
     return client_call("GET", fleet->admin_urls[index], "/readyz", NULL, NULL, NULL, NULL) == 200;
 }
 
-/** A stopping daemon is waited for, then started again. */
+/** Waits until a daemon is ready, and starts it once it has exited. */
 static bool start_until_ready(fleet *fleet, int index) {
-    uint64_t deadline_ms = hs_clock_monotonic_ms() + HEAL_TIMEOUT_MS;
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + RESTORE_TIMEOUT_MS;
     while (hs_clock_monotonic_ms() < deadline_ms) {
         reap_daemon(fleet, index);
         if (fleet->daemon_pids[index] == 0)
@@ -271,7 +272,7 @@
     return false;
 }
 
-/** Whether each daemon holds all three for alive. */
+/** Returns whether each daemon reports all daemons as alive. */
 static bool are_all_daemons_alive(void *user_data) {
     const fleet *fleet = user_data;
     for (int daemon = 0; daemon < fleet->options.daemon_count; daemon++) {
@@ -290,7 +291,7 @@
     return true;
 }
 
-bool heal_fleet(fleet *fleet) {
+bool restore_fleet(fleet *fleet) {
     fleet_set_faults(fleet->platform_url, NO_FAULTS);
     for (int index = 0; index < fleet->engine_count; index++) {
         if (fleet->engine_pids[index] == 0 && !fleet_start_engine(fleet, index))
@@ -302,5 +303,5 @@
         if (!start_until_ready(fleet, index))
             return false;
     client_call("PUT", fleet->admin_urls[VICTIM], "/internal/v1/fault", NULL, "", NULL, NULL);
-    return wait_for_condition(are_all_daemons_alive, fleet, HEAL_TIMEOUT_MS);
+    return wait_for_condition(are_all_daemons_alive, fleet, RESTORE_TIMEOUT_MS);
 }
--- a/tests/matrix/main.c
+++ b/tests/matrix/main.c
@@ -1,4 +1,4 @@
-/** @file main.c  Runs the fault matrix: one line a cell, "fault step verdict", and a count. */
+/** @file main.c  Runs the fault matrix and prints one line per cell, "fault step verdict". */
 #include "base/clock.h"
 #include "tests/matrix/matrix.h"
 
@@ -34,10 +34,10 @@
     {"online-mid-stream", "online_mid_stream", OPERATION_ONLINE, false},
 };
 
-/** Pairs of faults at the steps where they are most dangerous. */
+/** Two faults in one cell. */
 typedef struct {
     const char *step;
-    fault_kind first; /**< One that lets the victim go on, or ends it. */
+    fault_kind first; /**< Resumes or ends the victim. */
     fault_kind second;
 } fault_pair;
 
@@ -68,8 +68,8 @@
                                               NULL};
 
 /**
- * Wait until the victim stands still. Which scheduler gets which items is not the harness's to say:
- * when others took all that would bring the victim to its step, another job is submitted.
+ * Waits until the victim is suspended. Submits another job if other daemons ran all the items that
+ * would have brought the victim to its step.
  */
 static bool reach_step(matrix_cell *cell) {
     int attempts = cell->step->operation == OPERATION_JOB ? MAX_JOB_SUBMISSIONS : 1;
@@ -83,12 +83,11 @@
     return true;
 }
 
-/** Run the cell up to its verdict. */
 static bool run_cell(matrix_cell *cell, fault_kind first, const fault_kind *second) {
     fleet *fleet = cell->fleet;
-    if (!heal_fleet(fleet) || !prepare_operation(cell) || !arm_victim(fleet, cell->step->point) ||
-        !start_operation(cell)) {
-        g_strlcpy(cell->reason, "the cell could not begin", sizeof cell->reason);
+    if (!restore_fleet(fleet) || !prepare_operation(cell) ||
+        !arm_victim(fleet, cell->step->point) || !start_operation(cell)) {
+        g_strlcpy(cell->reason, "the operation could not be started", sizeof cell->reason);
         return false;
     }
     bool reached = reach_step(cell);
@@ -98,20 +97,21 @@
             inject_fault(cell, *second);
     }
     join_operation(cell);
-    bool healed = heal_fleet(fleet);
-    if (!reached || !healed) {
-        g_strlcpy(cell->reason, reached ? "the fleet did not heal" : "the step was not reached",
+    bool is_restored = restore_fleet(fleet);
+    if (!reached || !is_restored) {
+        g_strlcpy(cell->reason,
+                  reached ? "the fleet did not become ready after the fault"
+                          : "the victim did not reach the step",
                   sizeof cell->reason);
         return false;
     }
     if (!repeat_operation(cell)) {
-        g_strlcpy(cell->reason, "the repeated call was not answered", sizeof cell->reason);
+        g_strlcpy(cell->reason, "the repeated call was not answered with 200", sizeof cell->reason);
         return false;
     }
     return check_cell(cell);
 }
 
-/** Counts of a run. */
 typedef struct {
     int number;
     int passed;
@@ -120,8 +120,10 @@
 } matrix_counts;
 
 static void run_and_report(fleet *fleet, const matrix_step *step, fault_kind first,
-                           const fault_kind *second, json_t *killed_engine_records, matrix_counts *counts) {
-    matrix_cell cell = {.fleet = fleet, .step = step, .killed_engine_records = killed_engine_records};
+                           const fault_kind *second, json_t *killed_engine_records,
+                           matrix_counts *counts) {
+    matrix_cell cell = {
+        .fleet = fleet, .step = step, .killed_engine_records = killed_engine_records};
     g_snprintf(cell.name, sizeof cell.name, "c%03d", ++counts->number);
     uint64_t started_ms = hs_clock_monotonic_ms();
     bool passed = run_cell(&cell, first, second);
@@ -147,7 +149,7 @@
     return NULL;
 }
 
-/** Cells may be limited to a step by the first argument and to a fault by the second. */
+/** The first argument of the program selects a step, the second a fault; "all" selects every. */
 static bool matches_filter(const char *filter, const char *name) {
     return filter == NULL || strcmp(filter, "all") == 0 || strcmp(filter, name) == 0;
 }
@@ -162,7 +164,8 @@
                 continue;
             const char *reason = get_inapplicable_reason(&steps[index], (fault_kind)fault);
             if (reason == NULL) {
-                run_and_report(fleet, &steps[index], (fault_kind)fault, NULL, killed_engine_records, counts);
+                run_and_report(fleet, &steps[index], (fault_kind)fault, NULL, killed_engine_records,
+                               counts);
                 continue;
             }
             counts->not_applicable++;
@@ -195,10 +198,10 @@
         run_matrix(&running, argument_count > 1 ? arguments[1] : NULL,
                    argument_count > 2 ? arguments[2] : NULL, &counts);
     fleet_stop(&running);
-    printf("cells=%d ok=%d failed=%d not_applicable=%d seconds=%llu\n", counts.passed + counts.failed,
-           counts.passed, counts.failed, counts.not_applicable,
+    printf("cells=%d ok=%d failed=%d not_applicable=%d seconds=%llu\n",
+           counts.passed + counts.failed, counts.passed, counts.failed, counts.not_applicable,
            (unsigned long long)(hs_clock_monotonic_ms() - started_ms) / 1000);
     if (counts.failed > 0)
-        fprintf(stderr, "logs are in %s\n", log_directory);
+        fprintf(stderr, "daemon logs: %s\n", log_directory);
     return started && counts.failed == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/matrix/matrix.h
+++ b/tests/matrix/matrix.h
@@ -1,10 +1,10 @@
 /**
  * @file matrix.h
- * The fault matrix: every fault at every step, over real processes.
+ * The fault matrix: injects every fault at every step of an operation, on real processes.
  *
- * A cell stops one daemon (the victim) at a named point of its code, strikes, lets it go on, heals
- * the fleet and asks an oracle that stands outside the daemons: what the engines say they ran,
- * what callers were answered, what the results hold. Waiting is on conditions only.
+ * A cell suspends one daemon (the victim) at a fault point of its code, injects a fault, resumes
+ * the daemon, restores the fleet and checks the outcome from outside the daemons: engine records,
+ * answers to callers, job results. All waits are for conditions with a timeout.
  */
 #ifndef TESTS_MATRIX_MATRIX_H
 #define TESTS_MATRIX_MATRIX_H
@@ -37,14 +37,14 @@
     FAULT_KINDS
 } fault_kind;
 
-/** What the cell does so that the victim comes to the step. */
+/** Operation with which a cell brings the victim to the step. */
 typedef enum {
-    OPERATION_JOB,     /**< A job runs; the victim takes part. */
+    OPERATION_JOB,     /**< A job runs, and the victim runs some of its items. */
     OPERATION_SUBMIT,  /**< A job is submitted through the victim. */
     OPERATION_CANCEL,  /**< A running job is cancelled through the victim. */
     OPERATION_READ,    /**< Results are read through the victim. */
-    OPERATION_CLAIM,   /**< The helper stops, so that the victim claims its partitions. */
-    OPERATION_RELEASE, /**< The victim is told to stop. */
+    OPERATION_CLAIM,   /**< The helper stops, and the victim claims some of its partitions. */
+    OPERATION_RELEASE, /**< The victim stops on SIGTERM. */
     OPERATION_PUBLISH, /**< A configuration change is sent to the victim. */
     OPERATION_ONLINE,  /**< An online run-once request is sent to the victim. */
 } operation_kind;
@@ -56,56 +56,59 @@
     bool victim_owns; /**< The job's partition must be the victim's. */
 } matrix_step;
 
-/** One cell as it runs. */
+/** State of a running cell. */
 typedef struct {
     fleet *fleet;
     const matrix_step *step;
-    char name[32];        /**< Begins every prompt of the cell. */
-    char *lines;          /**< The job's JSONL. */
-    int next_nonce;       /**< Part of the lines' text, so that each job is another one. */
-    char *job_id;         /**< NULL until known. */
-    GThread *thread;      /**< Of the call to the victim, or NULL. */
-    long call_status;     /**< Answer of that call; 0: none. */
+    char name[32];        /**< Prefix of every prompt of the cell. */
+    char *lines;          /**< Input lines (JSONL) of the job. */
+    int next_nonce;       /**< Makes the lines of each job differ. */
+    char *job_id;         /**< NULL until a submission was accepted. */
+    GThread *thread;      /**< Thread that calls the victim, or NULL. */
+    long call_status;     /**< Status of that call; 0: no complete answer. */
     client_stream stream; /**< Of OPERATION_ONLINE. */
     bool planned_stop_failed;
-    json_t *killed_engine_records; /**< Records of engines that were killed. Borrowed from main. */
-    int race_winners;     /**< Of FAULT_RACING_OPERATORS. */
+    json_t *killed_engine_records; /**< Owned by main. */
+    int race_winners;              /**< Of FAULT_RACING_OPERATORS. */
     int race_losers;
-    char reason[128]; /**< Why the cell failed. */
+    char reason[128]; /**< Reason of the failure. */
 } matrix_cell;
 
 extern const char *const fault_names[FAULT_KINDS];
 
-/** Why this fault makes no sense at this step; NULL when it does. */
+/** Returns why a fault does not apply to a step, or NULL if it applies. */
 const char *get_inapplicable_reason(const matrix_step *step, fault_kind fault);
 
-/** Bring all processes up and switch all faults off. */
-bool heal_fleet(fleet *fleet);
+/** Removes all faults and starts all processes. Returns false if one does not become ready. */
+bool restore_fleet(fleet *fleet);
 
-/** Begin the operation; the victim is armed already. False when it could not begin. */
+/** Establishes the preconditions of the operation. Returns false if that failed. */
 bool prepare_operation(matrix_cell *cell);
+
+/** Starts the operation, after arm_victim. Returns false if that failed. */
 bool start_operation(matrix_cell *cell);
 
-/** Wait for the call to the victim, if any. */
+/** Waits for the call to the victim to return, if there is one. */
 void join_operation(matrix_cell *cell);
 
-/** What the client does when it had no good answer: the same call through another daemon. */
+/** Repeats the call through another daemon, as a client does, if it had no answer of 200. */
 bool repeat_operation(matrix_cell *cell);
 
-/** Strike while the victim stands still, and let it go on. */
+/** Injects a fault while the victim is suspended, then resumes the victim. */
 void inject_fault(matrix_cell *cell, fault_kind fault);
 
-/** True when the promises hold; otherwise @c reason is set. */
+/** Checks the guarantees after the cell. Returns false and sets @c reason if one is violated. */
 bool check_cell(matrix_cell *cell);
 
-/** Ask the victim to stop at @p point. */
+/** Makes the victim suspend itself at fault point @p point. */
 bool arm_victim(fleet *fleet, const char *point);
+/** Returns whether the victim is suspended. @p fleet is a fleet *. */
 bool is_victim_stopped(void *fleet);
 
-/** Poll until @p condition says true. */
+/** Polls until @p condition returns true. Returns false on timeout. */
 bool wait_for_condition(bool (*condition)(void *user_data), void *user_data, unsigned timeout_ms);
 
-/** A number of the platform's /control/faults. */
+/** Returns a number from /control/faults of the platform. */
 json_int_t get_platform_counter(const fleet *fleet, const char *name);
 
 #endif
--- a/tests/matrix/operations.c
+++ b/tests/matrix/operations.c
@@ -1,4 +1,4 @@
-/** @file operations.c  What a cell does so that the victim comes to its step. */
+/** @file operations.c  The operations that bring the victim to its step. */
 #include "base/clock.h"
 #include "batch/batch_id.h"
 #include "tests/matrix/matrix.h"
@@ -25,16 +25,16 @@
     return g_string_free(lines, FALSE);
 }
 
-/** Whether the daemon's own account lists @p partition among what it owns. */
+/** Returns whether a daemon reports that it owns @p partition. */
 static bool owns_partition(const fleet *fleet, int daemon, uint32_t partition) {
     json_t *status = NULL;
     client_call("GET", fleet->admin_urls[daemon], "/admin/v1/status", NULL, NULL, NULL, &status);
-    const char *write = json_string_value(json_object_get(status, "id"));
+    const char *self_id = json_string_value(json_object_get(status, "id"));
     bool owns = false;
     size_t index;
     json_t *member;
     json_array_foreach(json_object_get(status, "members"), index, member) {
-        if (g_strcmp0(json_string_value(json_object_get(member, "id")), write) != 0)
+        if (g_strcmp0(json_string_value(json_object_get(member, "id")), self_id) != 0)
             continue;
         size_t position;
         json_t *owned;
@@ -45,10 +45,10 @@
     return owns;
 }
 
-/** Lines whose file falls into a partition of the wanted owner (-1: any). */
+/** Chooses lines whose file belongs to a partition of @p owner (-1: any). */
 static bool choose_job_lines(matrix_cell *cell, int owner) {
     uint64_t deadline_ms = hs_clock_monotonic_ms() + PARTITIONS_TIMEOUT_MS;
-    /* The owner may own nothing yet, so that the same nonces are tried again until it does. */
+    /* The owner may not own a partition yet, so the same nonces are tried again until it does. */
     int first = cell->next_nonce;
     for (int attempts = 0; hs_clock_monotonic_ms() < deadline_ms; attempts++) {
         int nonce = first + attempts % MAX_NONCE;
@@ -65,7 +65,7 @@
     return false;
 }
 
-/** Upload and submit through one daemon. @return status of the last call; sets the job's id. */
+/** Uploads and submits the job. Returns the status of the last call; sets the job id on 200. */
 static long submit(matrix_cell *cell, int daemon) {
     g_autofree char *file_id = NULL;
     const char *url = cell->fleet->caller_urls[daemon];
@@ -96,7 +96,7 @@
                        NULL, NULL);
 }
 
-/** Read the results whole; 0 when the transfer broke or lines are missing. */
+/** Reads the results. Returns the status, or 0 if the transfer failed or lines are missing. */
 static long read_complete_results(matrix_cell *cell, int daemon) {
     g_autofree char *path = client_results_path(cell->job_id);
     hs_http_answer answer;
@@ -152,7 +152,7 @@
     return NULL;
 }
 
-/** A daemon that must own some partitions before the cell begins. */
+/** A minimum number of partitions that a daemon must own. */
 typedef struct {
     const fleet *fleet;
     int daemon;
@@ -162,14 +162,13 @@
 static bool has_min_partitions(void *user_data) {
     const partition_condition *condition = user_data;
     json_t *status = NULL;
-    client_call("GET", condition->fleet->admin_urls[condition->daemon], "/admin/v1/status", NULL, NULL,
-                NULL, &status);
+    client_call("GET", condition->fleet->admin_urls[condition->daemon], "/admin/v1/status", NULL,
+                NULL, NULL, &status);
     json_int_t owned = json_integer_value(json_object_get(status, "partitions_owned"));
     json_decref(status);
     return owned >= condition->min_value;
 }
 
-/** What must stand before the victim is armed. */
 bool prepare_operation(matrix_cell *cell) {
     operation_kind operation = cell->step->operation;
     if (!choose_job_lines(cell, cell->step->victim_owns ? VICTIM : -1))
@@ -183,12 +182,14 @@
         json_decref(job);
         return job != NULL;
     }
-    /* Of the helper's partitions some fall to the victim once it has enough of them. */
+    /* With enough partitions of the helper the victim claims some of them. */
     partition_condition helper = {cell->fleet, HELPER, MATRIX_PARTITIONS / 4};
     partition_condition victim = {cell->fleet, VICTIM, 1};
     if (operation == OPERATION_CLAIM)
-        return wait_for_condition(has_min_partitions, &helper, PARTITIONS_TIMEOUT_MS) && submit(cell, WITNESS) == 200;
-    if (operation == OPERATION_RELEASE && !wait_for_condition(has_min_partitions, &victim, PARTITIONS_TIMEOUT_MS))
+        return wait_for_condition(has_min_partitions, &helper, PARTITIONS_TIMEOUT_MS) &&
+               submit(cell, WITNESS) == 200;
+    if (operation == OPERATION_RELEASE &&
+        !wait_for_condition(has_min_partitions, &victim, PARTITIONS_TIMEOUT_MS))
         return false;
     if (operation == OPERATION_CANCEL || operation == OPERATION_RELEASE)
         return submit(cell, HELPER) == 200;
@@ -228,9 +229,9 @@
     case OPERATION_PUBLISH:
         return publish(cell, WITNESS) == 200;
     case OPERATION_ONLINE: {
-        client_stream repeat_stream;
-        send_online(cell, WITNESS, &repeat_stream);
-        client_stream_clear(&repeat_stream);
+        client_stream second_stream;
+        send_online(cell, WITNESS, &second_stream);
+        client_stream_clear(&second_stream);
         return true;
     }
     default:
--- a/tests/matrix/oracle.c
+++ b/tests/matrix/oracle.c
@@ -1,7 +1,7 @@
 /**
  * @file oracle.c
- * What must hold after a cell, judged from outside: results as callers read them, the engines'
- * own records, configuration as each daemon shows it.
+ * Checks the guarantees after a cell from outside the daemons: job results as callers read them,
+ * records of the engines, and the configuration that each daemon reports.
  */
 #include "standin/engine/answer.h"
 #include "tests/matrix/matrix.h"
@@ -18,7 +18,7 @@
     return false;
 }
 
-/** Times the engines started a request with exactly this prompt. */
+/** Returns how often engines started a request with exactly this prompt. */
 static int count_prompt_starts(const json_t *records, const char *prompt) {
     int starts = 0;
     size_t index;
@@ -30,7 +30,7 @@
     return starts;
 }
 
-/** Records of all engines, of those killed too. Owned. */
+/** Returns the records of all engines, including killed ones. The caller frees them. */
 static json_t *get_all_engine_records(matrix_cell *cell) {
     json_t *records = fleet_engine_records(cell->fleet);
     json_array_extend(records, cell->killed_engine_records);
@@ -41,7 +41,7 @@
     return client_read_results(cell->fleet->caller_urls[WITNESS], MATRIX_TENANT, cell->job_id);
 }
 
-/** One result line: its own answer, whole; or, for a run-once item only, indeterminate. */
+/** A result must be the item's complete answer; a run-once item may have no 200 answer. */
 static bool is_result_correct(const json_t *line, bool run_once) {
     const char *custom_id = json_string_value(json_object_get(line, "custom_id"));
     const json_t *response = json_object_get(line, "response");
@@ -68,7 +68,7 @@
         }
         bool run_once = atoi(number + 1) % RUN_ONCE_EVERY == 0;
         if (!is_result_correct(line, run_once))
-            is_correct = fail_cell(cell, "a result is not the item's whole answer");
+            is_correct = fail_cell(cell, "a result is not the item's complete answer");
         if (run_once && count_prompt_starts(records, custom_id) > 1)
             is_correct = fail_cell(cell, "a run-once item ran twice");
     }
@@ -85,14 +85,15 @@
         return fail_cell(cell, "the job did not complete");
     json_decref(job);
     json_t *results = read_results(cell);
-    bool is_correct = json_array_size(results) == JOB_ITEMS
-                     ? are_results_correct(cell, results)
-                     : fail_cell(cell, "results are missing or too many");
+    bool is_correct =
+        json_array_size(results) == JOB_ITEMS
+            ? are_results_correct(cell, results)
+            : fail_cell(cell, "the number of results differs from the number of items");
     json_decref(results);
     return is_correct;
 }
 
-/** Whether no engine works on the cell's items any more. */
+/** Returns whether no engine runs or queues an item of the cell. */
 static bool are_engines_idle(void *user_data) {
     matrix_cell *cell = user_data;
     json_t *records = fleet_engine_records(cell->fleet);
@@ -109,7 +110,7 @@
     return busy == 0;
 }
 
-/** A cancelled job: no engine works for it, run-once items ran at most once, nothing is doubled. */
+/** Checks that no engine works for the cancelled job and its results do not change any more. */
 static bool check_cancelled_job(matrix_cell *cell) {
     json_t *job = client_wait_batch(cell->fleet->caller_urls[WITNESS], MATRIX_TENANT, cell->job_id,
                                     JOB_TIMEOUT_MS);
@@ -119,14 +120,14 @@
     if (!cancelled)
         return fail_cell(cell, "the job is not cancelled");
     if (!wait_for_condition(are_engines_idle, cell, SETTLE_TIMEOUT_MS))
-        return fail_cell(cell, "engines still work for a cancelled job");
+        return fail_cell(cell, "engines still run items of a cancelled job");
     json_t *before = read_results(cell);
     json_t *after = read_results(cell);
     bool is_unchanged = json_array_size(before) == json_array_size(after);
     bool is_correct = are_results_correct(cell, after);
     json_decref(before);
     json_decref(after);
-    return is_unchanged ? is_correct : fail_cell(cell, "results were counted after the cancellation");
+    return is_unchanged ? is_correct : fail_cell(cell, "results were added after the cancellation");
 }
 
 static bool is_config_consistent(void *user_data) {
@@ -144,16 +145,16 @@
 
 static bool check_published_change(matrix_cell *cell) {
     if (!wait_for_condition(is_config_consistent, cell, SETTLE_TIMEOUT_MS))
-        return fail_cell(cell, "daemons hold different configurations");
+        return fail_cell(cell, "daemons have different configuration offsets");
     g_autofree char *path = g_strdup_printf("/admin/v1/limits/%s", cell->name);
     for (int daemon = 0; daemon < 3; daemon++)
         if (client_call("GET", cell->fleet->admin_urls[daemon], path, NULL, NULL, NULL, NULL) !=
             200)
             return fail_cell(cell, "an accepted change is not in force on a daemon");
     if (cell->race_winners > 1)
-        return fail_cell(cell, "two racing changes won");
+        return fail_cell(cell, "more than one racing change was accepted");
     if (cell->race_winners + cell->race_losers > 0 && cell->race_winners != 1)
-        return fail_cell(cell, "no racing change won");
+        return fail_cell(cell, "no racing change was accepted");
     return true;
 }
 
@@ -166,10 +167,10 @@
     if (starts > 1)
         return fail_cell(cell, "a run-once request ran twice");
     if (g_strcmp0(cell->stream.executed, "no") == 0 && cell->stream.token_count > 0)
-        return fail_cell(cell, "executed \"no\" after tokens");
+        return fail_cell(cell, "a request that sent tokens was reported as not executed");
     bool is_complete = strcmp(cell->stream.text->str, expected) == 0;
     if (cell->stream.done_seen && !is_complete)
-        return fail_cell(cell, "a short answer looked whole");
+        return fail_cell(cell, "a short answer was reported as complete");
     if (!g_str_has_prefix(expected, cell->stream.text->str))
         return fail_cell(cell, "the caller got another request's answer");
     return true;
@@ -177,7 +178,7 @@
 
 bool check_cell(matrix_cell *cell) {
     if (cell->planned_stop_failed)
-        return fail_cell(cell, "the planned stop did not end with 0");
+        return fail_cell(cell, "the planned stop did not exit with status 0");
     switch (cell->step->operation) {
     case OPERATION_CANCEL:
         return check_cancelled_job(cell);
