--- a/tests/soak/job_callers.c
+++ b/tests/soak/job_callers.c
@@ -14,7 +14,7 @@
     GRand *rng;
     guint seed;
     uint32_t number;
-    GPtrArray *accepted; /**< of char*: ids of its accepted jobs. */
+    GPtrArray *accepted; /**< of char*: ids of the accepted jobs. */
 } job_caller;
 
 uint32_t soak_read_job(int daemon, const char *job) {
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -26,8 +26,7 @@
 #define MAX_FAULT_INJECTORS 3
 /** Enough for all items that run at once, also while two daemons own a partition. */
 #define ENGINE_SLOTS 80
-/** Connections of each daemon to an engine. A large fleet has few partition owners, and the share
- * of each owner must suffice for its items. */
+/** In a large fleet few daemons own partitions; the share of each must suffice for its items. */
 #define ENGINE_CONNECTIONS_PER_DAEMON 34
 /** Longer than the soak takes to complete any item. */
 #define RETENTION_S 600
--- a/tests/soak/run_checks.c
+++ b/tests/soak/run_checks.c
@@ -52,8 +52,7 @@
     if (end_ms == NULL)
         return;
     uint64_t until_ms = run->ended_ms != 0 ? run->ended_ms : hs_clock_wall_ms();
-    /* An engine whose own threads are delayed detects the end of a connection later by that delay.
-     */
+    /* An engine whose threads are delayed detects the end of a connection as late. */
     if (MAX(until_ms, run->begun_ms) <= get_max_run_end_ms(*end_ms) + run->late_ms)
         return;
     if (is_end_checked(*end_ms))
--- a/tests/soak/service_faults.c
+++ b/tests/soak/service_faults.c
@@ -1,5 +1,4 @@
-/** @file service_faults.c  Faults of the store and the engines, and changes of the configuration.
- */
+/** @file service_faults.c  Faults of the store and the engines, and configuration changes. */
 #include "platform/names.h"
 #include "tests/soak/faults.h"
 #include "tests/soak/soak.h"
@@ -7,7 +6,7 @@
 
 #define MIN_SERVICE_FAULT_MS 200
 #define MAX_SERVICE_FAULT_MS 3000
-/** Up to delays beyond the daemons' timeouts, so that answers come after a call was given up. */
+/** The longer delays exceed the daemons' timeouts: the answer comes after the call has failed. */
 #define MIN_STORE_DELAY_MS 50
 #define MAX_STORE_DELAY_MS 1500
 #define MAX_CONFIG_CHANGES 3
