--- a/tests/matrix/operations.c
+++ b/tests/matrix/operations.c
@@ -1,4 +1,4 @@
-/** @file operations.c  What a cell does so that the victim comes to its step. */
+/** @file operations.c  The operations that bring the victim to its step. */
 #include "base/clock.h"
 #include "batch/batch_id.h"
 #include "tests/matrix/matrix.h"
@@ -10,10 +10,10 @@
 #define CHUNK_ITEMS 256
 #define MAX_NONCE 400
 #define JOB_TIMEOUT_MS 40000
-#define OWN_TIMEOUT_MS 10000
+#define PARTITIONS_TIMEOUT_MS 10000
 #define ONLINE_TOKENS 40
 
-static char *job_lines(const char *name, int nonce) {
+static char *make_job_lines(const char *name, int nonce) {
     GString *lines = g_string_new(NULL);
     for (int item = 0; item < JOB_ITEMS; item++)
         g_string_append_printf(lines,
@@ -25,16 +25,16 @@
     return g_string_free(lines, FALSE);
 }
 
-/** Whether the daemon's own account lists @p partition among what it owns. */
+/** Returns whether a daemon reports that it owns @p partition. */
 static bool owns_partition(const fleet *fleet, int daemon, uint32_t partition) {
     json_t *status = NULL;
     client_call("GET", fleet->admin_urls[daemon], "/admin/v1/status", NULL, NULL, NULL, &status);
-    const char *self = json_string_value(json_object_get(status, "id"));
+    const char *self_id = json_string_value(json_object_get(status, "id"));
     bool owns = false;
     size_t index;
     json_t *member;
     json_array_foreach(json_object_get(status, "members"), index, member) {
-        if (g_strcmp0(json_string_value(json_object_get(member, "id")), self) != 0)
+        if (g_strcmp0(json_string_value(json_object_get(member, "id")), self_id) != 0)
             continue;
         size_t position;
         json_t *owned;
@@ -45,16 +45,16 @@
     return owns;
 }
 
-/** Lines whose file falls into a partition of the wanted owner (-1: any). */
-static bool choose_lines(matrix_cell *cell, int owner) {
-    uint64_t deadline_ms = hs_clock_monotonic_ms() + OWN_TIMEOUT_MS;
-    /* The owner may own nothing yet, so that the same nonces are tried again until it does. */
+/** Chooses lines whose file belongs to a partition of @p owner (-1: any). */
+static bool choose_job_lines(matrix_cell *cell, int owner) {
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + PARTITIONS_TIMEOUT_MS;
+    /* The owner may not own a partition yet, so the same nonces are tried again until it does. */
     int first = cell->next_nonce;
-    for (int tries = 0; hs_clock_monotonic_ms() < deadline_ms; tries++) {
-        int nonce = first + tries % MAX_NONCE;
+    for (int attempts = 0; hs_clock_monotonic_ms() < deadline_ms; attempts++) {
+        int nonce = first + attempts % MAX_NONCE;
         cell->next_nonce = nonce + 1;
         g_free(cell->lines);
-        cell->lines = job_lines(cell->name, nonce);
+        cell->lines = make_job_lines(cell->name, nonce);
         g_autofree char *file_id = hs_file_id(MATRIX_TENANT, cell->lines, strlen(cell->lines),
                                               CHUNK_ITEMS, MATRIX_PARTITIONS);
         uint32_t partition = 0;
@@ -65,7 +65,7 @@
     return false;
 }
 
-/** Upload and submit through one daemon. @return status of the last call; sets the job's id. */
+/** Uploads and submits the job. Returns the status of the last call; sets the job id on 200. */
 static long submit(matrix_cell *cell, int daemon) {
     g_autofree char *file_id = NULL;
     const char *url = cell->fleet->caller_urls[daemon];
@@ -96,8 +96,8 @@
                        NULL, NULL);
 }
 
-/** Read the results whole; 0 when the transfer broke or lines are missing. */
-static long read_whole(matrix_cell *cell, int daemon) {
+/** Reads the results. Returns the status, or 0 if the transfer failed or lines are missing. */
+static long read_complete_results(matrix_cell *cell, int daemon) {
     g_autofree char *path = client_results_path(cell->job_id);
     hs_http_answer answer;
     long status = 0;
@@ -137,7 +137,7 @@
         cell->call_status = cancel(cell, VICTIM);
         break;
     case OPERATION_READ:
-        cell->call_status = read_whole(cell, VICTIM);
+        cell->call_status = read_complete_results(cell, VICTIM);
         break;
     case OPERATION_PUBLISH:
         cell->call_status = publish(cell, VICTIM);
@@ -152,27 +152,26 @@
     return NULL;
 }
 
-/** A daemon that must own some partitions before the cell begins. */
+/** A minimum number of partitions that a daemon must own. */
 typedef struct {
     const fleet *fleet;
     int daemon;
-    json_int_t at_least;
-} owner_bound;
+    json_int_t min_value;
+} partition_condition;
 
-static bool owns_enough(void *user_data) {
-    const owner_bound *bound = user_data;
+static bool has_min_partitions(void *user_data) {
+    const partition_condition *condition = user_data;
     json_t *status = NULL;
-    client_call("GET", bound->fleet->admin_urls[bound->daemon], "/admin/v1/status", NULL, NULL,
-                NULL, &status);
+    client_call("GET", condition->fleet->admin_urls[condition->daemon], "/admin/v1/status", NULL,
+                NULL, NULL, &status);
     json_int_t owned = json_integer_value(json_object_get(status, "partitions_owned"));
     json_decref(status);
-    return owned >= bound->at_least;
+    return owned >= condition->min_value;
 }
 
-/** What must stand before the victim is armed. */
-bool operation_prepare(matrix_cell *cell) {
+bool prepare_operation(matrix_cell *cell) {
     operation_kind operation = cell->step->operation;
-    if (!choose_lines(cell, cell->step->victim_owns ? VICTIM : -1))
+    if (!choose_job_lines(cell, cell->step->victim_owns ? VICTIM : -1))
         return false;
     if (operation == OPERATION_READ) {
         submit(cell, HELPER);
@@ -183,19 +182,21 @@
         json_decref(job);
         return job != NULL;
     }
-    /* Of the helper's partitions some fall to the victim once it has enough of them. */
-    owner_bound helper = {cell->fleet, HELPER, MATRIX_PARTITIONS / 4};
-    owner_bound victim = {cell->fleet, VICTIM, 1};
+    /* With enough partitions of the helper the victim claims some of them. */
+    partition_condition helper = {cell->fleet, HELPER, MATRIX_PARTITIONS / 4};
+    partition_condition victim = {cell->fleet, VICTIM, 1};
     if (operation == OPERATION_CLAIM)
-        return await(owns_enough, &helper, OWN_TIMEOUT_MS) && submit(cell, WITNESS) == 200;
-    if (operation == OPERATION_RELEASE && !await(owns_enough, &victim, OWN_TIMEOUT_MS))
+        return wait_for_condition(has_min_partitions, &helper, PARTITIONS_TIMEOUT_MS) &&
+               submit(cell, WITNESS) == 200;
+    if (operation == OPERATION_RELEASE &&
+        !wait_for_condition(has_min_partitions, &victim, PARTITIONS_TIMEOUT_MS))
         return false;
     if (operation == OPERATION_CANCEL || operation == OPERATION_RELEASE)
         return submit(cell, HELPER) == 200;
     return true;
 }
 
-bool operation_begin(matrix_cell *cell) {
+bool start_operation(matrix_cell *cell) {
     switch (cell->step->operation) {
     case OPERATION_JOB:
         return submit(cell, HELPER) == 200;
@@ -209,13 +210,13 @@
     }
 }
 
-void operation_join(matrix_cell *cell) {
+void join_operation(matrix_cell *cell) {
     if (cell->thread != NULL)
         g_thread_join(cell->thread);
     cell->thread = NULL;
 }
 
-bool operation_repeat(matrix_cell *cell) {
+bool repeat_operation(matrix_cell *cell) {
     if (cell->call_status == 200)
         return true;
     switch (cell->step->operation) {
@@ -224,13 +225,13 @@
     case OPERATION_CANCEL:
         return cancel(cell, WITNESS) == 200;
     case OPERATION_READ:
-        return read_whole(cell, WITNESS) == 200;
+        return read_complete_results(cell, WITNESS) == 200;
     case OPERATION_PUBLISH:
         return publish(cell, WITNESS) == 200;
     case OPERATION_ONLINE: {
-        client_stream again;
-        send_online(cell, WITNESS, &again);
-        client_stream_clear(&again);
+        client_stream second_stream;
+        send_online(cell, WITNESS, &second_stream);
+        client_stream_clear(&second_stream);
         return true;
     }
     default:
