--- a/standin/engine/answer.c
+++ b/standin/engine/answer.c
@@ -1,4 +1,4 @@
-/** @file answer.c  Deterministic answers; see answer.h. */
+/** @file answer.c  See answer.h. */
 #include "standin/engine/answer.h"
 
 #include "base/hash.h"
--- a/standin/engine/answer.h
+++ b/standin/engine/answer.h
@@ -1,7 +1,7 @@
 /**
  * @file answer.h
- * The stand-in's answers: a pure function of the prompt, so that a test can tell a whole answer
- * to its own request from any other text.
+ * Answers of the stand-in engine. They depend on the prompt only, so that a test can verify that
+ * an answer is complete and belongs to its request. The functions are thread-safe.
  */
 #ifndef STANDIN_ENGINE_ANSWER_H
 #define STANDIN_ENGINE_ANSWER_H
@@ -12,13 +12,16 @@
 
 #define ANSWER_DEFAULT_TOKENS 16U
 
-/** Prompt of a completion or chat body: the prompt, or all messages joined. Free with g_free. */
+/**
+ * Returns the prompt of a completion body, or all messages of a chat body joined by newlines. Free
+ * with g_free.
+ */
 char *answer_prompt_text(const json_t *body);
 
-/** Token @p index of the answer to @p prompt, with its trailing space. Free with g_free. */
+/** Returns token @p index of the answer to @p prompt and a trailing space. Free with g_free. */
 char *answer_token(const char *prompt, uint32_t index);
 
-/** The whole answer of @p token_count tokens. Free with g_free. */
+/** Returns the answer of @p token_count tokens. Free with g_free. */
 char *answer_text(const char *prompt, uint32_t token_count);
 
 #endif
--- a/standin/engine/engine.c
+++ b/standin/engine/engine.c
@@ -1,4 +1,4 @@
-/** @file engine.c  The engine's step thread and its requests over HTTP; see engine.h. */
+/** @file engine.c  Step thread of the stand-in engine and its HTTP routes for requests. */
 #include "standin/engine/engine.h"
 
 #include "base/hash.h"
@@ -10,10 +10,10 @@
 #include <string.h>
 
 #define STREAM_WAIT_US (50 * 1000)
-#define STREAM_BLOCK_SIZE 4096
+#define STREAM_BLOCK_BYTES 4096
 #define IDLE_WAIT_US (50 * 1000)
-#define LOAD_SAMPLE_US (20 * 1000)
-#define LOAD_SAMPLES_KEPT 256
+#define LOAD_SAMPLE_INTERVAL_US (20 * 1000)
+#define MAX_LOAD_SAMPLES 256
 #define BYTES_PER_TOKEN 4
 #define PREFIX_BYTES 256
 
@@ -23,10 +23,11 @@
     uint32_t next_token;
     uint32_t cut_after; /**< 0: no cut. */
     bool done_sent;
-    GString *pending; /**< Bytes not yet handed to the connection. */
+    GString *pending; /**< Bytes that are not yet written. */
 } engine_stream;
 
-static void ignore_token(engine_sequence *sequence, void *user_data) {
+/** Sets the end time of a request with the last token. */
+static void record_completion(engine_sequence *sequence, void *user_data) {
     (void)user_data;
     engine_request *request = sequence->owner;
     if (sequence->state == ENGINE_SEQUENCE_DONE)
@@ -34,7 +35,7 @@
 }
 
 /** The caller holds the lock. */
-static void cancel_now(engine *self, engine_request *request) {
+static void cancel_locked(engine *self, engine_request *request) {
     engine_model_cancel(self->model, &request->sequence);
     request->ended_us = g_get_monotonic_time();
 }
@@ -43,18 +44,18 @@
     gint64 now = g_get_monotonic_time();
     GArray *samples = self->load_samples;
     if (samples->len > 0 &&
-        now - g_array_index(samples, engine_load_sample, samples->len - 1).taken_us <
-            LOAD_SAMPLE_US)
+        now - g_array_index(samples, engine_load_sample, samples->len - 1).sampled_us <
+            LOAD_SAMPLE_INTERVAL_US)
         return;
-    uint32_t online = engine_model_count_before(self->model, ENGINE_BATCH_PRIORITY);
+    uint32_t online = engine_model_count_more_urgent(self->model, ENGINE_BATCH_PRIORITY);
     uint32_t all = self->model->running->len + self->model->waiting->len;
-    engine_load_sample sample = {.taken_us = now,
+    engine_load_sample sample = {.sampled_us = now,
                                  .online = online,
                                  .batch = all - online,
                                  .kv_free = self->model->settings.kv_tokens -
                                             engine_model_kv_used(self->model)};
     g_array_append_val(samples, sample);
-    if (samples->len > LOAD_SAMPLES_KEPT)
+    if (samples->len > MAX_LOAD_SAMPLES)
         g_array_remove_index(samples, 0);
 }
 
@@ -73,7 +74,7 @@
         g_mutex_unlock(&self->lock);
         g_usleep((gulong)(duration_ms * 1000));
         g_mutex_lock(&self->lock);
-        engine_model_step_end(self->model, ignore_token, NULL);
+        engine_model_step_end(self->model, record_completion, NULL);
         g_cond_broadcast(&self->progressed);
     }
     g_mutex_unlock(&self->lock);
@@ -124,15 +125,18 @@
     g_free(self);
 }
 
-static bool holds_model(engine *self, const char *model) {
+static bool has_loaded_model(engine *self, const char *model) {
     for (guint index = 0; index < self->loaded_models->len; index++)
         if (strcmp(self->loaded_models->pdata[index], model) == 0)
             return true;
     return false;
 }
 
-/** The request under @p request_id, started anew if there is none. The caller holds the lock. */
-static engine_request *start_request(engine *self, const json_t *body, bool chat) {
+/**
+ * Returns the request with the id of the body, or starts a new one if there is none or it was
+ * cancelled. The caller holds the lock.
+ */
+static engine_request *find_or_start_request(engine *self, const json_t *body, bool chat) {
     const char *given_id = json_string_value(json_object_get(body, "request_id"));
     g_autofree char *request_id = given_id != NULL ? g_strdup(given_id) : hs_id_random("req");
     engine_request *request = g_hash_table_lookup(self->requests, request_id);
@@ -170,7 +174,7 @@
            request->sequence.state == ENGINE_SEQUENCE_CANCELLED;
 }
 
-/** Append the event of one token in the form of the request's endpoint. */
+/** Appends the event of a token in the chat or completion format. */
 static void append_token_event(engine_stream *stream, uint32_t index) {
     const engine_request *request = stream->request;
     g_autofree char *token = answer_token(request->prompt, index);
@@ -188,7 +192,7 @@
     json_decref(event);
 }
 
-/** Wait for a token past the stream's position; the caller holds the lock. */
+/** Waits for tokens after the stream's position and encodes them. The caller holds the lock. */
 static ssize_t fill_pending(engine_stream *stream) {
     engine *self = stream->self;
     engine_request *request = stream->request;
@@ -229,18 +233,17 @@
     return (ssize_t)count;
 }
 
-/** The connection is over. A request whose last reader has gone keeps running: it can be resumed.
- */
+/** Frees the stream of a closed connection. The request keeps running and can be resumed. */
 static void free_stream(void *user_data) {
     engine_stream *stream = user_data;
     g_mutex_lock(&stream->self->lock);
-    stream->request->readers--;
+    stream->request->reader_count--;
     g_mutex_unlock(&stream->self->lock);
     g_string_free(stream->pending, TRUE);
     g_free(stream);
 }
 
-/** Answer with the request's events from @p first_token on. The caller holds the lock. */
+/** Streams the request's events from @p first_token on. The caller holds the lock. */
 static void reply_stream(engine *self, engine_request *request, uint32_t first_token,
                          struct _u_response *response) {
     engine_stream *stream = g_new0(engine_stream, 1);
@@ -252,15 +255,15 @@
         self->faults.cut_count--;
         stream->cut_after = first_token + MAX(self->faults.cut_after_tokens, 1U);
     }
-    request->readers++;
+    request->reader_count++;
     u_map_put(response->map_header, "Content-Type", "text/event-stream");
     u_map_put(response->map_header, "X-Request-Id", request->request_id);
     ulfius_set_stream_response(response, 200, write_stream, free_stream, U_STREAM_SIZE_UNKNOWN,
-                               STREAM_BLOCK_SIZE, stream);
+                               STREAM_BLOCK_BYTES, stream);
 }
 
-/** Answer with the whole text once it is there. The caller holds the lock. */
-static void reply_whole(engine *self, engine_request *request, struct _u_response *response) {
+/** Waits for the end of the request and replies with the full text. The caller holds the lock. */
+static void reply_complete(engine *self, engine_request *request, struct _u_response *response) {
     while (!has_ended(request) && !self->stopping)
         g_cond_wait_until(&self->progressed, &self->lock, g_get_monotonic_time() + STREAM_WAIT_US);
     if (request->sequence.state != ENGINE_SEQUENCE_DONE) {
@@ -285,7 +288,7 @@
     hs_http_reply_json(response, 200, body);
 }
 
-static int refuse(struct _u_response *response, unsigned int status, const char *code) {
+static int reply_refusal(struct _u_response *response, unsigned int status, const char *code) {
     return hs_http_reply_error(
         response,
         &(hs_error_body){.status = status, .type = "engine_error", .code = code, .message = code});
@@ -297,23 +300,23 @@
     const char *model = json_string_value(json_object_get(body, "model"));
     if (model == NULL) {
         json_decref(body);
-        return refuse(response, 400, "bad_request");
+        return reply_refusal(response, 400, "bad_request");
     }
     g_mutex_lock(&self->lock);
     if (self->faults.leaving) {
         self->leaving_refusals++;
-        refuse(response, 503, "leaving");
+        reply_refusal(response, 503, "leaving");
     } else if (self->faults.refuse) {
         self->refusals++;
-        refuse(response, 503, "overloaded");
-    } else if (!holds_model(self, model))
-        refuse(response, 404, "model_not_loaded");
+        reply_refusal(response, 503, "overloaded");
+    } else if (!has_loaded_model(self, model))
+        reply_refusal(response, 404, "model_not_loaded");
     else {
-        engine_request *request = start_request(self, body, chat);
+        engine_request *request = find_or_start_request(self, body, chat);
         if (json_is_true(json_object_get(body, "stream")))
             reply_stream(self, request, 0, response);
         else
-            reply_whole(self, request, response);
+            reply_complete(self, request, response);
     }
     g_mutex_unlock(&self->lock);
     json_decref(body);
@@ -328,14 +331,15 @@
     return handle_complete(data, wire, response, false);
 }
 
-/** Run @p action on the named request under the lock, or answer 404. */
-static int with_request(engine *self, const struct _u_request *wire, struct _u_response *response,
-                        void (*action)(engine *, engine_request *, const struct _u_request *,
-                                       struct _u_response *)) {
+/** Calls @p action with the request named in the path under the lock, or replies 404. */
+static int call_with_request(engine *self, const struct _u_request *wire,
+                             struct _u_response *response,
+                             void (*action)(engine *, engine_request *, const struct _u_request *,
+                                            struct _u_response *)) {
     g_mutex_lock(&self->lock);
     engine_request *request = g_hash_table_lookup(self->requests, hs_http_parameter(wire, "id"));
     if (request == NULL)
-        refuse(response, 404, "unknown_request");
+        reply_refusal(response, 404, "unknown_request");
     else
         action(self, request, wire, response);
     g_mutex_unlock(&self->lock);
@@ -347,11 +351,11 @@
     reply_stream(self, request, (uint32_t)hs_http_parameter_number(wire, "offset", 0), response);
 }
 
-/** Put a cancelled request back into the batch; its tokens so far stand. */
+/** Restarts a cancelled request after the tokens produced so far, and streams its events. */
 static void continue_request(engine *self, engine_request *request, const struct _u_request *wire,
                              struct _u_response *response) {
     if (self->faults.leaving || self->faults.refuse) {
-        refuse(response, 503, self->faults.leaving ? "leaving" : "overloaded");
+        reply_refusal(response, 503, self->faults.leaving ? "leaving" : "overloaded");
         return;
     }
     if (request->sequence.state == ENGINE_SEQUENCE_CANCELLED) {
@@ -366,13 +370,13 @@
                            struct _u_response *response) {
     (void)wire;
     if (!has_ended(request))
-        cancel_now(self, request);
+        cancel_locked(self, request);
     g_cond_broadcast(&self->progressed);
     hs_http_reply_json(response, 200,
                        json_pack("{s:i}", "tokens", (int)request->sequence.produced));
 }
 
-/** Cancel several requests in one exchange: {"ids": [...]}; those unknown are passed over. */
+/** Cancels the requests of the body {"ids": [...]}. Unknown and ended ones are skipped. */
 static int handle_cancel_many(const struct _u_request *wire, struct _u_response *response,
                               void *data) {
     engine *self = data;
@@ -386,7 +390,7 @@
             json_is_string(id) ? g_hash_table_lookup(self->requests, json_string_value(id)) : NULL;
         if (request == NULL || has_ended(request))
             continue;
-        cancel_now(self, request);
+        cancel_locked(self, request);
         cancelled++;
     }
     g_cond_broadcast(&self->progressed);
@@ -411,24 +415,24 @@
 }
 
 static int handle_resume(const struct _u_request *wire, struct _u_response *response, void *data) {
-    return with_request(data, wire, response, resume_request);
+    return call_with_request(data, wire, response, resume_request);
 }
 
 static int handle_continue(const struct _u_request *wire, struct _u_response *response,
                            void *data) {
-    return with_request(data, wire, response, continue_request);
+    return call_with_request(data, wire, response, continue_request);
 }
 
 static int handle_cancel(const struct _u_request *wire, struct _u_response *response, void *data) {
-    return with_request(data, wire, response, cancel_request);
+    return call_with_request(data, wire, response, cancel_request);
 }
 
 static int handle_describe(const struct _u_request *wire, struct _u_response *response,
                            void *data) {
-    return with_request(data, wire, response, describe_request);
+    return call_with_request(data, wire, response, describe_request);
 }
 
-void engine_routes(engine *self, hs_http_server *server) {
+void engine_add_routes(engine *self, hs_http_server *server) {
     hs_http_server_route(server, "POST", "/v1/chat/completions", handle_chat, self);
     hs_http_server_route(server, "POST", "/v1/completions", handle_text, self);
     hs_http_server_route(server, "GET", "/v1/requests/:id/stream", handle_resume, self);
@@ -436,5 +440,5 @@
     hs_http_server_route(server, "POST", "/v1/cancellations", handle_cancel_many, self);
     hs_http_server_route(server, "POST", "/v1/requests/:id/cancel", handle_cancel, self);
     hs_http_server_route(server, "GET", "/v1/requests/:id", handle_describe, self);
-    engine_control_routes(self, server);
+    engine_add_control_routes(self, server);
 }
--- a/standin/engine/engine.h
+++ b/standin/engine/engine.h
@@ -1,10 +1,11 @@
 /**
  * @file engine.h
- * Stand-in engine: an HTTP front over the engine model, driven in real time.
+ * Stand-in engine: an HTTP server over the engine model, which runs in real time.
  *
- * It speaks the OpenAI-compatible forms with two common extensions in the body ("priority",
- * "request_id") and paths to cancel, resume, order and read the load. It keeps its own record of
- * every request it started: the tests' oracle.
+ * The engine accepts OpenAI-compatible requests with two extensions in the body ("priority",
+ * "request_id"), and has paths that cancel and resume requests, load models and report the load.
+ * The engine keeps a record of each started request, against which tests verify results. @c lock
+ * guards all fields that change.
  */
 #ifndef STANDIN_ENGINE_H
 #define STANDIN_ENGINE_H
@@ -13,34 +14,34 @@
 #include "standin/engine/engine_model.h"
 
 #define ENGINE_DEFAULT_MODEL "drafting-7b"
+/** Requests with a lower priority number count as online. */
 #define ENGINE_BATCH_PRIORITY 10
 
 typedef struct {
-    bool refuse;               /**< New work is refused as not run. */
-    bool leaving;              /**< New work is refused with code "leaving". */
-    uint32_t cut_count;        /**< Streams still to be cut. */
-    uint32_t cut_after_tokens; /**< Where a cut falls. */
+    bool refuse;               /**< New requests are refused with code "overloaded". */
+    bool leaving;              /**< New requests are refused with code "leaving". */
+    uint32_t cut_count;        /**< Number of next streams to cut. */
+    uint32_t cut_after_tokens; /**< Tokens that a stream sends before the cut. */
     uint32_t slow_step_ms;     /**< Added to each step. */
-    uint32_t cache_gap_every;  /**< Every n-th cache event is lost; 0: none. */
+    uint32_t cache_gap_every;  /**< Every n-th cache event is omitted; 0: none. */
     uint32_t load_lag_ms;
 } engine_faults;
 
-/** One request as the engine knows it. Lives as long as the engine: it is the record of what ran.
- */
+/** A request and the record of its run. Freed with the engine. */
 typedef struct {
     char *request_id;
     char *prompt;
     char *model;
     bool chat;
     engine_sequence sequence;
-    uint32_t start_count; /**< Times it was handed to the model under this id. */
-    uint32_t readers;
+    uint32_t start_count;  /**< Number of start calls with this id. */
+    uint32_t reader_count; /**< Open streams of the request. */
     gint64 received_us;
-    gint64 ended_us;
+    gint64 ended_us; /**< 0: still running. */
 } engine_request;
 
 typedef struct {
-    gint64 taken_us;
+    gint64 sampled_us;
     uint32_t online;
     uint32_t batch;
     uint32_t kv_free;
@@ -51,26 +52,27 @@
     GMutex lock;
     GCond progressed;
     engine_model *model;
-    GHashTable *requests;    /**< request id -> engine_request */
-    GPtrArray *request_list; /**< the same, in order of arrival */
-    GPtrArray *loaded_models;
-    GArray *load_samples;
-    GArray *cache_events; /**< of uint64_t prefix hash; the index is the event's number */
+    GHashTable *requests;     /**< request id -> engine_request* */
+    GPtrArray *request_list;  /**< of engine_request*, in order of arrival */
+    GPtrArray *loaded_models; /**< of char* */
+    GArray *load_samples;     /**< of engine_load_sample, oldest first */
+    GArray *cache_events;     /**< of uint64_t (prefix hash), by event number */
     engine_faults faults;
-    uint32_t leaving_refusals; /**< New work that came while leaving. */
-    uint32_t refusals;         /**< New work refused by the fault "refuse". */
-    GHashTable *order_epochs;  /**< scope -> highest epoch of an order obeyed in it */
+    uint32_t leaving_refusals; /**< Requests refused with code "leaving". */
+    uint32_t refusals;         /**< Requests refused with code "overloaded". */
+    GHashTable *order_epochs;  /**< scope -> highest epoch of the executed orders */
     bool stopping;
     GThread *step_thread;
 } engine;
 
+/** Starts the engine and its step thread. Free with engine_free. */
 engine *engine_new(const char *id, const engine_model_settings *settings);
 void engine_free(engine *self);
 
-/** Routes for callers of the engine. */
-void engine_routes(engine *self, hs_http_server *server);
+/** Adds all routes, those of engine_add_control_routes included. */
+void engine_add_routes(engine *self, hs_http_server *server);
 
-/** Routes for orders, load, cache events, fault switches and the record of what ran. */
-void engine_control_routes(engine *self, hs_http_server *server);
+/** Adds the routes for orders, models, load, cache events, faults and the record of requests. */
+void engine_add_control_routes(engine *self, hs_http_server *server);
 
 #endif
--- a/standin/engine/engine_control.c
+++ b/standin/engine/engine_control.c
@@ -1,4 +1,4 @@
-/** @file engine_control.c  Orders, load, cache events, faults and the record of what ran. */
+/** @file engine_control.c  Routes for orders, load, cache events, faults and the record. */
 #include "standin/engine/engine.h"
 
 #include <inttypes.h>
@@ -20,23 +20,23 @@
                               json_pack("{s:s,s:o}", "object", "list", "data", list));
 }
 
-/** The newest load sample older than the lag. */
+/** Returns the newest load sample that is at least as old as the lag. */
 static int handle_load(const struct _u_request *wire, struct _u_response *response, void *data) {
     (void)wire;
     engine *self = data;
-    engine_load_sample shown = {.kv_free = self->model->settings.kv_tokens};
+    engine_load_sample newest = {.kv_free = self->model->settings.kv_tokens};
     g_mutex_lock(&self->lock);
-    gint64 horizon = g_get_monotonic_time() - (gint64)self->faults.load_lag_ms * US_PER_MS;
+    gint64 visible_until_us = g_get_monotonic_time() - (gint64)self->faults.load_lag_ms * US_PER_MS;
     for (guint index = 0; index < self->load_samples->len; index++) {
         engine_load_sample *sample = &g_array_index(self->load_samples, engine_load_sample, index);
-        if (sample->taken_us <= horizon)
-            shown = *sample;
+        if (sample->sampled_us <= visible_until_us)
+            newest = *sample;
     }
     bool leaving = self->faults.leaving;
     g_mutex_unlock(&self->lock);
     return hs_http_reply_json(response, 200,
-                              json_pack("{s:i,s:i,s:i,s:b,s:i}", "online", (int)shown.online,
-                                        "batch", (int)shown.batch, "kv_free", (int)shown.kv_free,
+                              json_pack("{s:i,s:i,s:i,s:b,s:i}", "online", (int)newest.online,
+                                        "batch", (int)newest.batch, "kv_free", (int)newest.kv_free,
                                         "leaving", leaving, "max_sequences",
                                         (int)self->model->settings.max_sequences));
 }
@@ -69,7 +69,7 @@
     }
 }
 
-/** A fenced order: refused when its epoch is older than the newest one obeyed in its scope. */
+/** Executes an order unless an order with a later epoch was executed in the same scope. */
 static int handle_order(const struct _u_request *wire, struct _u_response *response, void *data) {
     engine *self = data;
     json_t *body = ulfius_get_json_body_request(wire, NULL);
@@ -82,10 +82,10 @@
         return hs_http_reply_json(response, 400, json_object());
     }
     g_mutex_lock(&self->lock);
-    guint newest = GPOINTER_TO_UINT(g_hash_table_lookup(self->order_epochs, scope));
-    bool fenced = epoch < newest;
+    guint newest_epoch = GPOINTER_TO_UINT(g_hash_table_lookup(self->order_epochs, scope));
+    bool fenced = epoch < newest_epoch;
     if (!fenced) {
-        newest = epoch;
+        newest_epoch = epoch;
         g_hash_table_replace(self->order_epochs, g_strdup(scope), GUINT_TO_POINTER(epoch));
         unload_model(self, model);
         if (strcmp(action, "load") == 0)
@@ -94,7 +94,7 @@
     g_mutex_unlock(&self->lock);
     json_decref(body);
     return hs_http_reply_json(response, fenced ? 409 : 200,
-                              json_pack("{s:i}", "epoch", (int)newest));
+                              json_pack("{s:i}", "epoch", (int)newest_epoch));
 }
 
 static void set_number(uint32_t *number, const json_t *value) {
@@ -121,7 +121,7 @@
     return hs_http_reply_json(response, 200, json_object());
 }
 
-/** Every request this engine started, for the tests' oracle. */
+/** Returns all requests that the engine started. */
 static int handle_record(const struct _u_request *wire, struct _u_response *response, void *data) {
     (void)wire;
     static const char *const state_names[] = {"waiting", "running", "done", "cancelled"};
@@ -145,7 +145,7 @@
     return hs_http_reply_json(response, 200, body);
 }
 
-void engine_control_routes(engine *self, hs_http_server *server) {
+void engine_add_control_routes(engine *self, hs_http_server *server) {
     hs_http_server_route(server, "GET", "/v1/models", handle_models, self);
     hs_http_server_route(server, "GET", "/load", handle_load, self);
     hs_http_server_route(server, "GET", "/cache-events", handle_cache_events, self);
--- a/standin/engine/engine_model.c
+++ b/standin/engine/engine_model.c
@@ -1,4 +1,4 @@
-/** @file engine_model.c  The engine's arithmetic; see engine_model.h. */
+/** @file engine_model.c  See engine_model.h. */
 #include "standin/engine/engine_model.h"
 
 const engine_model_settings engine_model_default_settings = {
@@ -28,7 +28,7 @@
     g_free(model);
 }
 
-static bool goes_before(const engine_sequence *left, const engine_sequence *right) {
+static bool is_before(const engine_sequence *left, const engine_sequence *right) {
     if (left->priority != right->priority)
         return left->priority < right->priority;
     return left->arrival < right->arrival;
@@ -36,7 +36,7 @@
 
 static void insert_waiting(engine_model *model, engine_sequence *sequence) {
     guint position = model->waiting->len;
-    while (position > 0 && goes_before(sequence, model->waiting->pdata[position - 1]))
+    while (position > 0 && is_before(sequence, model->waiting->pdata[position - 1]))
         position--;
     sequence->state = ENGINE_SEQUENCE_WAITING;
     g_ptr_array_insert(model->waiting, (gint)position, sequence);
@@ -54,7 +54,7 @@
     sequence->state = ENGINE_SEQUENCE_CANCELLED;
 }
 
-/** Tokens of KV a sequence holds once it runs to its end. */
+/** Returns the KV tokens that the sequence needs to run to its end. */
 static uint32_t kv_reserved(const engine_sequence *sequence) {
     return sequence->prompt_tokens + sequence->max_tokens;
 }
@@ -66,7 +66,7 @@
     return used;
 }
 
-uint32_t engine_model_count_before(const engine_model *model, int limit) {
+uint32_t engine_model_count_more_urgent(const engine_model *model, int limit) {
     uint32_t count = 0;
     for (guint index = 0; index < model->running->len; index++)
         count += ((engine_sequence *)model->running->pdata[index])->priority < limit;
@@ -75,7 +75,7 @@
     return count;
 }
 
-/** True when the prefix was cached; in any case it is the most recently used now. */
+/** Returns whether the prefix was cached, and makes it the most recently used one. */
 static bool touch_prefix(engine_model *model, uint64_t prefix_hash) {
     bool hit = false;
     for (guint index = 0; index < model->prefix_cache->len; index++) {
@@ -91,12 +91,13 @@
     return hit;
 }
 
-/** The running sequence that goes last, if it goes after @p sequence in priority. */
-static engine_sequence *preemption_victim(engine_model *model, const engine_sequence *sequence) {
+/** Returns the last running sequence in order, or NULL if @p sequence may not preempt it. */
+static engine_sequence *find_preemption_victim(engine_model *model,
+                                               const engine_sequence *sequence) {
     engine_sequence *victim = NULL;
     for (guint index = 0; index < model->running->len; index++) {
         engine_sequence *candidate = model->running->pdata[index];
-        if (victim == NULL || goes_before(victim, candidate))
+        if (victim == NULL || is_before(victim, candidate))
             victim = candidate;
     }
     if (victim == NULL || victim->priority <= sequence->priority)
@@ -104,14 +105,15 @@
     return victim;
 }
 
-static bool has_room(const engine_model *model, const engine_sequence *sequence) {
+static bool has_capacity(const engine_model *model, const engine_sequence *sequence) {
     return model->running->len < model->settings.max_sequences &&
            engine_model_kv_used(model) + kv_reserved(sequence) <= model->settings.kv_tokens;
 }
 
-static bool make_room(engine_model *model, const engine_sequence *sequence) {
-    while (!has_room(model, sequence)) {
-        engine_sequence *victim = preemption_victim(model, sequence);
+/** Preempts sequences until @p sequence fits. Returns false if too few can be preempted. */
+static bool preempt_for(engine_model *model, const engine_sequence *sequence) {
+    while (!has_capacity(model, sequence)) {
+        engine_sequence *victim = find_preemption_victim(model, sequence);
         if (victim == NULL)
             return false;
         g_ptr_array_remove(model->running, victim);
@@ -122,10 +124,10 @@
     return true;
 }
 
-static void admit(engine_model *model) {
+static void admit_waiting(engine_model *model) {
     while (model->waiting->len > 0) {
         engine_sequence *next = model->waiting->pdata[0];
-        if (!make_room(model, next))
+        if (!preempt_for(model, next))
             return;
         g_ptr_array_remove(model->waiting, next);
         next->state = ENGINE_SEQUENCE_RUNNING;
@@ -137,20 +139,20 @@
     }
 }
 
-/** Prompt tokens to prefill: what the engine lost by preemption is computed again. */
-static uint32_t prefill_needed(const engine_sequence *sequence) {
-    uint32_t wanted = sequence->prompt_tokens + sequence->produced;
+/** Returns the tokens still to prefill, those whose KV was lost in a preemption included. */
+static uint32_t count_prefill_tokens(const engine_sequence *sequence) {
+    uint32_t target = sequence->prompt_tokens + sequence->produced;
     if (sequence->produced > 0 && sequence->prefilled >= sequence->prompt_tokens)
         return 0;
-    return wanted > sequence->prefilled ? wanted - sequence->prefilled : 0;
+    return target > sequence->prefilled ? target - sequence->prefilled : 0;
 }
 
 static gint compare_running(gconstpointer left, gconstpointer right) {
-    return goes_before(*(engine_sequence *const *)left, *(engine_sequence *const *)right) ? -1 : 1;
+    return is_before(*(engine_sequence *const *)left, *(engine_sequence *const *)right) ? -1 : 1;
 }
 
 double engine_model_step_begin(engine_model *model) {
-    admit(model);
+    admit_waiting(model);
     if (model->running->len == 0)
         return 0;
     g_ptr_array_sort(model->running, compare_running);
@@ -161,11 +163,11 @@
     model->prefill_this_step = 0;
     for (guint index = 0; index < model->running->len; index++) {
         engine_sequence *sequence = model->running->pdata[index];
-        uint32_t share = MIN(prefill_needed(sequence), budget);
-        budget -= share;
-        sequence->prefilled += share;
-        model->prefill_this_step += share;
-        if (prefill_needed(sequence) > 0)
+        uint32_t prefill_tokens = MIN(count_prefill_tokens(sequence), budget);
+        budget -= prefill_tokens;
+        sequence->prefilled += prefill_tokens;
+        model->prefill_this_step += prefill_tokens;
+        if (count_prefill_tokens(sequence) > 0)
             continue;
         decoding++;
         context += sequence->prompt_tokens + sequence->produced;
@@ -179,7 +181,7 @@
     model->step_count++;
     for (guint index = 0; index < model->running->len;) {
         engine_sequence *sequence = model->running->pdata[index];
-        if (prefill_needed(sequence) > 0) {
+        if (count_prefill_tokens(sequence) > 0) {
             index++;
             continue;
         }
--- a/standin/engine/engine_model.h
+++ b/standin/engine/engine_model.h
@@ -1,10 +1,12 @@
 /**
  * @file engine_model.h
- * Model of one engine: continuous batching, prefix cache, KV limit, priorities with preemption.
+ * Model of an engine with continuous batching, a prefix cache, a KV limit and preemption by
+ * priority.
  *
- * Pure: it knows no clock and no thread. A driver begins a step, waits its duration (in real or
- * virtual time) and ends it; ending delivers a token to every decoding sequence. The step's
- * duration grows with the number of sequences, their context and the prompt tokens prefilled.
+ * The model uses no clock and no thread, and is not thread-safe. A driver begins a step, waits for
+ * its duration in real or virtual time, and ends the step, which gives a token to each decoding
+ * sequence. The duration grows with the number of decoding sequences, their context and the
+ * prefilled tokens.
  */
 #ifndef STANDIN_ENGINE_MODEL_H
 #define STANDIN_ENGINE_MODEL_H
@@ -13,7 +15,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Cost of a step and limits; times in milliseconds. */
+/** Costs of a step, and limits. */
 typedef struct {
     double step_base_ms;
     double step_per_sequence_ms;
@@ -21,14 +23,13 @@
     double step_per_prefill_token_ms;
     uint32_t max_sequences;
     uint32_t prefill_tokens_per_step;
-    uint32_t kv_tokens;            /**< Tokens of KV cache in all. */
-    uint32_t prefix_cache_entries; /**< Cached prefixes, least recently used goes first. */
+    uint32_t kv_tokens;            /**< Capacity of the KV cache. */
+    uint32_t prefix_cache_entries; /**< Least recently used prefixes are evicted. */
 } engine_model_settings;
 
 extern const engine_model_settings engine_model_default_settings;
 
-/** WAITING -> RUNNING by admission; RUNNING -> WAITING by preemption; both end in one of the rest.
- */
+/** Admission leads from WAITING to RUNNING, preemption back to WAITING. */
 typedef enum {
     ENGINE_SEQUENCE_WAITING,
     ENGINE_SEQUENCE_RUNNING,
@@ -38,15 +39,15 @@
 
 typedef struct {
     uint64_t arrival; /**< Order of arrival; set by the model. */
-    int priority;     /**< Lower goes first. */
+    int priority;     /**< Lower numbers run first. */
     uint32_t prompt_tokens;
     uint32_t max_tokens;
     uint64_t prefix_hash; /**< 0: no shared prefix. */
     uint32_t prefix_tokens;
-    uint32_t prefilled; /**< Prompt tokens whose KV stands, cached ones included. */
+    uint32_t prefilled; /**< Tokens in the KV cache, those of a cached prefix included. */
     uint32_t produced;
     engine_sequence_state state;
-    void *owner; /**< The driver's. */
+    void *owner; /**< Not used by the model. */
 } engine_sequence;
 
 typedef struct {
@@ -64,24 +65,27 @@
 engine_model *engine_model_new(const engine_model_settings *settings);
 void engine_model_free(engine_model *model);
 
-/** Hand in a sequence; the driver keeps ownership and frees it once it has ended. */
+/** Queues a sequence. The driver owns the sequence and may free it when DONE or CANCELLED. */
 void engine_model_submit(engine_model *model, engine_sequence *sequence);
 
-/** Take a sequence out, wherever it is. */
+/** Removes a waiting or running sequence and marks it CANCELLED. */
 void engine_model_cancel(engine_model *model, engine_sequence *sequence);
 
-/** Admit and preempt, then start a step. @return its duration in ms; 0 when there is no work. */
+/**
+ * Admits and preempts sequences and starts a step. Returns the duration of the step in ms, or 0 if
+ * no sequence runs.
+ */
 double engine_model_step_begin(engine_model *model);
 
 typedef void (*engine_token_callback)(engine_sequence *sequence, void *user_data);
 
-/** End the step: @p on_token runs for each sequence that got a token; ended ones are DONE. */
+/** Ends the step. Calls @p on_token for each sequence that got a token, after setting its state. */
 void engine_model_step_end(engine_model *model, engine_token_callback on_token, void *user_data);
 
-/** KV tokens in use by running sequences. */
+/** Returns the KV tokens that are reserved by running sequences. */
 uint32_t engine_model_kv_used(const engine_model *model);
 
-/** Sequences, waiting or running, with a priority below (before) @p limit. */
-uint32_t engine_model_count_before(const engine_model *model, int limit);
+/** Returns the count of waiting and running sequences with a priority number below @p limit. */
+uint32_t engine_model_count_more_urgent(const engine_model *model, int limit);
 
 #endif
--- a/standin/engine/main.c
+++ b/standin/engine/main.c
@@ -1,5 +1,4 @@
-/** @file main.c  heathsail-engine: command line of the engine stand-in; several engines a process.
- */
+/** @file main.c  Command line of heathsail-engine, which runs one or more stand-in engines. */
 #include "standin/engine/engine.h"
 
 #include <argp.h>
@@ -19,12 +18,13 @@
 } options;
 
 static const struct argp_option option_list[] = {
-    {"port", 'p', "PORT", 0, "port of the first engine on 127.0.0.1; the next follow (8200)", 0},
-    {"count", 'n', "N", 0, "engines in this process (1)", 0},
-    {"id", 'i', "PREFIX", 0, "engine ids are PREFIX-0, PREFIX-1, ... (engine)", 0},
-    {"step-ms", 's', "MS", 0, "base time of a step, at least 3 (3)", 0},
-    {"max-sequences", 'm', "N", 0, "sequences in one batch (64)", 0},
-    {"model", 'M', "MODEL", 0, "a further model held at the start", 0},
+    {"port", 'p', "PORT", 0,
+     "port of the first engine on 127.0.0.1; the others use the next ports (default 8200)", 0},
+    {"count", 'n', "N", 0, "number of engines (default 1)", 0},
+    {"id", 'i', "PREFIX", 0, "engine ids are PREFIX-0, PREFIX-1, ... (default engine)", 0},
+    {"step-ms", 's', "MS", 0, "base duration of a step, at least 3 (default 3)", 0},
+    {"max-sequences", 'm', "N", 0, "maximum of running sequences (default 64)", 0},
+    {"model", 'M', "MODEL", 0, "additional model loaded at the start", 0},
     {0}};
 
 static error_t parse_option(int key, char *argument, struct argp_state *state) {
@@ -62,7 +62,7 @@
     if (parsed->model != NULL)
         g_ptr_array_add((*started)->loaded_models, g_strdup(parsed->model));
     hs_http_server *server = hs_http_server_new("127.0.0.1", (uint16_t)(parsed->port + index), 0);
-    engine_routes(*started, server);
+    engine_add_routes(*started, server);
     hs_error error = {0};
     if (hs_http_server_start(server, &error) == 0)
         return server;
--- a/standin/log_store/log_store.h
+++ b/standin/log_store/log_store.h
@@ -1,8 +1,8 @@
 /**
  * @file log_store.h
- * Stand-in for the platform's log store, in the process of whoever starts it: topics with
- * partitions, keyed topics, groups, producers' epochs, trimming; and switches for its faults.
- * Sizes, rates and prices are not kept.
+ * Stand-in for the platform's log store, run in the process of the test: topics with partitions,
+ * keyed topics, one consumer group, trimming, and injected faults. There are no limits on size or
+ * rate. The functions are thread-safe, except log_store_stop.
  */
 #ifndef STANDIN_LOG_STORE_LOG_STORE_H
 #define STANDIN_LOG_STORE_LOG_STORE_H
@@ -13,37 +13,37 @@
 
 typedef struct log_store log_store;
 
-/** How the store behaves towards calls; a pattern of targets may limit it. */
+/** How the store handles calls. */
 typedef enum {
     LOG_STORE_SOUND,
-    LOG_STORE_REFUSES,      /**< 503: nothing is done. */
-    LOG_STORE_THROTTLES,    /**< 429: nothing is done. */
-    LOG_STORE_SILENT,       /**< Nothing is done, no answer comes. */
-    LOG_STORE_LOSES_ANSWER, /**< Done, and the connection ends without an answer. */
-    LOG_STORE_DROPS,        /**< Nothing is done, and the connection ends without an answer. */
+    LOG_STORE_REFUSES,      /**< Status 503; the call has no effect. */
+    LOG_STORE_THROTTLES,    /**< Status 429; the call has no effect. */
+    LOG_STORE_SILENT,       /**< No response; the call has no effect. */
+    LOG_STORE_LOSES_ANSWER, /**< No response and a closed connection; the call takes effect. */
+    LOG_STORE_DROPS,        /**< No response and a closed connection; the call has no effect. */
 } log_store_mode;
 
-/** Listen on 127.0.0.1; the port is chosen by the system when @p port is 0. */
+/** Listens on 127.0.0.1, on a leased port if @p port is 0. Free with log_store_stop. */
 log_store *log_store_start(uint16_t port);
 void log_store_stop(log_store *store);
 uint16_t log_store_port(const log_store *store);
 
-/** Faults for calls whose target begins with @p prefix (NULL: all), for the next @p count calls. */
+/** Sets the mode of the next @p count calls whose target begins with @p prefix (NULL: any). */
 void log_store_set_mode(log_store *store, log_store_mode mode, const char *prefix, uint32_t count);
 
-/** Answer each call this much later. */
+/** Delays each call. */
 void log_store_set_delay(log_store *store, uint32_t delay_ms);
 
-/** Write a record under a key, as operators and engines do; an empty value drops the key. */
+/** Appends a record to a keyed topic. An empty value deletes the key. */
 void log_store_put(log_store *store, const char *topic, const char *key, const char *value);
 
-/** Forget the records of a topic; in keyed topics the newest of each key stays. */
+/** Removes all records of a topic. The newest values of a keyed topic remain. */
 void log_store_forget(log_store *store, const char *topic);
 
-/** Deal all partitions of all groups anew. */
+/** Revokes all partitions and assigns each one to the next member. */
 void log_store_rebalance(log_store *store);
 
-/** Calls so far whose target begins with @p prefix. */
+/** Returns the count of calls whose target begins with @p prefix, failed ones included. */
 uint32_t log_store_calls(log_store *store, const char *prefix);
 
 #endif
--- a/standin/platform/main.c
+++ b/standin/platform/main.c
@@ -1,4 +1,4 @@
-/** @file main.c  heathsail-platform: command line of the platform stand-in. */
+/** @file main.c  Command line of heathsail-platform, the stand-in for the platform. */
 #include "standin/platform/platform.h"
 
 #include <argp.h>
@@ -17,7 +17,7 @@
 static const struct argp_option option_list[] = {
     {"port", 'p', "PORT", 0, "port on 127.0.0.1 (default 8070)", 0},
     {"list-lag-ms", 'l', "MS", 0, "lag of the machine list (default 200)", 0},
-    {"weight-loads", 'w', "N", 0, "weight loads a minute (default 60)", 0},
+    {"weight-loads", 'w', "N", 0, "weight loads per minute (default 60)", 0},
     {0}};
 
 static error_t parse_option(int key, char *argument, struct argp_state *state) {
@@ -51,7 +51,7 @@
     platform *self =
         platform_new((uint32_t)parsed.list_lag_ms, (uint32_t)parsed.weight_loads_per_minute);
     hs_http_server *server = hs_http_server_new("127.0.0.1", (uint16_t)parsed.port, 0);
-    platform_routes(self, server);
+    platform_add_routes(self, server);
     hs_error error = {0};
     if (hs_http_server_start(server, &error) != 0) {
         fprintf(stderr, "heathsail-platform: %s\n", error.message);
--- a/standin/platform/platform_control.c
+++ b/standin/platform/platform_control.c
@@ -1,4 +1,4 @@
-/** @file platform_control.c  Fault switches of the platform stand-in. */
+/** @file platform_control.c  Control of the faults of the platform stand-in. */
 #include "standin/platform/platform.h"
 
 static void set_append_fault(platform_append_fault *fault, const json_t *value) {
@@ -17,7 +17,7 @@
         *number = (uint32_t)json_integer_value(value);
 }
 
-/** Switch the faults named in the body; those not named stay. */
+/** Sets the faults named in the body and leaves the others as they are. */
 static int handle_put_faults(const struct _u_request *request, struct _u_response *response,
                              void *user_data) {
     platform *self = user_data;
@@ -35,7 +35,7 @@
         faults->refuse = json_is_true(json_object_get(body, "refuse"));
     set_number(&faults->slow_ms, json_object_get(body, "slow_ms"));
     set_number(&faults->list_lag_ms, json_object_get(body, "list_lag_ms"));
-    set_append_fault(&faults->lose_answer, json_object_get(body, "lose_answer"));
+    set_append_fault(&faults->lose_response, json_object_get(body, "lose_answer"));
     set_append_fault(&faults->duplicate, json_object_get(body, "duplicate"));
     g_cond_broadcast(&self->appended);
     g_mutex_unlock(&self->lock);
@@ -43,7 +43,7 @@
     return hs_http_reply_json(response, 200, json_object());
 }
 
-/** What the faults have left to do, so that a test can wait until one has struck. */
+/** Returns the faults and their remaining counts, so that a test can wait for a fault. */
 static int handle_get_faults(const struct _u_request *request, struct _u_response *response,
                              void *user_data) {
     (void)request;
@@ -52,14 +52,14 @@
     json_t *body =
         json_pack("{s:b,s:b,s:i,s:i,s:i,s:I,s:I}", "down", self->faults.down, "refuse",
                   self->faults.refuse, "slow_ms", (int)self->faults.slow_ms, "lose_answer_left",
-                  (int)self->faults.lose_answer.count, "duplicate_left",
+                  (int)self->faults.lose_response.count, "duplicate_left",
                   (int)self->faults.duplicate.count, "append_count", (json_int_t)self->append_count,
                   "failed_calls", (json_int_t)self->failed_calls);
     g_mutex_unlock(&self->lock);
     return hs_http_reply_json(response, 200, body);
 }
 
-void platform_control_routes(platform *self, hs_http_server *server) {
+void platform_add_control_routes(platform *self, hs_http_server *server) {
     hs_http_server_route(server, "PUT", "/control/faults", handle_put_faults, self);
     hs_http_server_route(server, "GET", "/control/faults", handle_get_faults, self);
 }
--- a/standin/platform/platform_log.c
+++ b/standin/platform/platform_log.c
@@ -1,4 +1,4 @@
-/** @file platform_log.c  The stand-in's append-only log and its faults. */
+/** @file platform_log.c  Append-only log of the platform stand-in, and faults of calls. */
 #include "standin/platform/platform.h"
 
 #include <inttypes.h>
@@ -46,7 +46,7 @@
     return U_CALLBACK_COMPLETE;
 }
 
-bool platform_fault_hits(platform *self, struct _u_response *response) {
+bool platform_apply_fault(platform *self, struct _u_response *response) {
     g_mutex_lock(&self->lock);
     bool down = self->faults.down;
     bool refuse = self->faults.refuse;
@@ -62,7 +62,7 @@
     return down || refuse;
 }
 
-static GPtrArray *stream_of(platform *self, const char *name) {
+static GPtrArray *find_or_add_stream(platform *self, const char *name) {
     GPtrArray *stream = g_hash_table_lookup(self->streams, name);
     if (stream != NULL)
         return stream;
@@ -71,31 +71,31 @@
     return stream;
 }
 
-/** Split the body's frames into records; NULL when a frame is cut. */
+/** Splits the body into records. Returns NULL if a frame is truncated. */
 static GPtrArray *parse_frames(const uint8_t *body, size_t length) {
     GPtrArray *records = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
     size_t position = 0;
     while (position < length) {
         uint32_t wire_length;
         if (length - position < sizeof wire_length)
-            goto cut;
+            goto truncated;
         memcpy(&wire_length, body + position, sizeof wire_length);
         position += sizeof wire_length;
         uint32_t record_length = GUINT32_FROM_BE(wire_length);
         if (length - position < record_length)
-            goto cut;
+            goto truncated;
         g_ptr_array_add(records, g_bytes_new(body + position, record_length));
         position += record_length;
     }
     return records;
-cut:
+truncated:
     g_ptr_array_free(records, TRUE);
     return NULL;
 }
 
-/** True, counting down, when @p fault matches this append. The caller holds the lock. */
-static bool take_append_fault(platform_append_fault *fault, const char *stream,
-                              GPtrArray *records) {
+/** Returns true and counts @p fault down if the append matches. The caller holds the lock. */
+static bool consume_append_fault(platform_append_fault *fault, const char *stream,
+                                 GPtrArray *records) {
     if (fault->count == 0 || records->len == 0)
         return false;
     if (fault->stream_prefix != NULL && !g_str_has_prefix(stream, fault->stream_prefix))
@@ -114,7 +114,7 @@
 static int handle_append(const struct _u_request *request, struct _u_response *response,
                          void *user_data) {
     platform *self = user_data;
-    if (platform_fault_hits(self, response))
+    if (platform_apply_fault(self, response))
         return U_CALLBACK_COMPLETE;
     const char *name = hs_http_parameter(request, "stream");
     GPtrArray *records = parse_frames(request->binary_body, request->binary_body_length);
@@ -123,10 +123,10 @@
         return U_CALLBACK_COMPLETE;
     }
     g_mutex_lock(&self->lock);
-    GPtrArray *stream = stream_of(self, name);
+    GPtrArray *stream = find_or_add_stream(self, name);
     uint64_t first_offset = stream->len;
-    bool lose_answer = take_append_fault(&self->faults.lose_answer, name, records);
-    int copies = take_append_fault(&self->faults.duplicate, name, records) ? 2 : 1;
+    bool lose_response = consume_append_fault(&self->faults.lose_response, name, records);
+    int copies = consume_append_fault(&self->faults.duplicate, name, records) ? 2 : 1;
     for (int copy = 0; copy < copies; copy++)
         for (guint index = 0; index < records->len; index++)
             g_ptr_array_add(stream, g_bytes_ref(records->pdata[index]));
@@ -135,14 +135,14 @@
     g_cond_broadcast(&self->appended);
     g_mutex_unlock(&self->lock);
     g_ptr_array_free(records, TRUE);
-    if (lose_answer)
+    if (lose_response)
         return standin_break_connection(response);
     return hs_http_reply_json(response, 200,
                               json_pack("{s:I,s:I}", "first_offset", (json_int_t)first_offset,
                                         "next_offset", (json_int_t)next_offset));
 }
 
-/** Frames of @p stream from @p offset on, at most about @p max_bytes but at least one record. */
+/** Encodes records from @p offset on, at least one and then at most about @p max_bytes. */
 static GByteArray *encode_records(GPtrArray *stream, uint64_t offset, uint64_t max_bytes) {
     GByteArray *body = g_byte_array_new();
     for (uint64_t position = offset; position < stream->len; position++) {
@@ -162,17 +162,17 @@
 static int handle_read(const struct _u_request *request, struct _u_response *response,
                        void *user_data) {
     platform *self = user_data;
-    if (platform_fault_hits(self, response))
+    if (platform_apply_fault(self, response))
         return U_CALLBACK_COMPLETE;
     const char *name = hs_http_parameter(request, "stream");
     uint64_t offset = hs_http_parameter_number(request, "offset", 0);
     uint64_t wait_ms = MIN(hs_http_parameter_number(request, "wait_ms", 0), MAX_WAIT_MS);
     uint64_t max_bytes = hs_http_parameter_number(request, "max_bytes", DEFAULT_READ_BYTES);
-    gint64 until = g_get_monotonic_time() + (gint64)wait_ms * 1000;
+    gint64 deadline_us = g_get_monotonic_time() + (gint64)wait_ms * 1000;
     g_mutex_lock(&self->lock);
-    GPtrArray *stream = stream_of(self, name);
+    GPtrArray *stream = find_or_add_stream(self, name);
     while (stream->len <= offset && wait_ms > 0 && !self->faults.down && !self->stopping)
-        if (!g_cond_wait_until(&self->appended, &self->lock, until))
+        if (!g_cond_wait_until(&self->appended, &self->lock, deadline_us))
             break;
     bool down = self->faults.down;
     GByteArray *body = encode_records(stream, offset, max_bytes);
@@ -188,19 +188,19 @@
 static int handle_end(const struct _u_request *request, struct _u_response *response,
                       void *user_data) {
     platform *self = user_data;
-    if (platform_fault_hits(self, response))
+    if (platform_apply_fault(self, response))
         return U_CALLBACK_COMPLETE;
     g_mutex_lock(&self->lock);
-    uint64_t end_offset = stream_of(self, hs_http_parameter(request, "stream"))->len;
+    uint64_t end_offset = find_or_add_stream(self, hs_http_parameter(request, "stream"))->len;
     g_mutex_unlock(&self->lock);
     return hs_http_reply_json(response, 200,
                               json_pack("{s:I}", "end_offset", (json_int_t)end_offset));
 }
 
-void platform_routes(platform *self, hs_http_server *server) {
+void platform_add_routes(platform *self, hs_http_server *server) {
     hs_http_server_route(server, "POST", "/log/v1/streams/:stream/records", handle_append, self);
     hs_http_server_route(server, "GET", "/log/v1/streams/:stream/records", handle_read, self);
     hs_http_server_route(server, "GET", "/log/v1/streams/:stream", handle_end, self);
-    platform_machine_routes(self, server);
-    platform_control_routes(self, server);
+    platform_add_machine_routes(self, server);
+    platform_add_control_routes(self, server);
 }
--- a/standin/platform/platform_machines.c
+++ b/standin/platform/platform_machines.c
@@ -1,10 +1,10 @@
-/** @file platform_machines.c  The stand-in's lagging machine list and its weight store. */
+/** @file platform_machines.c  Machine list and weight store of the platform stand-in. */
 #include "standin/platform/platform.h"
 
 #define US_PER_MS 1000
 #define US_PER_MINUTE (60.0 * 1e6)
 
-/** The list as it was from one moment on. */
+/** One version of the machine list. */
 typedef struct {
     gint64 since_us;
     json_t *machines;
@@ -53,43 +53,44 @@
 static int handle_list(const struct _u_request *request, struct _u_response *response,
                        void *user_data) {
     platform *self = user_data;
-    if (platform_fault_hits(self, response))
+    if (platform_apply_fault(self, response))
         return U_CALLBACK_COMPLETE;
-    json_t *shown = NULL;
-    guint number = 0;
-    const char *known = u_map_get_case(request->map_header, "If-None-Match");
+    json_t *listed = NULL;
+    guint version_number = 0;
+    const char *known_etag = u_map_get_case(request->map_header, "If-None-Match");
     g_mutex_lock(&self->lock);
-    gint64 horizon = g_get_monotonic_time() - (gint64)self->faults.list_lag_ms * US_PER_MS;
+    gint64 visible_until_us = g_get_monotonic_time() - (gint64)self->faults.list_lag_ms * US_PER_MS;
     guint count = self->machine_history != NULL ? self->machine_history->len : 0;
     for (guint index = 0; index < count; index++) {
         platform_machine_version *version =
             &g_array_index(self->machine_history, platform_machine_version, index);
-        if (version->since_us > horizon)
+        if (version->since_us > visible_until_us)
             continue;
-        number = index + 1;
+        version_number = index + 1;
     }
-    number = MAX(number, self->shown_version);
-    self->shown_version = number;
-    if (number > 0 && self->machine_history != NULL)
-        shown = g_array_index(self->machine_history, platform_machine_version, number - 1).machines;
-    g_autofree char *etag = g_strdup_printf("\"%u\"", number);
+    version_number = MAX(version_number, self->listed_version);
+    self->listed_version = version_number;
+    if (version_number > 0 && self->machine_history != NULL)
+        listed = g_array_index(self->machine_history, platform_machine_version, version_number - 1)
+                     .machines;
+    g_autofree char *etag = g_strdup_printf("\"%u\"", version_number);
     u_map_put(response->map_header, "ETag", etag);
-    if (g_strcmp0(known, etag) == 0) {
+    if (g_strcmp0(known_etag, etag) == 0) {
         g_mutex_unlock(&self->lock);
         ulfius_set_empty_body_response(response, 304);
         return U_CALLBACK_COMPLETE;
     }
     json_t *body = json_object();
-    json_object_set_new(body, "machines", shown != NULL ? json_deep_copy(shown) : json_array());
+    json_object_set_new(body, "machines", listed != NULL ? json_deep_copy(listed) : json_array());
     g_mutex_unlock(&self->lock);
     return hs_http_reply_json(response, 200, body);
 }
 
-/** One load of weights: allowed while the token bucket has a token. */
+/** Allows a load of weights if the token bucket holds a token. */
 static int handle_weights(const struct _u_request *request, struct _u_response *response,
                           void *user_data) {
     platform *self = user_data;
-    if (platform_fault_hits(self, response))
+    if (platform_apply_fault(self, response))
         return U_CALLBACK_COMPLETE;
     g_mutex_lock(&self->lock);
     gint64 now = g_get_monotonic_time();
@@ -108,7 +109,7 @@
     return hs_http_reply_json(response, 429, json_object());
 }
 
-void platform_machine_routes(platform *self, hs_http_server *server) {
+void platform_add_machine_routes(platform *self, hs_http_server *server) {
     hs_http_server_route(server, "GET", "/machines/v1/list", handle_list, self);
     hs_http_server_route(server, "GET", "/weights/v1/:model", handle_weights, self);
     hs_http_server_route(server, "PUT", "/control/machines/:id", handle_put_machine, self);
--- a/standin/port_lease/port_lease.c
+++ b/standin/port_lease/port_lease.c
@@ -7,24 +7,24 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/** Range of all blocks: above what services use, below the kernel's own choices (from 32768). */
-#define RANGE_FIRST 20000
-#define RANGE_LAST 31999
-/** Ports of one block: its first one is the lease, the others are handed out. */
-#define BLOCK_PORTS (PORT_LEASE_MOST + 1)
-#define BLOCK_COUNT ((RANGE_LAST - RANGE_FIRST + 1) / BLOCK_PORTS)
+/** Range of the blocks: above the ports of common services, below the ephemeral ports. */
+#define MIN_LEASE_PORT 20000
+#define MAX_LEASE_PORT 31999
+/** The first port of a block is the lease; the others are for callers. */
+#define BLOCK_PORTS (MAX_LEASED_PORTS + 1)
+#define BLOCK_COUNT ((MAX_LEASE_PORT - MIN_LEASE_PORT + 1) / BLOCK_PORTS)
 
-/** The block in use; its earlier ports were handed out. */
+/** The current block; its ports below @c next are in use. */
 static struct {
     GMutex lock;
     uint16_t next;
-    uint16_t end; /**< One past its last port; 0: no block is held. */
+    uint16_t end; /**< One past the last port; 0: no block is leased. */
 } block;
 
-/** A socket that listens on @p port, or -1. @p shares: beside connections that linger there. */
-static int listen_on(uint16_t port, bool shares) {
+/** Returns a listening socket or -1. @p reuse_address ignores sockets in TIME_WAIT. */
+static int listen_on(uint16_t port, bool reuse_address) {
     int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    int enabled = shares;
+    int enabled = reuse_address;
     struct sockaddr_in local = {
         .sin_family = AF_INET, .sin_port = htons(port), .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
@@ -35,40 +35,40 @@
     return -1;
 }
 
-/** Programs of a test that was killed may still listen in a block whose lease is gone. */
-static bool are_free(uint16_t first, uint16_t count) {
-    bool free_so_far = true;
-    for (uint16_t port = first; port < first + count && free_so_far; port++) {
+/** Checks for listeners of processes that outlived the lease of the block. */
+static bool are_ports_free(uint16_t first, uint16_t count) {
+    bool all_free = true;
+    for (uint16_t port = first; port < first + count && all_free; port++) {
         int descriptor = listen_on(port, true);
-        free_so_far = descriptor >= 0;
-        if (free_so_far)
+        all_free = descriptor >= 0;
+        if (all_free)
             close(descriptor);
     }
-    return free_so_far;
+    return all_free;
 }
 
-/** Lease the next free block, beginning at one that the process's number chooses. */
-static void take_block(void) {
-    static uint32_t tried;
-    while (tried < BLOCK_COUNT) {
-        uint32_t number = ((uint32_t)getpid() + tried++) % BLOCK_COUNT;
-        uint16_t first = (uint16_t)(RANGE_FIRST + number * BLOCK_PORTS);
-        if (listen_on(first, false) < 0) /* Else the socket is the lease; it stays open. */
+/** Leases the next free block, starting at an index derived from the process id. */
+static void lease_block(void) {
+    static uint32_t attempt_count;
+    while (attempt_count < BLOCK_COUNT) {
+        uint32_t number = ((uint32_t)getpid() + attempt_count++) % BLOCK_COUNT;
+        uint16_t first = (uint16_t)(MIN_LEASE_PORT + number * BLOCK_PORTS);
+        if (listen_on(first, false) < 0) /* Otherwise the socket stays open as the lease. */
             continue;
         block.next = first + 1;
         block.end = first + BLOCK_PORTS;
         return;
     }
-    g_error("no ports are left for tests in %d to %d", RANGE_FIRST, RANGE_LAST);
+    g_error("no free block of ports between %d and %d", MIN_LEASE_PORT, MAX_LEASE_PORT);
 }
 
 uint16_t port_lease_take(uint16_t count) {
-    g_assert(count >= 1 && count <= PORT_LEASE_MOST);
+    g_assert(count >= 1 && count <= MAX_LEASED_PORTS);
     g_mutex_lock(&block.lock);
     while (true) {
         if (block.end == 0 || block.next + count > block.end) {
-            take_block();
-        } else if (are_free(block.next, count)) {
+            lease_block();
+        } else if (are_ports_free(block.next, count)) {
             break;
         } else {
             block.next++;
--- a/standin/port_lease/port_lease.h
+++ b/standin/port_lease/port_lease.h
@@ -1,23 +1,22 @@
 /**
  * @file port_lease.h
- * Ports of 127.0.0.1 for stand-ins and for the programs that tests start.
+ * Leases ports of 127.0.0.1 for stand-ins and for the programs that tests start.
  *
- * Listeners share a port silently where all of them allow it, so that two test programs on one
- * machine would answer each other's calls. A process therefore leases blocks of ports: it holds the
- * first port of a block exclusively for as long as it lives.
+ * Two listeners can share a port if both of them permit it, and test programs on the same machine
+ * could then receive each other's calls. A process therefore leases a block of ports by binding
+ * the first port of the block exclusively until the process exits.
  */
 #ifndef STANDIN_PORT_LEASE_PORT_LEASE_H
 #define STANDIN_PORT_LEASE_PORT_LEASE_H
 
 #include <stdint.h>
 
-/** Most ports that one call may take. */
-#define PORT_LEASE_MOST 49
+/** Maximum number of ports per call. */
+#define MAX_LEASED_PORTS 49
 
 /**
- * Take @p count consecutive ports (1 to PORT_LEASE_MOST) that no other process leases and nobody
- * listens on. They belong to this process until it ends. The first of them; ends the process where
- * none are left. Safe to call from any thread.
+ * Leases @p count consecutive ports (1 to MAX_LEASED_PORTS) without a listener until the process
+ * exits, and returns the first one. Aborts the process if no free ports are left. Thread-safe.
  */
 uint16_t port_lease_take(uint16_t count);
 
--- a/standin/token_engine/token_engine.c
+++ b/standin/token_engine/token_engine.c
@@ -1,4 +1,4 @@
-/** @file token_engine.c  Stand-in for a model engine; see token_engine.h. */
+/** @file token_engine.c  See token_engine.h. */
 #include "standin/token_engine/token_engine.h"
 
 #include "base/clock.h"
@@ -11,9 +11,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define BODY_LIMIT (16U * 1024 * 1024)
-#define SLOW_MS 150
-#define DEFAULT_SLOTS 8U
+#define MAX_BODY_BYTES (16U * 1024 * 1024)
+#define SLOW_RESPONSE_MS 150
+#define DEFAULT_SLOT_COUNT 8U
 
 struct token_engine {
     token_engine_settings settings;
@@ -21,39 +21,39 @@
     char *service;
     hs_listener *listener;
     uint16_t port;
-    uint16_t shown_port;
+    uint16_t announced_port;
     gint mode;
-    gint is_crashing; /**< Answers end without their ends. */
-    gint wants_crash;
+    gint is_crashing; /**< Makes waiting responses abort. */
+    gint crash_requested;
     GMutex lock;
-    GHashTable *runs;    /**< request id -> count */
-    GHashTable *resumes; /**< request id -> count of those that went on after an event */
-    GArray *run_log;     /**< of token_engine_run, by number. */
-    GArray *call_log;    /**< of token_engine_call, by number. */
-    uint32_t total;
-    uint32_t sequence;
-    uint64_t started_at_ms; /**< Wall time of its start. */
+    GHashTable *run_counts;    /**< request id -> count of runs */
+    GHashTable *resume_counts; /**< request id -> count of runs that resumed */
+    GArray *run_log;           /**< of token_engine_run, by run number */
+    GArray *call_log;          /**< of token_engine_call, by call number */
+    uint32_t total_run_count;
+    uint32_t entry_sequence; /**< Sequence number of the last announced entry. */
+    uint64_t started_at_ms;  /**< Wall time. */
 };
 
-/** One stream under way. */
+/** An open stream. */
 typedef struct {
     token_engine *engine;
-    uint32_t run;  /**< Its number in the engine's log. */
-    uint32_t call; /**< Likewise. */
+    uint32_t run;  /**< Number in the run log. */
+    uint32_t call; /**< Number in the call log. */
     int descriptor;
-    uint32_t next;
-    uint32_t last;
-    uint32_t break_at; /**< 0: never. */
-    uint32_t event_ms; /**< Between events. */
-    uint64_t told_ms;  /**< When the last event was made; monotonic. */
+    uint32_t next;          /**< Number of the next event. */
+    uint32_t last;          /**< Number of the last event; 0: abort now. */
+    uint32_t break_at;      /**< Last event before the cut; 0: no cut. */
+    uint32_t event_ms;      /**< Interval between events. */
+    uint64_t last_event_ms; /**< Monotonic time of the last event. */
     bool is_fatal;
 } stream;
 
-/** Longest in ms that an answer under way needs to see that its engine crashes. */
-#define CRASH_POLL_MS 5
+/** Maximum interval between checks for a crash of the engine. */
+#define MAX_CRASH_POLL_MS 5
 
-/** Note whose a call is told to be, by all fields that say so. */
-static void note_tenant(const GArray *fields, token_engine_call *call) {
+/** Joins the values of all tenant headers. */
+static void record_tenant(const GArray *fields, token_engine_call *call) {
     for (guint index = 0; index < fields->len; index++) {
         const hs_http_field *field = &g_array_index(fields, hs_http_field, index);
         if (g_ascii_strcasecmp(field->name, HEADER_TENANT) != 0)
@@ -64,11 +64,12 @@
     }
 }
 
-/** Note a call that came; its number. */
-static uint32_t begin_call(token_engine *engine, const char *request_id, const GArray *fields) {
+/** Adds a call to the log and returns its number. */
+static uint32_t record_call_start(token_engine *engine, const char *request_id,
+                                  const GArray *fields) {
     token_engine_call call = {.begun_ms = hs_clock_monotonic_ms()};
     g_strlcpy(call.request_id, request_id, sizeof call.request_id);
-    note_tenant(fields, &call);
+    record_tenant(fields, &call);
     call.has_key = hs_http_fields_find(fields, HEADER_API_KEY) != NULL;
     g_mutex_lock(&engine->lock);
     uint32_t number = engine->call_log->len;
@@ -77,44 +78,43 @@
     return number;
 }
 
-static void end_call(token_engine *engine, uint32_t number) {
+static void record_call_end(token_engine *engine, uint32_t number) {
     g_mutex_lock(&engine->lock);
     g_array_index(engine->call_log, token_engine_call, number).ended_ms = hs_clock_monotonic_ms();
     g_mutex_unlock(&engine->lock);
 }
 
-/** Wait so long; true at once when the caller leaves or the engine crashes. */
-static bool waits_until_gone(token_engine *engine, int descriptor, uint32_t wait_ms) {
-    if (engine->settings.fatal == NULL) /* It does not crash: one wait, since streams are many. */
+/** Waits for @p wait_ms. Returns true early if the caller disconnects or the engine crashes. */
+static bool wait_for_disconnect_or_crash(token_engine *engine, int descriptor, uint32_t wait_ms) {
+    if (engine->settings.fatal == NULL) /* The engine cannot crash: wait without polling. */
         return hs_peer_wait_for_disconnect(descriptor, wait_ms);
     uint64_t until_ms = hs_clock_monotonic_ms() + wait_ms;
     uint64_t now_ms = hs_clock_monotonic_ms();
     while (g_atomic_int_get(&engine->is_crashing) == 0 && now_ms < until_ms) {
         if (hs_peer_wait_for_disconnect(descriptor,
-                                        (uint32_t)MIN(until_ms - now_ms, CRASH_POLL_MS)))
+                                        (uint32_t)MIN(until_ms - now_ms, MAX_CRASH_POLL_MS)))
             return true;
         now_ms = hs_clock_monotonic_ms();
     }
     return g_atomic_int_get(&engine->is_crashing) != 0;
 }
 
-/** A thread of the engine's that gets no processor is late, and notices a caller that left as late.
- */
-static void note_lateness(stream *events) {
+/** Records the delay of an event by scheduling; the engine detects a disconnect as late as that. */
+static void record_event_delay(stream *events) {
     token_engine *engine = events->engine;
     uint64_t now_ms = hs_clock_monotonic_ms();
-    uint64_t due_ms = events->told_ms + events->event_ms;
+    uint64_t due_ms = events->last_event_ms + events->event_ms;
     g_mutex_lock(&engine->lock);
     token_engine_run *run = &g_array_index(engine->run_log, token_engine_run, events->run);
     run->late_ms = MAX(run->late_ms, now_ms > due_ms ? now_ms - due_ms : 0);
     g_mutex_unlock(&engine->lock);
-    events->told_ms = now_ms;
+    events->last_event_ms = now_ms;
 }
 
 static ssize_t write_event(void *data, char *buffer, size_t size) {
     stream *events = data;
     if (events->break_at != 0 && events->next > events->break_at) {
-        int cut_length = g_snprintf(buffer, size, "id: 9"); /* Within an event. */
+        int cut_length = g_snprintf(buffer, size, "id: 9"); /* Cuts within an event. */
         events->break_at = 0;
         events->last = 0;
         return cut_length;
@@ -123,15 +123,16 @@
         return HS_READER_ABORT;
     if (events->next > events->last)
         return HS_READER_END;
-    bool is_gone = waits_until_gone(events->engine, events->descriptor, events->event_ms);
-    note_lateness(events);
-    if (is_gone)
+    bool is_disconnected =
+        wait_for_disconnect_or_crash(events->engine, events->descriptor, events->event_ms);
+    record_event_delay(events);
+    if (is_disconnected)
         return HS_READER_ABORT;
     if (events->is_fatal) {
-        waits_until_gone(events->engine, events->descriptor,
-                         events->engine->settings.fatal_after_ms);
-        g_atomic_int_set(&events->engine->wants_crash, 1);
-        waits_until_gone(events->engine, events->descriptor, G_MAXINT / 2);
+        wait_for_disconnect_or_crash(events->engine, events->descriptor,
+                                     events->engine->settings.fatal_after_ms);
+        g_atomic_int_set(&events->engine->crash_requested, 1);
+        wait_for_disconnect_or_crash(events->engine, events->descriptor, G_MAXINT / 2);
         return HS_READER_ABORT;
     }
     g_autofree char *event =
@@ -146,11 +147,12 @@
 }
 
 bool token_engine_read_event(const char *data, uint32_t *event, char *engine_id, uint32_t *run) {
-    /* The width is TOKEN_ENGINE_ID_BYTES less the NUL. */
+    /* The width is TOKEN_ENGINE_ID_BYTES without the NUL. */
     return sscanf(data, "token %u of %63[^/]/%u", event, engine_id, run) == 3;
 }
 
-static void add_head(const token_engine *engine, GArray *fields, const char *request_id) {
+static void add_response_fields(const token_engine *engine, GArray *fields,
+                                const char *request_id) {
     hs_http_fields_add(fields, HEADER_REQUEST_ID, request_id);
     hs_http_fields_add(fields, HEADER_SIGNATURE, "sig.1");
     hs_http_fields_add(fields, HEADER_SERVER_LOAD, "1,0,8");
@@ -159,7 +161,8 @@
     hs_http_fields_add(fields, "X-Twice", "two");
 }
 
-static void refuse(hs_inbound *inbound, uint32_t status, const char *request_id, bool executed) {
+static void reply_refusal(hs_inbound *inbound, uint32_t status, const char *request_id,
+                          bool executed) {
     GArray *fields = hs_http_fields_new();
     hs_http_fields_add(fields, HEADER_REQUEST_ID, request_id);
     if (executed)
@@ -171,29 +174,29 @@
 }
 
 /** The caller holds the lock. */
-static void count_one(GHashTable *counts, const char *request_id) {
+static void increment_count(GHashTable *counts, const char *request_id) {
     guint count = GPOINTER_TO_UINT(g_hash_table_lookup(counts, request_id));
     g_hash_table_insert(counts, g_strdup(request_id), GUINT_TO_POINTER(count + 1));
 }
 
-/** Remember a run that was asked to go on after @p after (NULL: to begin); its number. */
-static uint32_t note_run(token_engine *engine, const char *request_id, const char *after) {
+/** Adds a run that resumes after the event @p after (NULL: a new run); returns its number. */
+static uint32_t record_run_start(token_engine *engine, const char *request_id, const char *after) {
     token_engine_run run = {.resumes = after != NULL, .begun_ms = hs_clock_wall_ms()};
     g_strlcpy(run.request_id, request_id, sizeof run.request_id);
     if (run.resumes)
         run.asked_after = g_ascii_strtoull(after, NULL, 10);
     g_mutex_lock(&engine->lock);
-    count_one(engine->runs, request_id);
+    increment_count(engine->run_counts, request_id);
     if (run.resumes)
-        count_one(engine->resumes, request_id);
+        increment_count(engine->resume_counts, request_id);
     uint32_t number = engine->run_log->len;
     g_array_append_val(engine->run_log, run);
-    engine->total++;
+    engine->total_run_count++;
     g_mutex_unlock(&engine->lock);
     return number;
 }
 
-static const token_engine_pace *pace_of(const token_engine *engine, const char *path) {
+static const token_engine_pace *select_pace(const token_engine *engine, const char *path) {
     const char *const *prefix = engine->settings.long_paths;
     for (; prefix != NULL && *prefix != NULL; prefix++)
         if (g_str_has_prefix(path, *prefix))
@@ -201,7 +204,7 @@
     return &engine->settings.pace;
 }
 
-static void note_end(token_engine *engine, uint32_t run) {
+static void record_run_end(token_engine *engine, uint32_t run) {
     g_mutex_lock(&engine->lock);
     g_array_index(engine->run_log, token_engine_run, run).ended_ms = hs_clock_wall_ms();
     g_mutex_unlock(&engine->lock);
@@ -209,21 +212,21 @@
 
 static void end_stream(void *data) {
     stream *events = data;
-    note_end(events->engine, events->run);
-    end_call(events->engine, events->call);
+    record_run_end(events->engine, events->run);
+    record_call_end(events->engine, events->call);
     g_free(events);
 }
 
 static void serve_stream(token_engine *engine, hs_inbound *inbound, GArray *fields,
-                         token_engine_mode mode, const stream *begun) {
+                         token_engine_mode mode, const stream *started) {
     const char *after = NULL;
     if (mode != TOKEN_ENGINE_OVERLOOKS)
         after = hs_http_fields_find(inbound->fields, HEADER_LAST_EVENT_ID);
-    const token_engine_pace *pace = pace_of(engine, inbound->target);
+    const token_engine_pace *pace = select_pace(engine, inbound->target);
     stream *events = g_new(stream, 1);
-    *events = *begun;
+    *events = *started;
     events->event_ms = pace->event_ms;
-    events->told_ms = hs_clock_monotonic_ms();
+    events->last_event_ms = hs_clock_monotonic_ms();
     events->next = after != NULL ? (uint32_t)g_ascii_strtoull(after, NULL, 10) + 1 : 1;
     events->last = mode == TOKEN_ENGINE_ENDLESS ? UINT32_MAX - 1 : pace->events;
     events->break_at =
@@ -232,42 +235,43 @@
     hs_inbound_reply_stream(inbound, 200, fields, write_event, events, end_stream);
 }
 
-/** Run a request. True: its stream goes on and ends the call itself. */
+/** Runs a request. Returns true if a stream was started, which records the end of the call. */
 static bool run_request(token_engine *engine, hs_inbound *inbound, const char *id, uint32_t call) {
     token_engine_mode mode = (token_engine_mode)g_atomic_int_get(&engine->mode);
-    stream begun = {.engine = engine, .call = call, .descriptor = inbound->descriptor};
-    begun.run = note_run(engine, id, hs_http_fields_find(inbound->fields, HEADER_LAST_EVENT_ID));
-    uint32_t before_ms = 0;
+    stream started = {.engine = engine, .call = call, .descriptor = inbound->descriptor};
+    started.run =
+        record_run_start(engine, id, hs_http_fields_find(inbound->fields, HEADER_LAST_EVENT_ID));
+    uint32_t response_delay_ms = 0;
     if (mode == TOKEN_ENGINE_SLOW || mode == TOKEN_ENGINE_ENDLESS)
-        before_ms = SLOW_MS;
+        response_delay_ms = SLOW_RESPONSE_MS;
     else if (mode == TOKEN_ENGINE_SILENT)
-        before_ms = G_MAXINT / 2;
+        response_delay_ms = G_MAXINT / 2;
     const char *fatal = engine->settings.fatal;
-    begun.is_fatal = fatal != NULL && inbound->body->len >= strlen(fatal) &&
-                     memcmp(inbound->body->data, fatal, strlen(fatal)) == 0;
+    started.is_fatal = fatal != NULL && inbound->body->len >= strlen(fatal) &&
+                       memcmp(inbound->body->data, fatal, strlen(fatal)) == 0;
     bool is_plain = strstr(inbound->target, "plain") != NULL;
-    if (begun.is_fatal && is_plain) {
-        waits_until_gone(engine, inbound->descriptor, engine->settings.fatal_after_ms);
-        g_atomic_int_set(&engine->wants_crash, 1);
-        before_ms = G_MAXINT / 2;
+    if (started.is_fatal && is_plain) {
+        wait_for_disconnect_or_crash(engine, inbound->descriptor, engine->settings.fatal_after_ms);
+        g_atomic_int_set(&engine->crash_requested, 1);
+        response_delay_ms = G_MAXINT / 2;
     }
-    if (waits_until_gone(engine, inbound->descriptor, before_ms)) {
+    if (wait_for_disconnect_or_crash(engine, inbound->descriptor, response_delay_ms)) {
         hs_inbound_drop(inbound);
-        note_end(engine, begun.run);
+        record_run_end(engine, started.run);
         return false;
     }
     if (mode == TOKEN_ENGINE_FAILS || mode == TOKEN_ENGINE_IMPOSSIBLE) {
-        refuse(inbound, mode == TOKEN_ENGINE_FAILS ? 500 : 422, id, true);
-        note_end(engine, begun.run);
+        reply_refusal(inbound, mode == TOKEN_ENGINE_FAILS ? 500 : 422, id, true);
+        record_run_end(engine, started.run);
         return false;
     }
     GArray *fields = hs_http_fields_new();
-    add_head(engine, fields, id);
+    add_response_fields(engine, fields, id);
     if (is_plain) {
         hs_inbound_reply(inbound, 200, fields, inbound->target, strlen(inbound->target));
-        note_end(engine, begun.run);
+        record_run_end(engine, started.run);
     } else {
-        serve_stream(engine, inbound, fields, mode, &begun);
+        serve_stream(engine, inbound, fields, mode, &started);
     }
     hs_http_fields_free(fields);
     return !is_plain;
@@ -276,28 +280,28 @@
 static void serve(hs_inbound *inbound, void *user_data) {
     token_engine *engine = user_data;
     const char *id = hs_http_fields_find(inbound->fields, HEADER_REQUEST_ID);
-    const char *wanted = hs_http_fields_find(inbound->fields, HEADER_TARGET_INSTANCE);
+    const char *target_instance = hs_http_fields_find(inbound->fields, HEADER_TARGET_INSTANCE);
     if (id == NULL) {
-        refuse(inbound, 400, "-", false);
+        reply_refusal(inbound, 400, "-", false);
         return;
     }
-    uint32_t call = begin_call(engine, id, inbound->fields);
-    bool goes_on = false;
-    if (wanted != NULL && strcmp(wanted, engine->id) != 0)
-        refuse(inbound, 421, id, false);
+    uint32_t call = record_call_start(engine, id, inbound->fields);
+    bool is_streaming = false;
+    if (target_instance != NULL && strcmp(target_instance, engine->id) != 0)
+        reply_refusal(inbound, 421, id, false);
     else if (g_atomic_int_get(&engine->mode) == TOKEN_ENGINE_FULL)
-        refuse(inbound, 503, id, false);
+        reply_refusal(inbound, 503, id, false);
     else
-        goes_on = run_request(engine, inbound, id, call);
-    if (!goes_on)
-        end_call(engine, call);
+        is_streaming = run_request(engine, inbound, id, call);
+    if (!is_streaming)
+        record_call_end(engine, call);
 }
 
 static void listen_for_requests(token_engine *engine) {
     hs_error error = {0};
     engine->listener = hs_listener_start("127.0.0.1", engine->port,
-                                         &(hs_listener_limits){.max_body_bytes = BODY_LIMIT}, serve,
-                                         engine, &error);
+                                         &(hs_listener_limits){.max_body_bytes = MAX_BODY_BYTES},
+                                         serve, engine, &error);
     if (engine->listener == NULL)
         g_error("stand-in engine %s cannot listen: %s", engine->id, error.message);
 }
@@ -306,20 +310,20 @@
     g_atomic_int_set(&engine->is_crashing, 1);
     hs_listener_stop(engine->listener);
     engine->listener = NULL;
-    g_atomic_int_set(&engine->wants_crash, 0);
+    g_atomic_int_set(&engine->crash_requested, 0);
 }
 
 void token_engine_restart(token_engine *engine, const char *id) {
     g_free(engine->id);
     engine->id = g_strdup(id);
-    engine->sequence = 0;
+    engine->entry_sequence = 0;
     engine->started_at_ms = hs_clock_wall_ms();
     g_atomic_int_set(&engine->is_crashing, 0);
     listen_for_requests(engine);
 }
 
 bool token_engine_wants_crash(token_engine *engine) {
-    return g_atomic_int_get(&engine->wants_crash) != 0;
+    return g_atomic_int_get(&engine->crash_requested) != 0;
 }
 
 token_engine *token_engine_start(const token_engine_settings *settings) {
@@ -328,21 +332,21 @@
     engine->id = g_strdup(settings->id);
     engine->service = g_strdup(settings->service);
     g_mutex_init(&engine->lock);
-    engine->runs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    engine->resumes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    engine->run_counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    engine->resume_counts = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     engine->run_log = g_array_new(FALSE, FALSE, sizeof(token_engine_run));
     engine->call_log = g_array_new(FALSE, FALSE, sizeof(token_engine_call));
     engine->port = port_lease_take(1);
     engine->started_at_ms = hs_clock_wall_ms();
     listen_for_requests(engine);
-    engine->shown_port = engine->port;
+    engine->announced_port = engine->port;
     return engine;
 }
 
 void token_engine_stop(token_engine *engine) {
     hs_listener_stop(engine->listener);
-    g_hash_table_destroy(engine->runs);
-    g_hash_table_destroy(engine->resumes);
+    g_hash_table_destroy(engine->run_counts);
+    g_hash_table_destroy(engine->resume_counts);
     g_array_free(engine->run_log, TRUE);
     g_array_free(engine->call_log, TRUE);
     g_mutex_clear(&engine->lock);
@@ -360,7 +364,7 @@
 }
 
 void token_engine_show_port(token_engine *engine, uint16_t port) {
-    engine->shown_port = port;
+    engine->announced_port = port;
 }
 
 void token_engine_announce(token_engine *engine, log_store *store, bool draining) {
@@ -371,13 +375,13 @@
     g_autofree char *entry = g_strdup_printf(
         "{%s\"service\":\"%s\",\"address\":\"127.0.0.1:%u\",\"zone\":\"zone-a\",\"version\":\"v1\","
         "\"slots\":%u,\"state\":\"%s\",\"warmup-left-ms\":0,\"sequence\":%u}",
-        start, engine->service, engine->shown_port,
-        engine->settings.slots != 0 ? engine->settings.slots : DEFAULT_SLOTS,
-        draining ? "draining" : "ready", ++engine->sequence);
+        start, engine->service, engine->announced_port,
+        engine->settings.slots != 0 ? engine->settings.slots : DEFAULT_SLOT_COUNT,
+        draining ? "draining" : "ready", ++engine->entry_sequence);
     log_store_put(store, TOPIC_ENGINES, engine->id, entry);
 }
 
-static uint32_t count_of(token_engine *engine, GHashTable *counts, const char *request_id) {
+static uint32_t read_count(token_engine *engine, GHashTable *counts, const char *request_id) {
     g_mutex_lock(&engine->lock);
     uint32_t count = GPOINTER_TO_UINT(g_hash_table_lookup(counts, request_id));
     g_mutex_unlock(&engine->lock);
@@ -385,11 +389,11 @@
 }
 
 uint32_t token_engine_runs(token_engine *engine, const char *request_id) {
-    return count_of(engine, engine->runs, request_id);
+    return read_count(engine, engine->run_counts, request_id);
 }
 
 uint32_t token_engine_resumes(token_engine *engine, const char *request_id) {
-    return count_of(engine, engine->resumes, request_id);
+    return read_count(engine, engine->resume_counts, request_id);
 }
 
 const char *token_engine_id(const token_engine *engine) {
@@ -416,9 +420,9 @@
 
 uint32_t token_engine_total(token_engine *engine) {
     g_mutex_lock(&engine->lock);
-    uint32_t total = engine->total;
+    uint32_t total_run_count = engine->total_run_count;
     g_mutex_unlock(&engine->lock);
-    return total;
+    return total_run_count;
 }
 
 uint32_t token_engine_open(token_engine *engine) {
--- a/standin/token_engine/token_engine.h
+++ b/standin/token_engine/token_engine.h
@@ -1,9 +1,11 @@
 /**
  * @file token_engine.h
- * Stand-in for a model engine of the fleet surface: streams of numbered events, resumption after
- * an event, refusals, and switches for its faults. It counts what it ran, by request id, and
- * remembers each run: every event names the run that made it, so that a text can be traced to the
- * runs that it was put together from.
+ * Stand-in for a model engine of the fleet surface, with streams of numbered events, resumption
+ * after an event, refusals and injected faults. The engine records each call and each run. Each
+ * event names the engine and the run that produced it, so that a test can trace a response to runs.
+ *
+ * Counts, queries of runs and calls, and changes of the mode are thread-safe. The other functions
+ * take no lock.
  */
 #ifndef STANDIN_TOKEN_ENGINE_TOKEN_ENGINE_H
 #define STANDIN_TOKEN_ENGINE_TOKEN_ENGINE_H
@@ -15,112 +17,119 @@
 
 typedef struct token_engine token_engine;
 
-/** What the engine does with requests. */
+/** How the engine handles requests. */
 typedef enum {
     TOKEN_ENGINE_SOUND,
-    TOKEN_ENGINE_FULL,       /**< 503, not executed. */
-    TOKEN_ENGINE_FAILS,      /**< 500. */
-    TOKEN_ENGINE_IMPOSSIBLE, /**< 422. */
-    TOKEN_ENGINE_SLOW,       /**< Waits before it answers at all. */
-    TOKEN_ENGINE_BREAKS,     /**< Ends the connection after some events. */
-    TOKEN_ENGINE_ENDLESS,    /**< Waits before a stream that does not end by itself. */
-    TOKEN_ENGINE_SILENT,     /**< Takes requests and answers none. */
-    TOKEN_ENGINE_OVERLOOKS,  /**< Begins each stream anew, whatever it was asked. */
+    TOKEN_ENGINE_FULL,       /**< Refuses with status 503, not executed. */
+    TOKEN_ENGINE_FAILS,      /**< Fails with status 500. */
+    TOKEN_ENGINE_IMPOSSIBLE, /**< Fails with status 422. */
+    TOKEN_ENGINE_SLOW,       /**< Delays responses. */
+    TOKEN_ENGINE_BREAKS,     /**< Cuts streams within an event, after break_after events. */
+    TOKEN_ENGINE_ENDLESS,    /**< Delays streams, which then never end. */
+    TOKEN_ENGINE_SILENT,     /**< Accepts requests and sends no response. */
+    TOKEN_ENGINE_OVERLOOKS,  /**< Starts each stream at the first event. */
 } token_engine_mode;
 
-/** The streams that an engine makes. */
+/** Length and speed of streams. */
 typedef struct {
-    uint32_t events;   /**< Of each stream. */
-    uint32_t event_ms; /**< Between events. */
+    uint32_t events;   /**< Per stream. */
+    uint32_t event_ms; /**< Interval between events. */
 } token_engine_pace;
 
-/** What one engine does. */
+/** Settings of an engine. The engine copies @c id and @c service; other strings must outlive it. */
 typedef struct {
     const char *id;
     const char *service;
     token_engine_pace pace;
-    const char *const *long_paths; /**< Prefixes, the last NULL; NULL: all have the one pace. */
-    token_engine_pace long_pace;   /**< Of streams for paths that begin so. */
-    uint32_t break_after;          /**< TOKEN_ENGINE_BREAKS: events before the end. */
-    bool tells_start;              /**< Its entry tells when it started. */
-    uint32_t slots;                /**< That its entry tells; 0: the default of 8. */
-    const char *fatal;             /**< Begun with a body that begins so, it asks for its own crash
-                                        after fatal_after_ms; NULL: no such body. */
+    const char *const *long_paths; /**< Path prefixes of long streams, NULL-terminated; or NULL. */
+    token_engine_pace long_pace;   /**< Used for @c long_paths, @c pace for other paths. */
+    uint32_t break_after;          /**< TOKEN_ENGINE_BREAKS: events before the cut. */
+    bool tells_start;              /**< The entry contains the start time. */
+    uint32_t slots;                /**< Slots in the entry; 0: the default of 8. */
+    const char *fatal;             /**< Prefix of bodies that request a crash of the engine after
+                                        fatal_after_ms; NULL: none. */
     uint32_t fatal_after_ms;
 } token_engine_settings;
 
+/** Starts an engine on a leased port. Free with token_engine_stop. */
 token_engine *token_engine_start(const token_engine_settings *settings);
 void token_engine_stop(token_engine *engine);
 
 void token_engine_set_mode(token_engine *engine, token_engine_mode mode);
 
 /**
- * A crash, by a thread other than its own: all its connections end at once, and new ones are
- * refused. Its entry stays in the store. It stays down until it is restarted under another id.
+ * Simulates a crash: closes all connections and refuses new ones until token_engine_restart. The
+ * engine's entry stays in the store. Must not be called from a thread that serves requests.
  */
 void token_engine_crash(token_engine *engine);
+
+/** Starts a crashed engine again under the id @p id. */
 void token_engine_restart(token_engine *engine, const char *id);
 
-/** It ran what it cannot run, and is to be crashed. */
+/** Returns true if a fatal request has run and the engine is to be crashed. */
 bool token_engine_wants_crash(token_engine *engine);
 
-/** Port of its listener, and the port that its entry tells, for an engine behind a proxy. */
+/** Returns the port of the listener. */
 uint16_t token_engine_port(const token_engine *engine);
+
+/** Sets the port of the entry, for an engine behind a proxy. */
 void token_engine_show_port(token_engine *engine, uint16_t port);
 
-/** Write the engine's entry into the store. */
+/** Writes the engine's entry to the store. */
 void token_engine_announce(token_engine *engine, log_store *store, bool draining);
 
-/** Longest id of a request that is remembered with its run, with the closing NUL. */
+/** Size of a recorded id, with the NUL; longer ids are truncated. */
 #define TOKEN_ENGINE_ID_BYTES 64
 
-/** One run of a request, as its engine was asked for it. */
+/** A run of a request. Wall times. */
 typedef struct {
     char request_id[TOKEN_ENGINE_ID_BYTES];
-    bool resumes;         /**< It was asked to go on, */
-    uint64_t asked_after; /**< after this event. */
-    uint64_t begun_ms;    /**< Wall time at which it was asked for, */
-    uint64_t ended_ms;    /**< and at which its answer ended; 0: it has not. */
-    uint64_t late_ms;     /**< Most by which the engine itself was late with an event of it. */
+    bool resumes;         /**< The request asked to resume a stream. */
+    uint64_t asked_after; /**< Event to resume after; 0 unless @c resumes. */
+    uint64_t begun_ms;    /**< Start of the run. */
+    uint64_t ended_ms;    /**< End of the response; 0: still running. */
+    uint64_t late_ms;     /**< Maximum delay of an event by the engine itself. */
 } token_engine_run;
 
 /**
- * Data of an event: its number, the engine and the run that made it. Free with g_free.
- * token_engine_read_event takes it apart again.
+ * Formats the data of an event: the number of the event, the engine and the run. Free with g_free.
  */
 char *token_engine_write_event(uint32_t event, const char *engine_id, uint32_t run);
 
-/** What the data of an event says; @p engine_id: TOKEN_ENGINE_ID_BYTES. False: it is none. */
+/**
+ * Parses the data of an event. @p engine_id has a size of TOKEN_ENGINE_ID_BYTES. Returns false if
+ * the data is malformed.
+ */
 bool token_engine_read_event(const char *data, uint32_t *event, char *engine_id, uint32_t *run);
 
-/** The run of a number, counted from 0, as events name it. False: this engine made no such run. */
+/** Copies the run @p number, from 0, as named in events. Returns false if there is none. */
 bool token_engine_find_run(token_engine *engine, uint32_t number, token_engine_run *run);
 
-/** One request as it came to an engine, run or refused. Times in ms of the monotonic clock. */
+/** A received request, run or refused. Monotonic times. */
 typedef struct {
     char request_id[TOKEN_ENGINE_ID_BYTES];
-    char
-        tenant[TOKEN_ENGINE_ID_BYTES]; /**< Whose it was told to be; several with commas between. */
-    bool has_key;                      /**< It carried a caller's key. */
+    char tenant[TOKEN_ENGINE_ID_BYTES]; /**< Values of the tenant header, joined by commas. */
+    bool has_key;                       /**< The request has an API key header. */
     uint64_t begun_ms;
-    uint64_t ended_ms; /**< 0: the engine still works on it. */
+    uint64_t ended_ms; /**< 0: still in progress. */
 } token_engine_call;
 
-/** The call of a number, counted from 0 in the order in which they came. False: there is none. */
+/** Copies the call @p number, from 0 in order of arrival. Returns false if there is none. */
 bool token_engine_find_call(token_engine *engine, uint32_t number, token_engine_call *call);
 
+/** Returns the current id. Owned by the engine and freed at the next restart. */
 const char *token_engine_id(const token_engine *engine);
 
-/** How often a request was begun. */
+/** Returns the number of runs of a request. */
 uint32_t token_engine_runs(token_engine *engine, const char *request_id);
 
-/** How often it was begun after an event it had before. */
+/** Returns the number of runs that resumed a stream of the request. */
 uint32_t token_engine_resumes(token_engine *engine, const char *request_id);
 
-/** Requests begun in all. */
+/** Returns the number of all runs. */
 uint32_t token_engine_total(token_engine *engine);
 
-/** Requests now being answered. */
+/** Returns the number of requests in progress. */
 uint32_t token_engine_open(token_engine *engine);
 
 #endif
