--- a/tests/soak/link_faults.c
+++ b/tests/soak/link_faults.c
@@ -34,7 +34,8 @@
     }
     for (int index = 0; index < BENCH_ENGINES; index++) {
         engine_proxies[index] = fault_proxy_start(token_engine_port(bench.engines[index]));
-        token_engine_show_port(bench.engines[index], fault_proxy_port(engine_proxies[index]));
+        token_engine_set_announced_port(bench.engines[index],
+                                        fault_proxy_port(engine_proxies[index]));
     }
 }
 
@@ -162,6 +163,6 @@
         return;
     token_engine_set_mode(bench.engines[which], TOKEN_ENGINE_SLOW);
     soak_reset_engine_links(injector);
-    token_engine_set_mode(bench.engines[which], TOKEN_ENGINE_SOUND);
+    token_engine_set_mode(bench.engines[which], TOKEN_ENGINE_HEALTHY);
     soak_release_target(FAULT_ENGINE, which);
 }
--- a/tests/soak/service_faults.c
+++ b/tests/soak/service_faults.c
@@ -12,8 +12,9 @@
 #define MAX_CONFIG_CHANGES 3
 
 void soak_fail_store_calls(const fault_injector *injector) {
-    static const log_store_mode modes[] = {LOG_STORE_REFUSES, LOG_STORE_THROTTLES, LOG_STORE_SILENT,
-                                           LOG_STORE_LOSES_ANSWER, LOG_STORE_DROPS};
+    static const log_store_mode modes[] = {LOG_STORE_REFUSES, LOG_STORE_THROTTLES,
+                                           LOG_STORE_UNRESPONSIVE, LOG_STORE_LOSES_ANSWER,
+                                           LOG_STORE_DROPS_CALLS};
     static const char *const calls[] = {NULL, CALL_APPEND, CALL_READ, CALL_JOIN};
     int mode = g_rand_int_range(injector->rng, 0, G_N_ELEMENTS(modes));
     int call = g_rand_int_range(injector->rng, 0, G_N_ELEMENTS(calls));
@@ -22,7 +23,7 @@
     soak_log("fault store mode=%d call=%s", mode, calls[call] != NULL ? calls[call] : "all");
     log_store_set_mode(bench.store, modes[mode], calls[call], G_MAXUINT32);
     soak_wait_random(injector, MIN_SERVICE_FAULT_MS, MAX_SERVICE_FAULT_MS);
-    log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
+    log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     soak_release_target(FAULT_STORE, 0);
 }
 
@@ -43,14 +44,14 @@
     int topic = g_rand_int_range(injector->rng, 0, G_N_ELEMENTS(topics) + 1);
     soak_log("fault store %s", topic < (int)G_N_ELEMENTS(topics) ? topics[topic] : "rebalance");
     if (topic < (int)G_N_ELEMENTS(topics))
-        log_store_forget(bench.store, topics[topic]);
+        log_store_discard_records(bench.store, topics[topic]);
     else
         log_store_rebalance(bench.store);
 }
 
 void soak_fail_engine(const fault_injector *injector) {
     static const token_engine_mode modes[] = {TOKEN_ENGINE_FULL, TOKEN_ENGINE_FAILS,
-                                              TOKEN_ENGINE_SLOW, TOKEN_ENGINE_BREAKS};
+                                              TOKEN_ENGINE_SLOW, TOKEN_ENGINE_BREAKS_STREAMS};
     int which = g_rand_int_range(injector->rng, 0, BENCH_ENGINES);
     int mode = g_rand_int_range(injector->rng, 0, G_N_ELEMENTS(modes));
     if (!soak_acquire_target(FAULT_ENGINE, which))
@@ -58,7 +59,7 @@
     soak_log("fault engine=%d mode=%d", which, modes[mode]);
     token_engine_set_mode(bench.engines[which], modes[mode]);
     soak_wait_random(injector, MIN_SERVICE_FAULT_MS, MAX_SERVICE_FAULT_MS);
-    token_engine_set_mode(bench.engines[which], TOKEN_ENGINE_SOUND);
+    token_engine_set_mode(bench.engines[which], TOKEN_ENGINE_HEALTHY);
     soak_release_target(FAULT_ENGINE, which);
 }
 
--- a/tests/support/crash_fleet.c
+++ b/tests/support/crash_fleet.c
@@ -108,7 +108,7 @@
     fleet_member *member = &fleet->members[index];
     uint64_t now_ms = hs_clock_monotonic_ms();
     if (member->crashed_ms == 0) {
-        if (member->crash_requested || token_engine_wants_crash(member->engine) ||
+        if (member->crash_requested || token_engine_is_crash_requested(member->engine) ||
             take_due_crash(fleet, member))
             crash_engine(fleet, member);
         return;
@@ -150,13 +150,13 @@
     for (int index = 0; index < fleet->settings.engines; index++) {
         fleet_member *member = &fleet->members[index];
         member->id = make_id(index, 0);
-        member->engine =
-            token_engine_start(&(token_engine_settings){.id = member->id,
-                                                        .service = service,
-                                                        .pace = fleet->settings.pace,
-                                                        .tells_start = fleet->settings.keeps_ids,
-                                                        .fatal = CRASH_FLEET_FATAL_PREFIX,
-                                                        .fatal_after_ms = FATAL_CRASH_DELAY_MS});
+        member->engine = token_engine_start(
+            &(token_engine_settings){.id = member->id,
+                                     .service = service,
+                                     .pace = fleet->settings.pace,
+                                     .announces_start = fleet->settings.keeps_ids,
+                                     .fatal = CRASH_FLEET_FATAL_PREFIX,
+                                     .fatal_after_ms = FATAL_CRASH_DELAY_MS});
         token_engine_announce(member->engine, store, false);
         member->is_listed = true;
     }
--- a/tests/support/surplus_engine.c
+++ b/tests/support/surplus_engine.c
@@ -116,7 +116,7 @@
     surplus_engine_find_resume_event(to->engine, run, &resume_event);
     GString *body = g_string_new(NULL);
     for (uint32_t event = resume_event + 1; event <= to->engine->events; event++) {
-        g_autofree char *data = token_engine_write_event(event, to->engine->id, run);
+        g_autofree char *data = token_engine_format_event(event, to->engine->id, run);
         g_string_append_printf(body, "id: %u\ndata: %s\n\n", event, data);
     }
     GString *text = g_string_new(NULL);
--- a/tests/system/fleet_calls.c
+++ b/tests/system/fleet_calls.c
@@ -32,7 +32,7 @@
 uint32_t count_open_engine_runs(void) {
     uint32_t open = 0;
     for (int index = 0; index < BENCH_ENGINES; index++)
-        open += token_engine_open(bench.engines[index]);
+        open += token_engine_open_request_count(bench.engines[index]);
     return open;
 }
 
--- a/tests/system/test_fleet.c
+++ b/tests/system/test_fleet.c
@@ -71,7 +71,7 @@
 static void a_refused_request_does_not_run_and_gets_retry_after(void) {
     bench_set_engines(TOKEN_ENGINE_FULL);
     bench_answer answer = post_request(1, "/once/s", "full");
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_EQUAL(answer.status, 503);
     CU_ASSERT_PTR_NOT_NULL(hs_http_fields_find(answer.fields, "Retry-After"));
     CU_ASSERT_PTR_NULL(hs_http_fields_find(answer.fields, HEADER_SIGNATURE));
@@ -81,7 +81,7 @@
 
 static gpointer restore_engines(gpointer data) {
     hs_clock_sleep_ms(*(const uint64_t *)data);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     return NULL;
 }
 
@@ -125,18 +125,18 @@
 }
 
 static void a_broken_run_once_stream_ends_incomplete(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS);
+    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
     bench_answer answer = post_request(0, "/once/s", "broken");
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_FALSE(answer.whole);
     CU_ASSERT_EQUAL(bench_runs("broken"), 1);
     bench_answer_clear(&answer);
 }
 
 static void a_broken_resumable_stream_is_resumed(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS);
+    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
     bench_answer answer = post_request(2, "/again/s", "resumed");
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_TRUE(answer.whole);
     check_events("resumed", answer.body);
     CU_ASSERT(bench_runs("resumed") >= 2);
@@ -146,7 +146,7 @@
 static void an_engine_error_is_forwarded(void) {
     bench_set_engines(TOKEN_ENGINE_FAILS);
     bench_answer answer = post_request(0, "/once/s", "fails");
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_EQUAL(answer.status, 500);
     CU_ASSERT_STRING_EQUAL(hs_http_fields_find(answer.fields, HEADER_SIGNATURE), "sig.f");
     CU_ASSERT_EQUAL(bench_runs("fails"), 1);
@@ -201,31 +201,31 @@
         CU_ASSERT_EQUAL(answer.status, 504);
         bench_answer_clear(&answer);
     }
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_TRUE(is_no_engine_suspected(0));
 }
 
 static void a_draining_engine_gets_no_new_requests(void) {
     token_engine_announce(bench.engines[0], bench.store, true);
     hs_clock_sleep_ms(1000);
-    uint32_t before = token_engine_total(bench.engines[0]);
+    uint32_t before = token_engine_total_run_count(bench.engines[0]);
     for (int request = 0; request < 9; request++) {
         bench_answer answer = post_request(request % BENCH_DAEMONS, "/plain/x", "leaving");
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
     }
-    CU_ASSERT_EQUAL(token_engine_total(bench.engines[0]), before);
+    CU_ASSERT_EQUAL(token_engine_total_run_count(bench.engines[0]), before);
     token_engine_announce(bench.engines[0], bench.store, false);
     hs_clock_sleep_ms(600);
 }
 
 /** Engine entries that expire while the store is unavailable do not remove the engines. */
 static void engines_are_kept_while_the_store_is_unavailable(void) {
-    log_store_set_mode(bench.store, LOG_STORE_DROPS, CALL_READ, G_MAXUINT32);
+    log_store_set_mode(bench.store, LOG_STORE_DROPS_CALLS, CALL_READ, G_MAXUINT32);
     hs_clock_sleep_ms(1500);
     for (int index = 0; index < BENCH_ENGINES; index++)
         log_store_put(bench.store, TOPIC_ENGINES, index == 0 ? "engine-0" : "engine-1", "");
-    log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
+    log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     hs_clock_sleep_ms(800);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/plain/x", "outlasts");
@@ -235,13 +235,13 @@
     token_engine_announce(bench.engines[0], bench.store, false);
     /* Two announcement intervals and a read: engine 0 is listed again, engine 1 is removed. */
     hs_clock_sleep_ms(2200);
-    uint32_t before = token_engine_total(bench.engines[1]);
+    uint32_t before = token_engine_total_run_count(bench.engines[1]);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/plain/x", "came-back");
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
     }
-    CU_ASSERT_EQUAL(token_engine_total(bench.engines[1]), before);
+    CU_ASSERT_EQUAL(token_engine_total_run_count(bench.engines[1]), before);
     token_engine_announce(bench.engines[1], bench.store, false);
     hs_clock_sleep_ms(900);
 }
--- a/tests/system/test_fleet_callers.c
+++ b/tests/system/test_fleet_callers.c
@@ -83,7 +83,7 @@
 /** Changes the engines' modes until the test sets @p data. */
 static gpointer change_engines(gpointer data) {
     static const token_engine_mode modes[] = {TOKEN_ENGINE_SLOW, TOKEN_ENGINE_FULL,
-                                              TOKEN_ENGINE_FULL, TOKEN_ENGINE_BREAKS,
+                                              TOKEN_ENGINE_FULL, TOKEN_ENGINE_BREAKS_STREAMS,
                                               TOKEN_ENGINE_FULL, TOKEN_ENGINE_ENDLESS};
     gint *stopping = data;
     for (guint turn = 0; g_atomic_int_get(stopping) == 0; turn++) {
@@ -124,7 +124,7 @@
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
     hs_clock_sleep_ms(ENGINE_OBSERVATION_MS);
     check_engines(callers, CALLERS, "fleet, callers that leave");
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     free_bytes(callers, CALLERS);
 }
 
@@ -145,7 +145,7 @@
     bench_set_engines(TOKEN_ENGINE_ENDLESS);
     hs_clock_sleep_ms(REFUSAL_MS);
     check_engines(callers, WAITING_CALLERS, title);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     free_bytes(callers, WAITING_CALLERS);
 }
 
@@ -163,7 +163,7 @@
 
 /** The streams broke and wait for an engine to resume on. */
 static void a_wait_for_a_retry_ends_when_the_caller_disconnects(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS);
+    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
     GThread *refusal = g_thread_new("refusal", refuse_after_delay, NULL);
     disconnect_during_refusals("/again/x", "retrier", "fleet, waiting for a retry");
     g_thread_join(refusal);
@@ -182,7 +182,7 @@
     /* The engine's thread notices the end of its connection asynchronously. */
     CU_ASSERT_TRUE(wait_for_engine_runs_to_end(MAX_WORK_AFTER_DISCONNECT_MS));
     raw_caller_close(caller);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
 }
 
 /** Opens reusable connections to the engines, on which a daemon sends a request without delay. */
--- a/tests/system/test_fleet_edges.c
+++ b/tests/system/test_fleet_edges.c
@@ -63,14 +63,14 @@
 
 /** An orderly close without chunked encoding would make a truncated stream look complete. */
 static void a_broken_stream_resets_http_1_0_connections(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS);
+    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
     raw_caller *caller = raw_caller_open(bench_front_port(1));
     CU_ASSERT_PTR_NOT_NULL_FATAL(caller);
     g_autofree char *head = request_head("/once/cut", "1.0", "cut-old", "");
     raw_caller_send(caller, head);
     raw_caller_send(caller, "hello");
     CU_ASSERT_EQUAL(raw_caller_read_to_end(caller, LIMIT_MS), RAW_RESET);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     raw_caller_close(caller);
 }
 
@@ -90,7 +90,7 @@
         raw_caller_close(caller);
         CU_ASSERT_TRUE(wait_for_engine_runs_to_end(500));
     }
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
 }
 
 /** Submits a job of one item and waits until the item runs. */
@@ -110,7 +110,7 @@
 /** Starts all daemons and checks that each further run of the item resumes after an event. */
 static void check_item_resumes(const char *job, const char *item) {
     CU_ASSERT_EQUAL(bench_runs(item), 1);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
         CU_ASSERT_TRUE(bench_start_daemon(daemon, false));
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
@@ -131,7 +131,7 @@
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
         CU_ASSERT_EQUAL(kill(bench.pids[daemon], SIGTERM), 0);
     hs_clock_sleep_ms(2200);
-    log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
+    log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
         CU_ASSERT_EQUAL(bench_signal(daemon, SIGTERM), 0);
     check_item_resumes("away", "away-0");
--- a/tests/system/test_fleet_entries.c
+++ b/tests/system/test_fleet_entries.c
@@ -125,14 +125,14 @@
     const char *id = token_engine_id(bench.engines[0]);
     log_store_put(bench.store, TOPIC_ENGINES, id, "{\"service\":\"llm\"}");
     hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
-    uint32_t before = token_engine_total(bench.engines[0]);
+    uint32_t before = token_engine_total_run_count(bench.engines[0]);
     send_requests("written-over");
-    CU_ASSERT_EQUAL(token_engine_total(bench.engines[0]), before);
+    CU_ASSERT_EQUAL(token_engine_total_run_count(bench.engines[0]), before);
     token_engine_announce(bench.engines[0], bench.store, false);
     token_engine_announce(bench.engines[1], bench.store, true); /* Engine 0 alone is left. */
     hs_clock_sleep_ms(ENTRY_PROPAGATION_MS);
     send_requests("back");
-    CU_ASSERT_EQUAL(token_engine_total(bench.engines[0]), before + REQUESTS);
+    CU_ASSERT_EQUAL(token_engine_total_run_count(bench.engines[0]), before + REQUESTS);
     token_engine_announce(bench.engines[1], bench.store, false);
 }
 
--- a/tests/system/test_fleet_item_losses.c
+++ b/tests/system/test_fleet_item_losses.c
@@ -64,7 +64,7 @@
         char engine_id[TOKEN_ENGINE_ID_BYTES];
         uint32_t event = 0;
         uint32_t run = 0;
-        CU_ASSERT_TRUE(token_engine_read_event(events[index], &event, engine_id, &run));
+        CU_ASSERT_TRUE(token_engine_parse_event(events[index], &event, engine_id, &run));
         CU_ASSERT_EQUAL(event, index + 1);
     }
 }
--- a/tests/system/test_fleet_jobs.c
+++ b/tests/system/test_fleet_jobs.c
@@ -132,13 +132,13 @@
         bench_answer_clear(&ended);
     }
     hs_clock_sleep_ms(300);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     hs_clock_sleep_ms(600);
     CU_ASSERT_EQUAL(bench_runs("job2-0") + bench_runs("job2-1") + bench_runs("job2-2"), 0);
 }
 
 static void impossible_and_failing_items_are_given_up(void) {
-    bench_set_engines(TOKEN_ENGINE_IMPOSSIBLE);
+    bench_set_engines(TOKEN_ENGINE_UNPROCESSABLE);
     CU_ASSERT_EQUAL(submit_job(0, "job3", 2), 202);
     g_autofree char *page = bench_wait_job(1, "job3", 2, JOB_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
@@ -149,16 +149,16 @@
     bench_set_engines(TOKEN_ENGINE_FAILS);
     CU_ASSERT_EQUAL(submit_job(0, "job4", 1), 202);
     g_autofree char *failed = bench_wait_job(1, "job4", 1, JOB_LIMIT_MS);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_PTR_NOT_NULL(failed);
     CU_ASSERT_EQUAL(bench_runs("job4-0"), 2); /* max-attempts of the route. */
 }
 
 static void broken_items_resume_after_their_last_event(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS);
+    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
     CU_ASSERT_EQUAL(submit_job(2, "job5", 4), 202);
     g_autofree char *page = bench_wait_job(0, "job5", 4, JOB_LIMIT_MS);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page == NULL)
         return;
@@ -174,7 +174,7 @@
                                                     .body = body,
                                                     .timeout_ms = 800});
     bench_answer online = post_request(0, "/once/s", "meanwhile");
-    log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
+    log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     CU_ASSERT_EQUAL(refused.status, 503);
     CU_ASSERT_PTR_NOT_NULL(hs_http_fields_find(refused.fields, "Retry-After"));
     CU_ASSERT_EQUAL(online.status, 200);
@@ -233,7 +233,7 @@
     CU_ASSERT_TRUE(submit_until_daemon_runs_item(0, "job13") > 0);
     fault_proxy_set_mode(proxy, PROXY_RESETS);
     CU_ASSERT_TRUE(wait_for_metric(0, RUNNING_METRIC, 0, ASSIGNMENT_LIMIT_MS));
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
@@ -255,7 +255,7 @@
         CU_ASSERT_PTR_NOT_NULL(page);
         CU_ASSERT_EQUAL(bench_runs(item), 1);
     }
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
@@ -264,7 +264,7 @@
 static void a_lost_store_answer_is_not_a_refusal(void) {
     log_store_set_mode(bench.store, LOG_STORE_LOSES_ANSWER, CALL_APPEND, 3);
     uint32_t status = submit_job(1, "job7", 2);
-    log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
+    log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     CU_ASSERT(status == 202 || status == 504);
     g_autofree char *page = bench_wait_job(0, "job7", 2, JOB_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
@@ -276,7 +276,7 @@
 static void a_read_is_not_404_while_the_store_is_unavailable(void) {
     log_store_set_mode(bench.store, LOG_STORE_REFUSES, CALL_READ, G_MAXUINT32);
     bench_answer answer = bench_send(&(bench_call){.method = "GET", .target = PATH_JOBS "job9"});
-    log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
+    log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     CU_ASSERT_EQUAL(answer.status, 503);
     bench_answer_clear(&answer);
 }
--- a/tests/system/test_fleet_runs.c
+++ b/tests/system/test_fleet_runs.c
@@ -82,7 +82,7 @@
         char engine_id[TOKEN_ENGINE_ID_BYTES] = "";
         uint32_t event = 0;
         uint32_t run = 0;
-        CU_ASSERT_TRUE(token_engine_read_event(lines[before], &event, engine_id, &run));
+        CU_ASSERT_TRUE(token_engine_parse_event(lines[before], &event, engine_id, &run));
         CU_ASSERT_EQUAL(event, before + 1);
         if (strcmp(engine_id, SURPLUS_ID) != 0 || surplus_events++ > 0)
             continue;
@@ -96,13 +96,13 @@
 static void an_answer_to_an_earlier_attempt_is_not_used(void) {
     CU_ASSERT_EQUAL(submit_job(0, "runs", 1), 202);
     CU_ASSERT_TRUE(wait_for_attempts(WANTED_ATTEMPTS));
-    bench_set_engines(TOKEN_ENGINE_BREAKS);                         /* Each run sends some events */
+    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);                 /* Each run sends some events */
     GThread *full = g_thread_new("full", refuse_after_a_run, NULL); /* and breaks. */
     announce_engines(true);
     CU_ASSERT_NOT_EQUAL(g_thread_join(full), NULL);
     announce_engines(false);
     g_autofree char *page = bench_wait_job(0, "runs", 1, JOB_LIMIT_MS);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page == NULL)
         return;
@@ -139,10 +139,10 @@
 static void a_run_that_ignores_its_resume_event_is_not_used(void) {
     announce_engines(true);
     uint64_t before = count_mismatched_runs();
-    bench_set_engines(TOKEN_ENGINE_BREAKS);
+    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
     CU_ASSERT_EQUAL(submit_job(1, "anew", 1), 202);
-    set_mode_after_runs("anew-0", 1, TOKEN_ENGINE_OVERLOOKS);
-    set_mode_after_runs("anew-0", 2, TOKEN_ENGINE_SOUND);
+    set_mode_after_runs("anew-0", 1, TOKEN_ENGINE_IGNORES_RESUME);
+    set_mode_after_runs("anew-0", 2, TOKEN_ENGINE_HEALTHY);
     g_autofree char *page = bench_wait_job(0, "anew", 1, JOB_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page != NULL)
--- a/tests/system/test_fleet_silence.c
+++ b/tests/system/test_fleet_silence.c
@@ -49,7 +49,8 @@
     bench_prepare();
     for (int index = 0; index < BENCH_ENGINES; index++) {
         engine_proxies[index] = fault_proxy_start(token_engine_port(bench.engines[index]));
-        token_engine_show_port(bench.engines[index], fault_proxy_port(engine_proxies[index]));
+        token_engine_set_announced_port(bench.engines[index],
+                                        fault_proxy_port(engine_proxies[index]));
     }
     store_proxy = fault_proxy_start(log_store_port(bench.store));
     bench.store_port = fault_proxy_port(store_proxy);
@@ -204,7 +205,7 @@
 static uint32_t open_run_count(void) {
     uint32_t open = 0;
     for (int index = 0; index < BENCH_ENGINES; index++)
-        open += token_engine_open(bench.engines[index]);
+        open += token_engine_open_request_count(bench.engines[index]);
     return open;
 }
 
@@ -232,7 +233,7 @@
     fprintf(stderr, "run of a silent caller ended after %u ms\n", (unsigned)elapsed_ms);
     CU_ASSERT(elapsed_ms < CALLER_LIMIT_MS);
     CU_ASSERT_TRUE(wait_for_metric_at_least(0, LOST_CALLER, 2, CALLER_LIMIT_MS));
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     raw_caller_close(idle);
     raw_caller_close(streaming);
     fault_proxy_stop(proxy);
--- a/tests/system/test_fleet_taking.c
+++ b/tests/system/test_fleet_taking.c
@@ -61,23 +61,23 @@
 
 static void callers_waiting_for_engines_block_no_others(void) {
     connection_flood_target target = target_of(0);
-    bench_set_engines(TOKEN_ENGINE_SILENT);
+    bench_set_engines(TOKEN_ENGINE_UNRESPONSIVE);
     connection_flood_open(&target, OPEN_CALLERS, silent_request);
     connection_flood_check_readiness(&target, "500 callers wait on engines");
     CU_ASSERT_EQUAL(connection_flood_get_readiness(&target), 200);
     connection_flood_close();
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     connection_flood_check_recovery(&target);
 }
 
 static void few_descriptors_and_waiting_callers_are_reported(void) {
     restart_confined(1, FEW_DESCRIPTORS);
     connection_flood_target target = target_of(1);
-    bench_set_engines(TOKEN_ENGINE_SILENT);
+    bench_set_engines(TOKEN_ENGINE_UNRESPONSIVE);
     connection_flood_open(&target, OPEN_CALLERS, silent_request);
     connection_flood_check_readiness(&target, "300 descriptors, 500 callers wait on engines");
     connection_flood_close();
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     connection_flood_check_recovery(&target);
     connection_flood_open(&target, OPEN_CALLERS, half_request);
     connection_flood_check_readiness(&target, "300 descriptors, 500 callers with half a body");
--- a/tests/system/test_fleet_tenants.c
+++ b/tests/system/test_fleet_tenants.c
@@ -196,7 +196,7 @@
         bench_start_daemon(daemon, false);
     for (int daemon = 0; daemon < bench_daemons(); daemon++)
         CU_ASSERT_TRUE(bench_wait_ready(daemon));
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_EQUAL(status_with(1, "GET", "/lots/kept?after=0", NULL, alpha), 401);
     uint64_t limit_ms = hs_clock_monotonic_ms() + JOB_LIMIT_MS;
     bool is_done = false;
@@ -256,7 +256,7 @@
     CU_ASSERT_EQUAL(post_with("/plain/x", "held", ALPHA_KEY), 401);
     CU_ASSERT(hs_clock_monotonic_ms() - start_ms < 300 + 2 * APPLY_MS);
     g_thread_join(operator);
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     configure(BOTH_TENANTS);
 }
 
@@ -324,7 +324,7 @@
         bench_answer_clear(&answer);
         configure(BOTH_TENANTS);
     }
-    bench_set_engines(TOKEN_ENGINE_SOUND);
+    bench_set_engines(TOKEN_ENGINE_HEALTHY);
     end_strict_daemon(2, proxy);
 }
 
--- a/tests/system/test_fleet_waking.c
+++ b/tests/system/test_fleet_waking.c
@@ -49,7 +49,7 @@
         hs_clock_sleep_ms(POLL_MS);
     } while (hs_clock_monotonic_ms() < until_ms);
     CU_ASSERT_EQUAL(get_daemon_metric(SUSPENDED_DAEMON, SUSPENSIONS_METRIC), 1);
-    log_store_set_mode(bench.store, LOG_STORE_SOUND, NULL, 0);
+    log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     CU_ASSERT_TRUE(bench_wait_ready(SUSPENDED_DAEMON));
     CU_ASSERT_EQUAL(get_daemon_metric(0, SUSPENSIONS_METRIC), 0);
 }
--- a/tests/unit/test_engine_source.c
+++ b/tests/unit/test_engine_source.c
@@ -12,7 +12,7 @@
 /** Returns the time in ms until the store has received @p expected log reads; 0: timed out. */
 static uint64_t wait_for_reads(log_store *store, uint32_t expected) {
     uint64_t started_ms = hs_clock_monotonic_ms();
-    while (log_store_calls(store, "/log-read") < expected) {
+    while (log_store_call_count(store, "/log-read") < expected) {
         if (hs_clock_monotonic_ms() > started_ms + 4ULL * READ_INTERVAL_MS)
             return 0;
         hs_clock_sleep_ms(5);
@@ -29,7 +29,7 @@
     hs_engine_source_start(source);
     CU_ASSERT(wait_for_reads(store, 1) > 0);
     log_store_set_mode(store, LOG_STORE_REFUSES, "/log-read", 1);
-    uint32_t before = log_store_calls(store, "/log-read");
+    uint32_t before = log_store_call_count(store, "/log-read");
     CU_ASSERT(wait_for_reads(store, before + 1) > 0); /* This read fails. */
     CU_ASSERT(wait_for_reads(store, before + 2) < READ_INTERVAL_MS / 2);
     hs_engine_source_free(source);
--- a/tests/unit/test_jobs.c
+++ b/tests/unit/test_jobs.c
@@ -268,12 +268,12 @@
         log_store_mode mode;
         hs_store_outcome outcome;
         bool done;
-    } cases[] = {{LOG_STORE_SOUND, HS_STORE_DONE, true},
+    } cases[] = {{LOG_STORE_HEALTHY, HS_STORE_DONE, true},
                  {LOG_STORE_REFUSES, HS_STORE_REFUSED, false},
                  {LOG_STORE_THROTTLES, HS_STORE_REFUSED, false},
                  {LOG_STORE_LOSES_ANSWER, HS_STORE_UNKNOWN, true},
-                 {LOG_STORE_DROPS, HS_STORE_UNKNOWN, false},
-                 {LOG_STORE_SILENT, HS_STORE_UNKNOWN, false}};
+                 {LOG_STORE_DROPS_CALLS, HS_STORE_UNKNOWN, false},
+                 {LOG_STORE_UNRESPONSIVE, HS_STORE_UNKNOWN, false}};
     for (size_t index = 0; index < G_N_ELEMENTS(cases); index++) {
         partition_fixture fixture;
         open_fixture(&fixture);
@@ -311,7 +311,7 @@
     partition_fixture fixture;
     open_fixture(&fixture);
     CU_ASSERT_TRUE(catch_up(&fixture));
-    log_store_set_mode(fixture.store, LOG_STORE_DROPS, "/log-read", 1);
+    log_store_set_mode(fixture.store, LOG_STORE_DROPS_CALLS, "/log-read", 1);
     CU_ASSERT_TRUE(catch_up(&fixture));
     log_store_set_mode(fixture.store, LOG_STORE_REFUSES, "/log-read", 100);
     CU_ASSERT_FALSE(catch_up(&fixture));
@@ -322,7 +322,7 @@
     partition_fixture fixture;
     open_fixture(&fixture);
     append_manifest(&fixture);
-    log_store_forget(fixture.store, "jobs");
+    log_store_discard_records(fixture.store, "jobs");
     CU_ASSERT_TRUE(catch_up(&fixture));
     CU_ASSERT_FALSE(is_known(&fixture));
     append_manifest(&fixture);
--- a/tests/unit/test_quota.c
+++ b/tests/unit/test_quota.c
@@ -291,7 +291,7 @@
     CU_ASSERT_EQUAL(reserve(&daemon, config, "a", &decision), HS_QUOTA_UNKNOWN);
     log_store_set_mode(store, LOG_STORE_REFUSES, "/log-append?topic=quota", 100000);
     CU_ASSERT_EQUAL(reserve(&daemon, config, "b", &decision), HS_QUOTA_UNKNOWN);
-    log_store_set_mode(store, LOG_STORE_SOUND, NULL, 1);
+    log_store_set_mode(store, LOG_STORE_HEALTHY, NULL, 1);
     CU_ASSERT_EQUAL(reserve(&daemon, config, "c", &decision), HS_QUOTA_FITS);
     stop_daemon(&daemon);
     hs_fleet_config_unref(config);
--- a/tests/unit/test_store_client.c
+++ b/tests/unit/test_store_client.c
@@ -64,7 +64,7 @@
 static void appends_are_limited_while_the_store_is_failing(void) {
     failing_store opened = open_failing_store();
     CU_ASSERT_FALSE(append_until_done(opened.client, OUTAGE_MS));
-    CU_ASSERT_TRUE(log_store_calls(opened.store, "/log-append") <= MAX_APPENDS);
+    CU_ASSERT_TRUE(log_store_call_count(opened.store, "/log-append") <= MAX_APPENDS);
     close_failing_store(&opened);
 }
 
@@ -72,7 +72,7 @@
     failing_store opened = open_failing_store();
     append_until_done(opened.client, OUTAGE_MS / 4);
     CU_ASSERT_TRUE(hs_store_client_is_failing(opened.client));
-    log_store_set_mode(opened.store, LOG_STORE_SOUND, "", 0);
+    log_store_set_mode(opened.store, LOG_STORE_HEALTHY, "", 0);
     CU_ASSERT_EQUAL(read_once(opened.client), HS_STORE_DONE);
     CU_ASSERT_EQUAL(append_once(opened.client), HS_STORE_DONE);
     CU_ASSERT_EQUAL(append_once(opened.client), HS_STORE_DONE);
@@ -83,7 +83,7 @@
 static void a_probe_append_detects_recovery(void) {
     failing_store opened = open_failing_store();
     append_until_done(opened.client, OUTAGE_MS / 4);
-    log_store_set_mode(opened.store, LOG_STORE_SOUND, "", 0);
+    log_store_set_mode(opened.store, LOG_STORE_HEALTHY, "", 0);
     CU_ASSERT_TRUE(append_until_done(opened.client, OUTAGE_MS));
     close_failing_store(&opened);
 }
--- a/tools/surface/event_trace.c
+++ b/tools/surface/event_trace.c
@@ -69,7 +69,7 @@
     uint32_t event = 0;
     uint32_t number = 0;
     char engine_id[TOKEN_ENGINE_ID_BYTES] = "";
-    if (!token_engine_read_event(data, &event, engine_id, &number)) {
+    if (!token_engine_parse_event(data, &event, engine_id, &number)) {
         note_fault(found, "no event of an engine: \"%s\"", data);
         return;
     }
--- a/tools/surface/fleet_bench.c
+++ b/tools/surface/fleet_bench.c
@@ -200,14 +200,14 @@
 uint32_t bench_runs(const char *request_id) {
     uint32_t runs = 0;
     for (int index = 0; index < BENCH_ENGINES; index++)
-        runs += token_engine_runs(bench.engines[index], request_id);
+        runs += token_engine_run_count(bench.engines[index], request_id);
     return runs;
 }
 
 uint32_t bench_resumes(const char *request_id) {
     uint32_t resumes = 0;
     for (int index = 0; index < BENCH_ENGINES; index++)
-        resumes += token_engine_resumes(bench.engines[index], request_id);
+        resumes += token_engine_resume_count(bench.engines[index], request_id);
     return resumes;
 }
 
