--- a/spec/arbiters.pml
+++ b/spec/arbiters.pml
@@ -115,7 +115,7 @@
     od
 }
 
-/* hs_slot_ledger_take at the one that the word was sent to, and its answer. */
+/* hs_slot_ledger_put_report at the one that the word was sent to, and its answer. */
 proctype words(byte d) {
     byte a;
 end:
@@ -143,7 +143,7 @@
     od
 }
 
-/* hs_fleet_engines_step_aside. */
+/* hs_fleet_engines_preempt_items. */
 proctype asks(byte d) {
 end:
     do
--- a/spec/limits.pml
+++ b/spec/limits.pml
@@ -44,7 +44,7 @@
 byte passed;
 byte unnoticed;
 
-/* hs_limit_reach and part_of. */
+/* hs_limit_reachability and part_of. */
 #define IS_HOME(daemon) (daemon == 0 || !sees[daemon])
 #ifdef WHOLE_LIMIT
 #define RATE_OF(daemon) RATE
@@ -60,7 +60,7 @@
 #define REACHES (ANSWERS(0) && ANSWERS(1) && !cut)
 #define MIN(left, right) ((left) < (right) -> (left) : (right))
 
-/* hs_limit_book_ask. */
+/* hs_limit_book_check. */
 inline decide(daemon) {
     if
     :: !has_bucket[daemon] ->
@@ -88,7 +88,7 @@
     fi
 }
 
-/* hs_tenant_limiter_ask: of a request that came to @daemon. */
+/* hs_tenant_limiter_check: of a request that came to @daemon. */
 inline ask(daemon) {
     if
     :: IS_HOME(daemon) -> decide(daemon)
@@ -118,7 +118,7 @@
     age[daemon] = MIN(age[daemon] + 1, BURST)
 }
 
-/* hs_limit_book_note_change: the daemon finds out who answers. */
+/* hs_limit_book_note_reach_change: the daemon finds out who answers. */
 inline notice(daemon, answers) {
     sees[daemon] = answers;
     age[daemon] = 0;
--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -33,7 +33,7 @@
     unfinished++
 }
 
-/* The sum at hand: hs_job_quota_claim and make_sum. */
+/* The sum at hand: hs_job_quota_reserve and make_sum. */
 inline take_sum() {
     d_step {
         sum = 0;
