--- a/tools/ctl/commands.c
+++ b/tools/ctl/commands.c
@@ -8,34 +8,35 @@
 #include <string.h>
 
 #define EXIT_UNKNOWN_OUTCOME 2
-#define FIRST_REFUSAL 300
-#define NO_ANSWER 0
-#define GATEWAY_TIMEOUT 504
+#define MIN_ERROR_STATUS 300
+#define NO_RESPONSE 0
+#define HTTP_GATEWAY_TIMEOUT 504
 
 static int exit_status(long status) {
-    if (status == NO_ANSWER || status == GATEWAY_TIMEOUT)
+    if (status == NO_RESPONSE || status == HTTP_GATEWAY_TIMEOUT)
         return EXIT_UNKNOWN_OUTCOME;
-    return status < FIRST_REFUSAL ? EXIT_SUCCESS : EXIT_FAILURE;
+    return status < MIN_ERROR_STATUS ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
-/** Print a JSON answer: compact for programs, indented for people. */
-static void print_document(const ctl_options *options, const json_t *document) {
+/** Prints a JSON document: compact with --output json, else indented. */
+static void print_json(const ctl_options *options, const json_t *document) {
     char *text = json_dumps(document, options->json_output ? JSON_COMPACT : JSON_INDENT(2));
     printf("%s\n", text != NULL ? text : "");
     free(text);
 }
 
-static int report(const ctl_options *options, long status, json_t *document) {
+/** Prints a response or its error and returns the exit status. Releases @p document. */
+static int report_response(const ctl_options *options, long status, json_t *document) {
     const json_t *error = json_object_get(document, "error");
-    if (status == NO_ANSWER)
-        fprintf(stderr, "heathsailctl: no answer; the outcome is unknown\n");
+    if (status == NO_RESPONSE)
+        fprintf(stderr, "heathsailctl: no response from the daemon; the outcome is unknown\n");
     else if (error != NULL && !options->json_output)
         fprintf(stderr, "heathsailctl: %s (%s, executed: %s)\n",
                 json_string_value(json_object_get(error, "message")),
                 json_string_value(json_object_get(error, "code")),
                 json_string_value(json_object_get(error, "executed")));
     else if (document != NULL)
-        print_document(options, document);
+        print_json(options, document);
     json_decref(document);
     return exit_status(status);
 }
@@ -46,7 +47,7 @@
                                    NULL};
     json_t *document = NULL;
     long status = client_call(method, options->admin_url, path, NULL, body, headers, &document);
-    return report(options, status, document);
+    return report_response(options, status, document);
 }
 
 static char *read_input(const char *path) {
@@ -102,7 +103,8 @@
         return EXIT_FAILURE;
     long status = client_upload(options->caller_url, options->tenant, lines, &file_id);
     if (file_id == NULL) {
-        fprintf(stderr, "heathsailctl: the file was not accepted (status %ld)\n", status);
+        fprintf(stderr, "heathsailctl: upload of the input file failed (HTTP status %ld)\n",
+                status);
         return exit_status(status);
     }
     json_t *submission = json_pack("{s:s,s:s,s:s}", "input_file_id", file_id, "endpoint",
@@ -115,16 +117,16 @@
     status = client_call("POST", options->caller_url, "/v1/batches", options->tenant, body, headers,
                          &document);
     free(body);
-    return report(options, status, document);
+    return report_response(options, status, document);
 }
 
-static int call_batch(const ctl_options *options, const char *method, const char *format,
+static int call_batch(const ctl_options *options, const char *method, const char *suffix,
                       const char *id) {
-    g_autofree char *path = g_strdup_printf("/v1/batches/%s%s", id, format);
+    g_autofree char *path = g_strdup_printf("/v1/batches/%s%s", id, suffix);
     json_t *document = NULL;
     long status = client_call(method, options->caller_url, path, options->tenant,
                               strcmp(method, "POST") == 0 ? "{}" : NULL, NULL, &document);
-    return report(options, status, document);
+    return report_response(options, status, document);
 }
 
 static int run_batch_status(const ctl_options *options, char **arguments) {
@@ -136,32 +138,33 @@
 }
 
 static int run_batch_results(const ctl_options *options, char **arguments) {
-    const char *digest = strchr(arguments[0], '_');
-    if (digest == NULL) {
-        fprintf(stderr, "heathsailctl: %s is not the id of a batch\n", arguments[0]);
+    const char *digest_suffix = strchr(arguments[0], '_');
+    if (digest_suffix == NULL) {
+        fprintf(stderr, "heathsailctl: %s is not a batch id (batch_...)\n", arguments[0]);
         return EXIT_FAILURE;
     }
-    g_autofree char *path = g_strdup_printf("/v1/files/output%s/content", digest);
+    g_autofree char *path = g_strdup_printf("/v1/files/output%s/content", digest_suffix);
     hs_http_answer answer;
-    bool answered =
+    bool has_response =
         client_exchange("GET", options->caller_url, path, options->tenant, NULL, NULL, &answer);
-    long status = answered ? answer.status : NO_ANSWER;
-    if (answered)
-        fwrite(answer.body, 1, answer.body_length, status < FIRST_REFUSAL ? stdout : stderr);
+    long status = has_response ? answer.status : NO_RESPONSE;
+    if (has_response)
+        fwrite(answer.body, 1, answer.body_length, status < MIN_ERROR_STATUS ? stdout : stderr);
     hs_http_answer_clear(&answer);
     return exit_status(status);
 }
 
 const ctl_command ctl_commands[] = {
-    {"publish", NULL, 3, run_publish, "publish KIND NAME FILE    create or change an object"},
-    {"show", NULL, 2, run_show, "show KIND NAME            one object"},
-    {"list", NULL, 1, run_list, "list KIND                 all objects of a kind"},
+    {"publish", NULL, 3, run_publish, "publish KIND NAME FILE    create or update an object"},
+    {"show", NULL, 2, run_show, "show KIND NAME            print an object"},
+    {"list", NULL, 1, run_list, "list KIND                 list the objects of a kind"},
     {"delete", NULL, 2, run_delete, "delete KIND NAME          delete an object"},
-    {"status", NULL, 0, run_status, "status                    what the daemon knows"},
-    {"explain", NULL, 1, run_explain, "explain REQUEST-ID        why an engine was chosen"},
+    {"status", NULL, 0, run_status, "status                    print the daemon's status"},
+    {"explain", NULL, 1, run_explain, "explain REQUEST-ID        print why an engine was chosen"},
     {"drain", NULL, 0, run_drain, "drain                     take the daemon out of service"},
     {"batch", "submit", 1, run_batch_submit, "batch submit FILE.jsonl   upload and submit a job"},
-    {"batch", "status", 1, run_batch_status, "batch status ID           how a job stands"},
+    {"batch", "status", 1, run_batch_status, "batch status ID           print the status of a job"},
     {"batch", "cancel", 1, run_batch_cancel, "batch cancel ID           cancel a job"},
-    {"batch", "results", 1, run_batch_results, "batch results ID          results as JSONL"},
+    {"batch", "results", 1, run_batch_results,
+     "batch results ID          print the results of a job as JSONL"},
     {NULL, NULL, 0, NULL, NULL}};
--- a/tools/ctl/main.c
+++ b/tools/ctl/main.c
@@ -1,4 +1,4 @@
-/** @file main.c  heathsailctl: the operators' command line. */
+/** @file main.c  heathsailctl: the operators' command-line tool. */
 #include "tools/ctl/ctl.h"
 
 #include <argp.h>
@@ -19,10 +19,10 @@
 } command_line;
 
 static const struct argp_option option_list[] = {
-    {"admin", 'a', "URL", 0, "operators' listener (http://127.0.0.1:8090)", 0},
-    {"caller", 'c', "URL", 0, "callers' listener (http://127.0.0.1:8080)", 0},
-    {"tenant", 't', "NAME", 0, "tenant of batch commands (operator)", 0},
-    {"if-match", 'm', "REVISION", 0, "change only this revision of the object", 0},
+    {"admin", 'a', "URL", 0, "URL of the admin listener (http://127.0.0.1:8090)", 0},
+    {"caller", 'c', "URL", 0, "URL of the caller listener (http://127.0.0.1:8080)", 0},
+    {"tenant", 't', "NAME", 0, "tenant for batch commands (operator)", 0},
+    {"if-match", 'm', "REVISION", 0, "fail if the object has another revision", 0},
     {"key", 'k', "KEY", 0, "idempotency key of a submitted job", 0},
     {"endpoint", 'e', "PATH", 0, "endpoint of a submitted job (/v1/chat/completions)", 0},
     {"window", 'w', "WINDOW", 0, "completion window of a submitted job (24h)", 0},
@@ -55,7 +55,7 @@
         return 0;
     case 'o':
         if (strcmp(argument, "json") != 0 && strcmp(argument, "text") != 0)
-            argp_error(state, "output must be text or json");
+            argp_error(state, "--output must be text or json");
         line->options.json_output = strcmp(argument, "json") == 0;
         return 0;
     case ARGP_KEY_ARG:
@@ -68,7 +68,7 @@
     }
 }
 
-/** The command whose words are given; NULL when none fits. */
+/** Returns the command that matches the words and their number, or NULL. */
 static const ctl_command *find_command(const command_line *line) {
     for (const ctl_command *command = ctl_commands; command->group != NULL; command++) {
         int name_words = command->verb != NULL ? 2 : 1;
--- a/tools/load/percentile.h
+++ b/tools/load/percentile.h
@@ -1,13 +1,13 @@
-/** @file percentile.h  Percentiles of measured values. */
+/** @file percentile.h  Percentiles of arrays of double. */
 #ifndef TOOLS_LOAD_PERCENTILE_H
 #define TOOLS_LOAD_PERCENTILE_H
 
 #include <glib.h>
 
-/** Sort an array of double, smallest first. */
+/** Sorts an array of double in ascending order. */
 void percentile_sort(GArray *values);
 
-/** Value at or below which @p share (0 to 1) of the sorted values lie; 0 when there are none. */
+/** Returns the nearest-rank percentile for @p share (0 to 1); 0 if the array is empty. */
 double percentile_of(const GArray *sorted, double share);
 
 #endif
