--- a/tools/fleet/client.c
+++ b/tools/fleet/client.c
@@ -6,13 +6,13 @@
 #include <string.h>
 #include <ulfius.h>
 
-#define CALL_TIMEOUT_S 60
+#define REQUEST_TIMEOUT_S 60
 #define POLL_MS 20
 #define HTTP_OK 200
 #define MAX_HEADERS 16
-#define BOUNDARY "heathsail-upload-boundary"
+#define UPLOAD_BOUNDARY "heathsail-upload-boundary"
 
-/** The bearer header and the extra ones. @p bearer must outlive the use of @p list. */
+/** Fills @p list with the bearer header and @p headers. @p bearer must outlive @p list. */
 static void fill_headers(const char **list, const char *bearer, client_headers headers) {
     int count = 0;
     if (bearer != NULL) {
@@ -35,7 +35,7 @@
                                .content_type = json_body != NULL ? "application/json" : NULL,
                                .body = json_body,
                                .body_length = json_body != NULL ? strlen(json_body) : 0,
-                               .timeout_s = CALL_TIMEOUT_S,
+                               .timeout_s = REQUEST_TIMEOUT_S,
                                .header_list = list};
     return hs_http_exchange(&request, answer);
 }
@@ -56,18 +56,18 @@
     g_autofree char *url = g_strconcat(base_url, "/v1/files", NULL);
     g_autofree char *bearer = g_strconcat("Bearer ", tenant, NULL);
     g_autofree char *body = g_strdup_printf(
-        "--" BOUNDARY "\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n"
-        "--" BOUNDARY "\r\nContent-Disposition: form-data; name=\"file\"; "
+        "--" UPLOAD_BOUNDARY "\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n"
+        "--" UPLOAD_BOUNDARY "\r\nContent-Disposition: form-data; name=\"file\"; "
         "filename=\"items.jsonl\"\r\nContent-Type: application/jsonl\r\n\r\n%s\r\n"
-        "--" BOUNDARY "--\r\n",
+        "--" UPLOAD_BOUNDARY "--\r\n",
         jsonl);
     const char *headers[] = {"Authorization", bearer, NULL};
     hs_http_request request = {.method = "POST",
                                .url = url,
-                               .content_type = "multipart/form-data; boundary=" BOUNDARY,
+                               .content_type = "multipart/form-data; boundary=" UPLOAD_BOUNDARY,
                                .body = body,
                                .body_length = strlen(body),
-                               .timeout_s = CALL_TIMEOUT_S,
+                               .timeout_s = REQUEST_TIMEOUT_S,
                                .header_list = headers};
     hs_http_answer answer;
     long status = hs_http_exchange(&request, &answer) ? answer.status : 0;
@@ -78,14 +78,14 @@
     return status;
 }
 
-/** Reading of a stream's events. */
+/** State of reading a stream's events. */
 typedef struct {
     client_stream *stream;
     GString *line;
-    uint32_t stop_after;
-} stream_reading;
+    uint32_t disconnect_after_tokens;
+} stream_reader;
 
-static void take_error(client_stream *stream, const json_t *document) {
+static void record_error(client_stream *stream, const json_t *document) {
     const json_t *error = json_object_get(document, "error");
     if (error == NULL)
         return;
@@ -93,49 +93,51 @@
     stream->executed = g_strdup(json_string_value(json_object_get(error, "executed")));
 }
 
-static void take_event(client_stream *stream, const char *text) {
+static void record_event(client_stream *stream, const char *text) {
     if (strcmp(text, "[DONE]") == 0) {
         stream->done_seen = true;
         return;
     }
     json_t *event = json_loads(text, 0, NULL);
     const json_t *choice = json_array_get(json_object_get(event, "choices"), 0);
-    const json_t *piece = json_object_get(json_object_get(choice, "delta"), "content");
-    if (piece == NULL)
-        piece = json_object_get(choice, "text");
-    if (json_is_string(piece)) {
+    const json_t *content = json_object_get(json_object_get(choice, "delta"), "content");
+    if (content == NULL)
+        content = json_object_get(choice, "text");
+    if (json_is_string(content)) {
         gint64 now_us = g_get_monotonic_time();
         g_array_append_val(stream->token_times_us, now_us);
-        g_string_append(stream->text, json_string_value(piece));
+        g_string_append(stream->text, json_string_value(content));
         stream->token_count++;
     }
-    take_error(stream, event);
+    record_error(stream, event);
     json_decref(event);
 }
 
 static size_t read_stream(void *contents, size_t size, size_t count, void *user_data) {
-    stream_reading *reading = user_data;
+    stream_reader *reader = user_data;
     const char *bytes = contents;
     for (size_t index = 0; index < size * count; index++) {
         if (bytes[index] != '\n') {
-            g_string_append_c(reading->line, bytes[index]);
+            g_string_append_c(reader->line, bytes[index]);
             continue;
         }
-        if (g_str_has_prefix(reading->line->str, "data: "))
-            take_event(reading->stream, reading->line->str + strlen("data: "));
-        g_string_truncate(reading->line, 0);
+        if (g_str_has_prefix(reader->line->str, "data: "))
+            record_event(reader->stream, reader->line->str + strlen("data: "));
+        g_string_truncate(reader->line, 0);
     }
-    bool enough = reading->stop_after > 0 && reading->stream->token_count >= reading->stop_after;
-    return enough ? 0 : size * count;
+    bool is_limit_reached = reader->disconnect_after_tokens > 0 &&
+                            reader->stream->token_count >= reader->disconnect_after_tokens;
+    return is_limit_reached ? 0 : size * count;
 }
 
 void client_stream_run(const char *base_url, const char *path, const char *tenant,
-                       const char *json_body, client_headers headers, uint32_t stop_after,
-                       client_stream *stream) {
+                       const char *json_body, client_headers headers,
+                       uint32_t disconnect_after_tokens, client_stream *stream) {
     *stream = (client_stream){.text = g_string_new(NULL),
                               .token_times_us = g_array_new(FALSE, FALSE, sizeof(gint64))};
-    stream_reading reading = {
-        .stream = stream, .line = g_string_new(NULL), .stop_after = stop_after};
+    stream_reader reader = {.stream = stream,
+                            .line = g_string_new(NULL),
+                            .disconnect_after_tokens = disconnect_after_tokens};
     g_autofree char *url = g_strconcat(base_url, path, NULL);
     g_autofree char *bearer = g_strconcat("Bearer ", tenant, NULL);
     struct _u_request request;
@@ -148,13 +150,13 @@
                                   U_OPT_STRING_BODY, json_body, U_OPT_NONE);
     for (; headers != NULL && headers[0] != NULL; headers += 2)
         u_map_put(request.map_header, headers[0], headers[1]);
-    int result = ulfius_send_http_streaming_request(&request, &response, read_stream, &reading);
-    stream->transfer_broken = result != U_OK;
+    int result = ulfius_send_http_streaming_request(&request, &response, read_stream, &reader);
+    stream->has_transfer_error = result != U_OK;
     stream->status = response.status;
-    json_t *document = json_loads(reading.line->str, 0, NULL);
-    take_error(stream, document);
+    json_t *document = json_loads(reader.line->str, 0, NULL);
+    record_error(stream, document);
     json_decref(document);
-    g_string_free(reading.line, TRUE);
+    g_string_free(reader.line, TRUE);
     ulfius_clean_request(&request);
     ulfius_clean_response(&response);
 }
--- a/tools/fleet/demo.c
+++ b/tools/fleet/demo.c
@@ -11,7 +11,7 @@
 #define BATCH_ITEMS 24
 #define BATCH_TIMEOUT_MS 30000
 
-static bool demo_plain(const fleet *self) {
+static bool run_online_demo(const fleet *self) {
     json_t *body = NULL;
     long status = client_call("POST", self->caller_urls[0], "/v1/chat/completions", TENANT,
                               "{\"model\":\"drafting-7b\",\"max_tokens\":8,\"messages\":[{\"role\":"
@@ -25,7 +25,7 @@
     return status == 200;
 }
 
-static bool demo_stream(const fleet *self) {
+static bool run_stream_demo(const fleet *self) {
     client_stream stream;
     client_stream_run(self->caller_urls[1], "/v1/completions", TENANT,
                       "{\"model\":\"order-3b\",\"max_tokens\":12,\"stream\":true,"
@@ -33,12 +33,12 @@
                       NULL, 0, &stream);
     printf("streamed answer through daemon 1 (%u tokens, terminator %s): %s\n", stream.token_count,
            stream.done_seen ? "seen" : "missing", stream.text->str);
-    bool whole = stream.done_seen && stream.token_count == 12;
+    bool is_complete = stream.done_seen && stream.token_count == 12;
     client_stream_clear(&stream);
-    return whole;
+    return is_complete;
 }
 
-static char *batch_lines(void) {
+static char *make_batch_lines(void) {
     GString *lines = g_string_new(NULL);
     for (int item = 0; item < BATCH_ITEMS; item++)
         g_string_append_printf(lines,
@@ -49,8 +49,8 @@
     return g_string_free(lines, FALSE);
 }
 
-static bool demo_batch(const fleet *self) {
-    g_autofree char *lines = batch_lines();
+static bool run_batch_demo(const fleet *self) {
+    g_autofree char *lines = make_batch_lines();
     g_autofree char *file_id = NULL;
     json_t *job = NULL;
     if (client_upload(self->caller_urls[0], TENANT, lines, &file_id) != 200)
@@ -67,22 +67,22 @@
         "/v1/files/%s/content", json_string_value(json_object_get(job, "output_file_id")));
     hs_http_answer results;
     client_exchange("GET", self->caller_urls[2], path, TENANT, NULL, NULL, &results);
-    int lines_read = 0;
+    int result_count = 0;
     for (size_t index = 0; index < results.body_length; index++)
-        lines_read += results.body[index] == '\n';
+        result_count += results.body[index] == '\n';
     const char *status = json_string_value(json_object_get(job, "status"));
     printf("batch job %s: submitted through daemon 1, %s, %d of %d results read through daemon 2\n",
-           job_id, status != NULL ? status : "not finished", lines_read, BATCH_ITEMS);
+           job_id, status != NULL ? status : "not finished", result_count, BATCH_ITEMS);
     hs_http_answer_clear(&results);
     json_decref(job);
-    return lines_read == BATCH_ITEMS;
+    return result_count == BATCH_ITEMS;
 }
 
 bool fleet_demo(const fleet *self) {
-    bool plain = demo_plain(self);
-    bool streamed = demo_stream(self);
-    bool batch = demo_batch(self);
-    printf("summary: plain=%s streamed=%s batch=%s\n", plain ? "ok" : "FAILED",
-           streamed ? "ok" : "FAILED", batch ? "ok" : "FAILED");
-    return plain && streamed && batch;
+    bool online_passed = run_online_demo(self);
+    bool stream_passed = run_stream_demo(self);
+    bool batch_passed = run_batch_demo(self);
+    printf("summary: plain=%s streamed=%s batch=%s\n", online_passed ? "ok" : "FAILED",
+           stream_passed ? "ok" : "FAILED", batch_passed ? "ok" : "FAILED");
+    return online_passed && stream_passed && batch_passed;
 }
--- a/tools/fleet/demo.h
+++ b/tools/fleet/demo.h
@@ -1,10 +1,13 @@
-/** @file demo.h  The demo's three requests against a running fleet. */
+/** @file demo.h  Demo requests to a running fleet. */
 #ifndef TOOLS_FLEET_DEMO_H
 #define TOOLS_FLEET_DEMO_H
 
 #include "tools/fleet/fleet.h"
 
-/** Send an online request, a streamed one and a batch job; print the answers. */
+/**
+ * Sends an online request, a stream and a batch job and prints the responses. Needs three daemons.
+ * Returns true if all three succeeded.
+ */
 bool fleet_demo(const fleet *self);
 
 #endif
--- a/tools/fleet/fleet.h
+++ b/tools/fleet/fleet.h
@@ -1,7 +1,7 @@
 /**
  * @file fleet.h
- * Starts a fleet of real processes on loopback: platform, engines, daemons. Used by
- * heathsail-fleet, the system tests and the fault matrix.
+ * Starts a fleet of processes on loopback: platform, engines and daemons. A fleet belongs to one
+ * thread.
  */
 #ifndef TOOLS_FLEET_FLEET_H
 #define TOOLS_FLEET_FLEET_H
@@ -13,10 +13,10 @@
 
 #define FLEET_MAX_DAEMONS 16
 #define FLEET_MAX_ENGINES 32
-/** Daemons, and engines, that leased ports are enough for. */
-#define FLEET_LEASED_MAX 8
+/** Maximum number of daemons, and of engines, in a fleet with leased ports. */
+#define FLEET_LEASED_PORTS_PER_KIND 8
 
-/** Ports of a fleet; the n-th daemon or engine has the port plus n. */
+/** First ports of a fleet; daemon or engine number n uses the port plus n. */
 typedef struct {
     int platform;
     int caller;
@@ -29,18 +29,18 @@
     const char *programs; /**< Directory of the binaries. */
     fleet_ports ports;
     int daemon_count;
-    int drafting_engines; /**< Engines labelled service=quote-desk. */
-    int order_engines;    /**< Engines labelled service=order-book. */
-    int list_lag_ms;
-    const char *log_directory; /**< Standard error of each process goes there; NULL: inherited. */
+    int drafting_engines;      /**< Engines labelled service=quote-desk. */
+    int order_engines;         /**< Engines labelled service=order-book. */
+    int list_lag_ms;           /**< Delay of the platform's machine list. */
+    const char *log_directory; /**< For the standard error of each process; NULL: inherited. */
     const char *const *daemon_settings; /**< Extra "group.key=value", NULL-terminated; or NULL. */
 } fleet_options;
 
 extern const fleet_ports fleet_default_ports;
 
 /**
- * Ports that no other test program uses, the same at each call, for a fleet of at most
- * FLEET_LEASED_MAX daemons and as many engines.
+ * Returns ports that no other test program uses, the same at each call, for at most
+ * FLEET_LEASED_PORTS_PER_KIND daemons and as many engines. Not thread-safe.
  */
 fleet_ports fleet_leased_ports(void);
 
@@ -54,35 +54,43 @@
     char admin_urls[FLEET_MAX_DAEMONS][64];
     char engine_urls[FLEET_MAX_ENGINES][64];
     int engine_count;
-    /** Most descriptors that daemons started from now on may have open; 0: as this process. */
+    /** Descriptor limit of daemons started later; 0: as this process. */
     unsigned daemon_descriptors;
 } fleet;
 
-/** Start all, publish the default configuration, wait until every daemon is ready. */
+/**
+ * Starts all processes, publishes the default configuration and waits until every daemon routes.
+ * After a failure, fleet_stop ends the started processes.
+ */
 bool fleet_start(fleet *self, const fleet_options *options);
 
-/** Stop what is left, daemons first. @return false when a daemon's planned stop failed. */
+/** Stops the running processes, daemons first. Returns false if a daemon did not exit with 0. */
 bool fleet_stop(fleet *self);
 
-/** Start one daemon; @p fault: value of HS_FAULT for a test build, or NULL. */
+/** Starts or restarts a daemon; @p fault: value of HS_FAULT for a test build, or NULL. */
 bool fleet_start_daemon(fleet *self, int index, const char *fault);
 
-/** Start one engine (again). */
+/** Starts or restarts an engine and waits until it responds. */
 bool fleet_start_engine(fleet *self, int index);
 
-/** Send @p signal_number to a process and, when it ends it, wait. @return its exit status or -1. */
+/**
+ * Sends a signal to a process. Except for SIGSTOP and SIGCONT, waits until the process ends and
+ * sets
+ * @p pid to 0. @return exit status (0 for SIGSTOP and SIGCONT); -1: not running or ended by a
+ * signal.
+ */
 int fleet_signal(pid_t *pid, int signal_number);
 
-/** Wait until the daemon is ready. */
+/** Waits until the daemon is ready. Returns false on time-out. */
 bool fleet_wait_ready(const fleet *self, int index, unsigned timeout_ms);
 
-/** PUT a JSON text of faults to the platform's or an engine's /control/faults. */
+/** Sends a JSON document to the /control/faults of the platform or an engine. */
 bool fleet_set_faults(const char *base_url, const char *json_text);
 
-/** Enter (or change) an engine in the platform's machine list; @p state "live" or "leaving". */
+/** Adds or updates an engine in the platform's machine list; @p state: "live" or "leaving". */
 bool fleet_list_engine(const fleet *self, int index, const char *state);
 
-/** Every request the engines started, as one JSON array. Owned. */
+/** Returns all requests that the engines started as a JSON array; the caller releases it. */
 json_t *fleet_engine_records(const fleet *self);
 
 #endif
--- a/tools/fleet/main.c
+++ b/tools/fleet/main.c
@@ -1,4 +1,4 @@
-/** @file main.c  heathsail-fleet: a fleet in the foreground, or the demo. */
+/** @file main.c  heathsail-fleet: runs a fleet in the foreground, or the demo. */
 #include "tools/fleet/demo.h"
 
 #include <argp.h>
@@ -14,14 +14,14 @@
 typedef struct {
     const char *programs;
     bool demo;
-    const char *settings[MAX_SETTINGS + 1]; /**< For every daemon; NULL-terminated. */
+    const char *settings[MAX_SETTINGS + 1]; /**< NULL-terminated. */
     int setting_count;
 } command_line;
 
 static const struct argp_option option_list[] = {
     {"programs", 'p', "DIR", 0, "directory of the programs (build)", 0},
-    {"set", 's', "GROUP.KEY=VALUE", 0, "a setting of every daemon; may be repeated", 0},
-    {"demo", 'd', NULL, 0, "send the demo's requests, then stop", 0},
+    {"set", 's', "GROUP.KEY=VALUE", 0, "setting for every daemon; may be repeated", 0},
+    {"demo", 'd', NULL, 0, "send the demo requests, then stop", 0},
     {0}};
 
 static error_t parse_option(int key, char *argument, struct argp_state *state) {
@@ -32,7 +32,7 @@
         return 0;
     case 's':
         if (line->setting_count >= MAX_SETTINGS)
-            argp_error(state, "too many settings");
+            argp_error(state, "too many --set options (at most 16)");
         line->settings[line->setting_count++] = argument;
         return 0;
     case 'd':
@@ -59,16 +59,16 @@
                              .log_directory = log_directory,
                              .daemon_settings = line.settings};
     sigset_t stop_signals;
-    sigset_t earlier;
+    sigset_t previous_signals;
     sigemptyset(&stop_signals);
     sigaddset(&stop_signals, SIGINT);
     sigaddset(&stop_signals, SIGTERM);
     fleet running;
-    bool good = fleet_start(&running, &options);
-    pthread_sigmask(SIG_BLOCK, &stop_signals, &earlier);
-    if (good && line.demo) {
-        good = fleet_demo(&running);
-    } else if (good) {
+    bool is_successful = fleet_start(&running, &options);
+    pthread_sigmask(SIG_BLOCK, &stop_signals, &previous_signals);
+    if (is_successful && line.demo) {
+        is_successful = fleet_demo(&running);
+    } else if (is_successful) {
         printf("fleet ready caller=%s admin=%s callers=%s,%s,%s\n", running.caller_urls[0],
                running.admin_urls[0], running.caller_urls[0], running.caller_urls[1],
                running.caller_urls[2]);
@@ -76,9 +76,10 @@
         int received = 0;
         sigwait(&stop_signals, &received);
     }
-    if (!good)
-        fprintf(stderr, "the fleet failed; logs are in %s\n", log_directory);
-    bool clean = fleet_stop(&running);
-    printf("fleet stopped %s\n", clean ? "cleanly" : "with an error");
-    return good && clean ? EXIT_SUCCESS : EXIT_FAILURE;
+    if (!is_successful)
+        fprintf(stderr, "the fleet did not start or the demo failed; logs are in %s\n",
+                log_directory);
+    bool is_clean = fleet_stop(&running);
+    printf("fleet stopped %s\n", is_clean ? "cleanly" : "with an error");
+    return is_successful && is_clean ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tools/limits/limit_model.c
+++ b/tools/limits/limit_model.c
@@ -228,10 +228,10 @@
 typedef struct {
     const model *model;
     uint32_t daemon;
-} owner_lookup;
+} limit_owner_lookup;
 
 static bool is_limit_owner(const char *tenant, void *user_data) {
-    const owner_lookup *lookup = user_data;
+    const limit_owner_lookup *lookup = user_data;
     return find_limit_owner(lookup->model, lookup->daemon, tenant) == lookup->daemon;
 }
 
@@ -239,7 +239,7 @@
 static void detect_change(model *model) {
     model->is_change_detected = true;
     for (uint32_t index = 0; index < model->scenario->daemons; index++) {
-        owner_lookup lookup = {.model = model, .daemon = index};
+        limit_owner_lookup lookup = {.model = model, .daemon = index};
         hs_limit_book_note_reach_change(model->daemons[index].book, is_limit_owner, &lookup,
                                         model->now_ms);
     }
@@ -269,7 +269,7 @@
     schedule_detection(model);
 }
 
-static void run_faults(model *model) {
+static void update_faults(model *model) {
     for (uint32_t index = 0; index < model->scenario->fault_count; index++) {
         const limit_fault *fault = &model->scenario->faults[index];
         if (model->now_ms == fault->at_ms)
@@ -307,7 +307,7 @@
 }
 
 static void run_step(model *model) {
-    run_faults(model);
+    update_faults(model);
     if (model->scenario->way == LIMIT_WAY_SHARES && model->now_ms % USE_REPORT_INTERVAL_MS == 0)
         send_use_reports(model);
     for (uint32_t index = 0; index < model->scenario->tenants; index++) {
--- a/tools/surface/event_trace.h
+++ b/tools/surface/event_trace.h
@@ -1,9 +1,9 @@
 /**
  * @file event_trace.h
- * Traces what callers of the bench got back to the engines' runs that made it.
+ * Traces responses to the engine runs that produced them.
  *
- * An answer may be put together from several runs. It is right only where each event is there once
- * and in order, and where each run that goes on in it was asked to go on after the event before.
+ * A response may consist of several runs. It is correct if each event occurs once and in order, and
+ * if each later run was resumed after the event that precedes it.
  */
 #ifndef TOOLS_SURFACE_EVENT_TRACE_H
 #define TOOLS_SURFACE_EVENT_TRACE_H
@@ -11,20 +11,20 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/** What a trace found. */
+/** Result of a trace. */
 typedef struct {
-    char *fault;  /**< NULL: all is right. Free with g_free. */
-    guint events; /**< That were traced. */
-    guint joints; /**< Places at which another run goes on. */
+    char *fault;  /**< Description of the first fault; NULL: none. Free with g_free. */
+    guint events; /**< Number of traced events. */
+    guint joints; /**< Number of events that another run than the previous event's produced. */
 } event_trace;
 
 /**
- * Trace an item's text: the data of its events, separated by line feeds. @p whole: it has to end
- * with the last event of an engine's stream.
+ * Traces an item's text: the data of its events, separated by line feeds. If @p is_complete, the
+ * text must end with the last event of an engine's stream.
  */
-event_trace event_trace_text(const char *request_id, const char *text, bool whole);
+event_trace event_trace_text(const char *request_id, const char *text, bool is_complete);
 
-/** Trace the body of a stream; where it is not @p whole it may end within an event. */
-event_trace event_trace_stream(const char *request_id, const char *body, bool whole);
+/** Traces a stream's body, which may end within an event unless @p is_complete. */
+event_trace event_trace_stream(const char *request_id, const char *body, bool is_complete);
 
 #endif
--- a/tools/surface/fleet_bench.c
+++ b/tools/surface/fleet_bench.c
@@ -17,7 +17,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/** What a daemon listens for; each has as many ports as there are daemons. */
+/** Listeners of a daemon; each daemon has PORT_KINDS consecutive ports. */
 typedef enum {
     PORT_FRONT,
     PORT_READY,
@@ -27,15 +27,14 @@
     PORT_KINDS,
 } port_kind;
 
-#define CALL_LIMIT_MS 12000
-#define BODY_LIMIT (16U * 1024 * 1024)
-#define READY_LIMIT_MS 8000
+#define CALL_TIMEOUT_MS 12000
+#define MAX_BODY_BYTES (16U * 1024 * 1024)
+#define READY_TIMEOUT_MS 8000
 #define DEFAULT_RETENTION_S 60U
 #define DEFAULT_CONNECTIONS 100U
-/** Time for which items for a service without engines are tried. */
-#define FAR_RETENTION_S 10U
-/** Between events in ms. */
-#define EVENT_MS 15
+/** Retention of items for the service without engines. */
+#define FAR_JOBS_RETENTION_S 10U
+#define EVENT_INTERVAL_MS 15
 
 fleet_bench bench;
 
@@ -47,28 +46,28 @@
     return bench.settings.item_pace.events > 0 ? bench.settings.item_pace.events : BENCH_EVENTS;
 }
 
-/** The same port for a daemon each time that it is started. */
-static uint16_t port_of(port_kind kind, int index) {
-    static uint16_t first[BENCH_DAEMONS_MOST];
-    if (first[index] == 0)
-        first[index] = port_lease_take(PORT_KINDS);
-    return (uint16_t)(first[index] + (int)kind);
+/** Returns the port of a listener, which stays the same over restarts of the daemon. */
+static uint16_t get_port(port_kind kind, int index) {
+    static uint16_t first_ports[BENCH_DAEMONS_MOST];
+    if (first_ports[index] == 0)
+        first_ports[index] = port_lease_take(PORT_KINDS);
+    return (uint16_t)(first_ports[index] + (int)kind);
 }
 
 uint16_t bench_front_port(int index) {
-    return port_of(PORT_FRONT, index);
+    return get_port(PORT_FRONT, index);
 }
 
 uint16_t bench_ready_port(int index) {
-    return port_of(PORT_READY, index);
+    return get_port(PORT_READY, index);
 }
 
 uint16_t bench_directory_port(int index) {
-    return port_of(PORT_DIRECTORY, index);
+    return get_port(PORT_DIRECTORY, index);
 }
 
 uint16_t bench_metrics_port(int index) {
-    return port_of(PORT_METRICS, index);
+    return get_port(PORT_METRICS, index);
 }
 
 static void add_setting(GPtrArray *arguments, char *setting) {
@@ -80,7 +79,7 @@
     add_setting(arguments, g_strdup_printf("fleet.%s=127.0.0.1:%u", name, port));
 }
 
-static uint16_t store_port_of(int index) {
+static uint16_t get_store_port(int index) {
     if (bench.store_ports[index] != 0)
         return bench.store_ports[index];
     return bench.store_port != 0 ? bench.store_port : log_store_port(bench.store);
@@ -99,84 +98,83 @@
     add_setting(arguments, g_strdup("daemon.surface=fleet"));
     add_setting(arguments, g_strdup_printf("daemon.id=front-%d", index));
     add_setting(arguments, g_strdup("daemon.zone=zone-a"));
-    add_address(arguments, "front", port_of(PORT_FRONT, index));
-    add_address(arguments, "ready", port_of(PORT_READY, index));
-    add_address(arguments, "directory", port_of(PORT_DIRECTORY, index));
-    add_address(arguments, "control", port_of(PORT_CONTROL, index));
-    add_address(arguments, "metrics", port_of(PORT_METRICS, index));
-    add_address(arguments, "seeds", port_of(PORT_CONTROL, 0));
-    add_address(arguments, "store", store_port_of(index));
+    add_address(arguments, "front", get_port(PORT_FRONT, index));
+    add_address(arguments, "ready", get_port(PORT_READY, index));
+    add_address(arguments, "directory", get_port(PORT_DIRECTORY, index));
+    add_address(arguments, "control", get_port(PORT_CONTROL, index));
+    add_address(arguments, "metrics", get_port(PORT_METRICS, index));
+    add_address(arguments, "seeds", get_port(PORT_CONTROL, 0));
+    add_address(arguments, "store", get_store_port(index));
     add_setting(arguments, g_strdup("fleet.grace_s=6"));
     add_setting(arguments, g_strdup("fleet.heartbeat_ms=500"));
-    add_setting(arguments,
-                g_strdup("fleet.status_s=3600")); /* No job of a long run is forgotten. */
+    add_setting(arguments, g_strdup("fleet.status_s=3600")); /* Keeps all jobs of a long run. */
     g_ptr_array_add(arguments, NULL);
     return arguments;
 }
 
-/** How a daemon is started, beside what all are given. */
+/** Options of a daemon start. */
 typedef struct {
-    bool silent_reader;
+    bool has_unread_output;
     const char *settings_path; /**< NULL: none. */
-    unsigned descriptors;      /**< Most that it may have open; 0: as this process. */
-} daemon_start;
+    unsigned descriptors;      /**< Descriptor limit; 0: as this process. */
+} daemon_start_options;
 
-static bool confine(unsigned descriptors) {
+static bool limit_descriptors(unsigned descriptors) {
     struct rlimit limit = {.rlim_cur = descriptors, .rlim_max = descriptors};
     return descriptors == 0 || setrlimit(RLIMIT_NOFILE, &limit) == 0;
 }
 
-/** Where the output of a daemon goes; NULL: to ours. Free with g_free. */
-static char *output_path(int index) {
+/** Returns the file for a daemon's output; NULL: inherited. Free with g_free. */
+static char *make_output_path(int index) {
     if (bench.settings.log_directory != NULL)
         return g_strdup_printf("%s/daemon-%d.log", bench.settings.log_directory, index);
     return g_getenv("HS_BENCH_QUIET") != NULL ? g_strdup("/dev/null") : NULL;
 }
 
-static bool start_daemon(int index, const daemon_start *how) {
-    GPtrArray *arguments = daemon_arguments(index, how->settings_path);
-    g_autofree char *path = output_path(index);
-    bool silent_reader = how->silent_reader;
+static bool start_daemon(int index, const daemon_start_options *options) {
+    GPtrArray *arguments = daemon_arguments(index, options->settings_path);
+    g_autofree char *path = make_output_path(index);
+    bool has_unread_output = options->has_unread_output;
     int output[2] = {-1, -1};
-    if (silent_reader && pipe(output) != 0)
+    if (has_unread_output && pipe(output) != 0)
         return false;
-    /* A SIGTERM before the program's first line would end it as it ends any program. It waits until
-     * the daemon takes signals, so that what it then does is judged. */
-    sigset_t stop;
-    sigset_t before;
-    sigemptyset(&stop);
-    sigaddset(&stop, SIGTERM);
-    pthread_sigmask(SIG_BLOCK, &stop, &before);
+    /* The child inherits a blocked SIGTERM, so that a signal before the daemon installs its
+     * handling stays pending instead of ending the process. */
+    sigset_t stop_signals;
+    sigset_t previous_signals;
+    sigemptyset(&stop_signals);
+    sigaddset(&stop_signals, SIGTERM);
+    pthread_sigmask(SIG_BLOCK, &stop_signals, &previous_signals);
     pid_t pid = fork();
     if (pid != 0)
-        pthread_sigmask(SIG_SETMASK, &before, NULL);
+        pthread_sigmask(SIG_SETMASK, &previous_signals, NULL);
     if (pid == 0) {
         if (path != NULL && freopen(path, "a", stdout) == NULL)
             _exit(EXIT_FAILURE);
-        if (silent_reader)
+        if (has_unread_output)
             dup2(output[1], STDOUT_FILENO);
-        if (!confine(how->descriptors))
+        if (!limit_descriptors(options->descriptors))
             _exit(EXIT_FAILURE);
         execv(arguments->pdata[0], (char **)arguments->pdata);
         _exit(EXIT_FAILURE);
     }
-    if (silent_reader)
-        close(output[1]); /* The reading end stays open, unread, until the test program ends. */
+    if (has_unread_output)
+        close(output[1]); /* The read end stays open, unread, until this process ends. */
     g_ptr_array_free(arguments, TRUE);
     bench.pids[index] = pid;
     return pid > 0;
 }
 
-bool bench_start_daemon(int index, bool silent_reader) {
-    return start_daemon(index, &(daemon_start){.silent_reader = silent_reader});
+bool bench_start_daemon(int index, bool has_unread_output) {
+    return start_daemon(index, &(daemon_start_options){.has_unread_output = has_unread_output});
 }
 
 bool bench_start_daemon_with(int index, const char *settings_path) {
-    return start_daemon(index, &(daemon_start){.settings_path = settings_path});
+    return start_daemon(index, &(daemon_start_options){.settings_path = settings_path});
 }
 
 bool bench_start_daemon_confined(int index, unsigned descriptors) {
-    return start_daemon(index, &(daemon_start){.descriptors = descriptors});
+    return start_daemon(index, &(daemon_start_options){.descriptors = descriptors});
 }
 
 int bench_signal(int index, int signal_number) {
@@ -217,7 +215,7 @@
     memset(answer, 0, sizeof *answer);
 }
 
-static GString *write_head(const bench_call *call) {
+static GString *make_head(const bench_call *call) {
     GString *head = g_string_new(NULL);
     g_string_append_printf(head, "%s %s HTTP/1.1\r\nHost: " BENCH_HOST "\r\n", call->method,
                            call->target);
@@ -246,8 +244,8 @@
     return copy;
 }
 
-/** The connection that is kept for the call, or a new one; NULL: there is none to be had. */
-static hs_client_connection *connect_for(const bench_call *call, const hs_wait *wait) {
+/** Returns the reused connection of the call or a new one; NULL if the connection fails. */
+static hs_client_connection *connect_for_call(const bench_call *call, const hs_wait *wait) {
     hs_step step = HS_STEP_CUT;
     if (call->kept != NULL && *call->kept != NULL)
         return g_steal_pointer(call->kept);
@@ -255,7 +253,7 @@
     return hs_client_connection_open(INADDR_LOOPBACK, port, wait, &step);
 }
 
-static void end_call(const bench_call *call, hs_client_connection *connection) {
+static void finish_call(const bench_call *call, hs_client_connection *connection) {
     if (call->kept != NULL && hs_client_connection_is_reusable(connection))
         *call->kept = connection;
     else
@@ -264,20 +262,20 @@
 
 bench_answer bench_send(const bench_call *call) {
     bench_answer answer = {0};
-    uint32_t limit_ms = call->leave_after_ms > 0 ? call->leave_after_ms : CALL_LIMIT_MS;
-    hs_wait wait = {.deadline = hs_clock_monotonic_ms() + limit_ms, .watched = HS_WATCH_NOTHING};
-    hs_client_connection *connection = connect_for(call, &wait);
+    uint32_t deadline_ms = call->leave_after_ms > 0 ? call->leave_after_ms : CALL_TIMEOUT_MS;
+    hs_wait wait = {.deadline = hs_clock_monotonic_ms() + deadline_ms, .watched = HS_WATCH_NOTHING};
+    hs_client_connection *connection = connect_for_call(call, &wait);
     if (connection == NULL)
         return answer;
     hs_step step = HS_STEP_CUT;
-    GString *head = write_head(call);
+    GString *head = make_head(call);
     step = hs_client_connection_send(connection, head, call->body,
                                      call->body != NULL ? strlen(call->body) : 0, false, &wait);
     g_string_free(head, TRUE);
     if (step == HS_STEP_PROGRESS)
         step = hs_client_connection_read_head(connection, &wait);
     if (step == HS_STEP_PROGRESS || step == HS_STEP_COMPLETE) {
-        step = hs_client_connection_read_all(connection, BODY_LIMIT, &wait);
+        step = hs_client_connection_read_all(connection, MAX_BODY_BYTES, &wait);
         answer.whole = step == HS_STEP_COMPLETE;
         const GByteArray *body = hs_client_connection_body(connection);
         answer.status = hs_client_connection_status(connection);
@@ -285,14 +283,14 @@
         answer.fields = copy_fields(hs_client_connection_fields(connection));
     }
     answer.left = step == HS_STEP_DEADLINE;
-    end_call(call, connection);
+    finish_call(call, connection);
     return answer;
 }
 
 bool bench_wait_ready(int index) {
-    uint64_t limit_ms = hs_clock_monotonic_ms() + READY_LIMIT_MS;
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + READY_TIMEOUT_MS;
     bool ready = false;
-    while (!ready && hs_clock_monotonic_ms() < limit_ms) {
+    while (!ready && hs_clock_monotonic_ms() < deadline_ms) {
         bench_answer answer = bench_send(
             &(bench_call){.method = "GET", .target = PATH_READY, .port = bench_ready_port(index)});
         ready = answer.status == 200;
@@ -308,7 +306,7 @@
 }
 
 void bench_configure_tenants(int version, const char *tenants) {
-    g_autofree char *told =
+    g_autofree char *tenants_member =
         tenants != NULL ? g_strdup_printf("\"tenants\":%s,", tenants) : g_strdup("");
     uint32_t connections =
         bench.settings.connections > 0 ? bench.settings.connections : DEFAULT_CONNECTIONS;
@@ -347,14 +345,15 @@
         "{\"name\":\"far\",\"health-check\":\"/h\",\"max-connections\":%u}],"
         "%s\"limits\":{\"max-header-bytes\":8192,\"max-body-bytes\":100000,"
         "\"header-timeout-ms\":3000,\"idle-timeout-ms\":15000}}",
-        version, retention_s, FAR_RETENTION_S, connections, connections, connections, told);
+        version, retention_s, FAR_JOBS_RETENTION_S, connections, connections, connections,
+        tenants_member);
     log_store_put(bench.store, TOPIC_CONFIG, KEY_CONFIG, text);
 }
 
 static token_engine *start_engine(int index) {
     static const char *const ids[BENCH_ENGINES] = {"engine-0", "engine-1"};
     static const char *const long_paths[] = {"/jobs/", "/once/long", "/again/long", NULL};
-    static const token_engine_pace pace = {.events = BENCH_EVENTS, .event_ms = EVENT_MS};
+    static const token_engine_pace pace = {.events = BENCH_EVENTS, .event_ms = EVENT_INTERVAL_MS};
     bool has_pace = bench.settings.item_pace.events > 0;
     return token_engine_start(
         &(token_engine_settings){.id = ids[index],
@@ -411,10 +410,10 @@
 }
 
 char *bench_wait_job(int daemon, const char *id, int count, unsigned timeout_ms) {
-    uint64_t limit_ms = hs_clock_monotonic_ms() + timeout_ms;
+    uint64_t deadline_ms = hs_clock_monotonic_ms() + timeout_ms;
     g_autofree char *target = g_strdup_printf(PATH_JOBS "%s?after=0", id);
     char *page = NULL;
-    while (page == NULL && hs_clock_monotonic_ms() < limit_ms) {
+    while (page == NULL && hs_clock_monotonic_ms() < deadline_ms) {
         bench_answer answer =
             bench_send(&(bench_call){.daemon = daemon, .method = "GET", .target = target});
         json_t *root = answer.status == 200 ? json_loads(answer.body, 0, NULL) : NULL;
