--- a/tools/fleet/client.h
+++ b/tools/fleet/client.h
@@ -56,8 +56,10 @@
 /** Polls @p path until the status is 200. Returns false on time-out. */
 bool client_wait_ok(const char *base_url, const char *path, uint32_t timeout_ms);
 
-/** Polls a batch until it is completed or cancelled. @return the job, which the caller releases;
- * NULL on time-out. */
+/**
+ * Polls a batch until it is completed or cancelled.
+ * @return the job, which the caller releases; NULL on time-out.
+ */
 json_t *client_wait_batch(const char *base_url, const char *tenant, const char *job_id,
                           uint32_t timeout_ms);
 
--- a/tools/fleet/fleet.h
+++ b/tools/fleet/fleet.h
@@ -75,9 +75,7 @@
 
 /**
  * Sends a signal to a process. Except for SIGSTOP and SIGCONT, waits until the process ends and
- * sets
- * @p pid to 0. @return exit status (0 for SIGSTOP and SIGCONT); -1: not running or ended by a
- * signal.
+ * clears @p pid. @return exit status (0 for SIGSTOP and SIGCONT); -1: not running or killed.
  */
 int fleet_signal(pid_t *pid, int signal_number);
 
--- a/tools/limits/main.c
+++ b/tools/limits/main.c
@@ -57,7 +57,7 @@
                           {"hot-cut-third", base_scenario}, {"hot-rolling", base_scenario},
                           {"kill-half", base_scenario},     {"cut-third", base_scenario}};
     static const uint32_t hot_tenants[] = {0, 0, 9, 71, 0, 0, 0, 0, 0, 0};
-    static const double hot_shares[] = {1, 7.5, 7.5, 7.5, 7.5, 7.5, 7.5, 7.5, 1, 1};
+    static const double hot_load_factors[] = {1, 7.5, 7.5, 7.5, 7.5, 7.5, 7.5, 7.5, 1, 1};
     static const limit_fault *const faults[] = {NULL,
                                                 NULL,
                                                 NULL,
@@ -71,7 +71,7 @@
     static const uint32_t fault_counts[] = {0, 0, 0, 0, 1, 1, 1, 6, 1, 1};
     for (size_t index = 0; index < sizeof cases / sizeof cases[0]; index++) {
         cases[index].scenario.hot_tenant = hot_tenants[index];
-        cases[index].scenario.hot_share = hot_shares[index];
+        cases[index].scenario.hot_share = hot_load_factors[index];
         cases[index].scenario.faults = faults[index];
         cases[index].scenario.fault_count = fault_counts[index];
         print_case(&cases[index]);
--- a/tools/surface/fleet_bench.h
+++ b/tools/surface/fleet_bench.h
@@ -57,8 +57,7 @@
 /** Starts the store with a configuration, and the engines without announcing them. */
 void bench_prepare(void);
 
-/** Announces the engines and starts the daemons. Returns 0, or -1 if a daemon is not ready in time.
- */
+/** Announces the engines and starts the daemons. Returns 0, or -1 if a daemon is not ready. */
 int bench_start(void);
 
 /** Set-up of a suite: bench_prepare and bench_start. Returns 0, or -1 as bench_start. */
@@ -141,8 +140,10 @@
 /** Returns the submission body of a job of @p count items "ID-n". Free with g_free. */
 char *bench_job(const char *id, int count);
 
-/** Polls a job until @p count results are listed. Returns the page (free with g_free); NULL on
- * time-out. */
+/**
+ * Polls a job until @p count results are listed.
+ * @return the page (free with g_free); NULL on time-out.
+ */
 char *bench_wait_job(int daemon, const char *id, int count, unsigned timeout_ms);
 
 #endif
