--- a/tools/ctl/commands.c
+++ b/tools/ctl/commands.c
@@ -29,7 +29,7 @@
 static int report_response(const ctl_options *options, long status, json_t *document) {
     const json_t *error = json_object_get(document, "error");
     if (status == NO_RESPONSE)
-        fprintf(stderr, "heathsailctl: no response from the daemon; the outcome is unknown\n");
+        fprintf(stderr, "heathsailctl: no answer; the outcome is unknown\n");
     else if (error != NULL && !options->json_output)
         fprintf(stderr, "heathsailctl: %s (%s, executed: %s)\n",
                 json_string_value(json_object_get(error, "message")),
--- a/tools/surface/event_trace.h
+++ b/tools/surface/event_trace.h
@@ -15,7 +15,7 @@
 typedef struct {
     char *fault;  /**< Description of the first fault; NULL: none. Free with g_free. */
     guint events; /**< Number of traced events. */
-    guint joints; /**< Number of events that another run than the previous event's produced. */
+    guint joints; /**< Number of switches to another run within the response. */
 } event_trace;
 
 /**
