--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -13,7 +13,7 @@
     GRand *rng;
     guint seed;
     uint32_t number;
-    hs_client_connection *connections[BENCH_DAEMONS_MOST]; /**< Idle ones, by daemon; or NULL. */
+    hs_client_connection *connections[BENCH_MAX_DAEMONS]; /**< Idle ones, by daemon; or NULL. */
 } online_caller;
 
 static void init_caller(online_caller *caller, gpointer data) {
@@ -22,14 +22,14 @@
 }
 
 static void clear_caller(online_caller *caller) {
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
         hs_client_connection_close(caller->connections[daemon]);
     g_rand_free(caller->rng);
 }
 
 static void send_online_request(online_caller *caller, const char *target,
-                                uint32_t leave_after_ms) {
-    int daemon = g_rand_int_range(caller->rng, 0, bench_daemons());
+                                uint32_t disconnect_after_ms) {
+    int daemon = g_rand_int_range(caller->rng, 0, bench_daemon_count());
     bool is_reused = caller->connections[daemon] != NULL;
     g_autofree char *id = g_strdup_printf("r%u-%u", caller->seed, caller->number++);
     if (g_str_has_prefix(target, "/once/"))
@@ -40,7 +40,7 @@
                                                    .request_id = id,
                                                    .body = "hello",
                                                    .timeout_ms = TIMEOUT_MS,
-                                                   .leave_after_ms = leave_after_ms,
+                                                   .disconnect_after_ms = disconnect_after_ms,
                                                    .kept = &caller->connections[daemon]});
     if (answer.left)
         soak_record_end(id);
@@ -73,11 +73,11 @@
     online_caller caller;
     init_caller(&caller, data);
     while (g_atomic_int_get(&record.stopping) == 0) {
-        uint32_t leave_after_ms =
+        uint32_t disconnect_after_ms =
             (uint32_t)g_rand_int_range(caller.rng, MIN_DISCONNECT_MS, MAX_DISCONNECT_MS);
         send_online_request(&caller,
                             targets[g_rand_int_range(caller.rng, 0, G_N_ELEMENTS(targets))],
-                            leave_after_ms);
+                            disconnect_after_ms);
         pause_between_requests(&caller);
     }
     clear_caller(&caller);
--- a/tests/soak/crash_callers.c
+++ b/tests/soak/crash_callers.c
@@ -55,7 +55,7 @@
                                      const char *id) {
     const char *harmless = g_rand_boolean(rng) ? "asked by many" : id;
     bench_answer answer =
-        bench_send(&(bench_call){.daemon = g_rand_int_range(rng, 0, bench_daemons()),
+        bench_send(&(bench_call){.daemon = g_rand_int_range(rng, 0, bench_daemon_count()),
                                  .method = "POST",
                                  .target = target,
                                  .request_id = id,
--- a/tests/soak/end_checks.c
+++ b/tests/soak/end_checks.c
@@ -13,7 +13,7 @@
 #define MAX_DAEMONS_PER_JOB 8
 
 static void check_ready(void) {
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
         soak_check_ready(daemon, bench_wait_ready(daemon));
 }
 
@@ -25,7 +25,7 @@
 
 static void check_config(void) {
     uint64_t deadline_ms = hs_clock_monotonic_ms() + CONFIG_TIMEOUT_MS;
-    for (int daemon = 0; daemon < bench_daemons(); daemon++) {
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++) {
         bench_answer metrics = {0};
         do {
             bench_answer_clear(&metrics);
@@ -57,8 +57,8 @@
     gpointer items = NULL;
     g_hash_table_iter_init(&iterator, record.accepted_jobs);
     while (g_hash_table_iter_next(&iterator, &job, &items))
-        for (int count = 0; count < MIN(bench_daemons(), MAX_DAEMONS_PER_JOB); count++)
-            check_job_at(read_count++ % bench_daemons(), job, (uint32_t)GPOINTER_TO_INT(items),
+        for (int count = 0; count < MIN(bench_daemon_count(), MAX_DAEMONS_PER_JOB); count++)
+            check_job_at(read_count++ % bench_daemon_count(), job, (uint32_t)GPOINTER_TO_INT(items),
                          deadline_ms);
 }
 
--- a/tests/soak/faults.c
+++ b/tests/soak/faults.c
@@ -13,7 +13,7 @@
 
 static struct {
     GMutex lock;
-    bool in_use[FAULT_TARGET_KINDS][BENCH_DAEMONS_MOST];
+    bool in_use[FAULT_TARGET_KINDS][BENCH_MAX_DAEMONS];
 } targets;
 
 /** Periods without a fault. Times are wall times in ms. */
@@ -46,7 +46,7 @@
 }
 
 int soak_pick_daemon(const fault_injector *injector) {
-    return g_rand_int_range(injector->rng, 0, bench_daemons());
+    return g_rand_int_range(injector->rng, 0, bench_daemon_count());
 }
 
 void soak_begin_fault(void) {
--- a/tests/soak/job_callers.c
+++ b/tests/soak/job_callers.c
@@ -35,7 +35,7 @@
 
 /** Submits a job without a retry and records whether it was accepted or refused. */
 static bool send_submission(int daemon, const char *job, int items) {
-    g_autofree char *body = bench_job(job, items);
+    g_autofree char *body = bench_job_body(job, items);
     bench_answer answer = bench_send(&(bench_call){.daemon = daemon,
                                                    .method = "POST",
                                                    .target = "/jobs/x",
@@ -77,7 +77,7 @@
 }
 
 static int pick_caller_daemon(const job_caller *caller) {
-    return g_rand_int_range(caller->rng, 0, bench_daemons());
+    return g_rand_int_range(caller->rng, 0, bench_daemon_count());
 }
 
 static void send_job(job_caller *caller) {
--- a/tests/soak/link_faults.c
+++ b/tests/soak/link_faults.c
@@ -24,11 +24,11 @@
 /** Proxies poll their mode every 10 ms. */
 #define LINK_RESET_MS 30
 
-static fault_proxy *store_proxies[BENCH_DAEMONS_MOST];
+static fault_proxy *store_proxies[BENCH_MAX_DAEMONS];
 static fault_proxy *engine_proxies[BENCH_ENGINES];
 
 void soak_start_proxies(void) {
-    for (int daemon = 0; daemon < bench_daemons(); daemon++) {
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++) {
         store_proxies[daemon] = fault_proxy_start(log_store_port(bench.store));
         bench.store_ports[daemon] = fault_proxy_port(store_proxies[daemon]);
     }
@@ -40,7 +40,7 @@
 }
 
 void soak_stop_proxies(void) {
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
         fault_proxy_stop(store_proxies[daemon]);
     for (int index = 0; index < BENCH_ENGINES; index++)
         fault_proxy_stop(engine_proxies[index]);
@@ -82,7 +82,7 @@
     soak_wait_random(injector, MIN_AFTER_REBALANCE_MS, MAX_AFTER_REBALANCE_MS);
     kills = kills && soak_acquire_target(FAULT_PROCESS, daemon);
     if (kills)
-        bench_signal(daemon, SIGKILL);
+        bench_signal_daemon(daemon, SIGKILL);
     fault_proxy_set_mode(store_proxies[daemon], PROXY_FORWARDS);
     soak_log("fault rebalance while cut ended daemon=%d kills=%d", daemon, kills);
     if (kills)
@@ -107,19 +107,19 @@
     soak_kill_daemon(injector, daemon);
     fault_proxy_set_mode(store_proxies[daemon], PROXY_FORWARDS);
     soak_release_target(FAULT_STORE_LINK, daemon);
-    for (int next = 1; next < MIN(bench_daemons(), MAX_OWNER_KILLS); next++) {
+    for (int next = 1; next < MIN(bench_daemon_count(), MAX_OWNER_KILLS); next++) {
         soak_wait_random(injector, 0, MAX_OWNER_KILL_GAP_MS);
-        soak_kill_daemon(injector, (daemon + next) % bench_daemons());
+        soak_kill_daemon(injector, (daemon + next) % bench_daemon_count());
     }
 }
 
 void soak_silence_open_links(const fault_injector *injector) {
-    int which = g_rand_int_range(injector->rng, 0, bench_daemons() + BENCH_ENGINES);
-    bool is_store = which < bench_daemons();
+    int which = g_rand_int_range(injector->rng, 0, bench_daemon_count() + BENCH_ENGINES);
+    bool is_store = which < bench_daemon_count();
     proxy_silence silence =
         g_rand_boolean(injector->rng) ? PROXY_ACKNOWLEDGES_DATA : PROXY_DROPS_ALL_PACKETS;
     fault_target target = is_store ? FAULT_STORE_LINK : FAULT_ENGINE_LINK;
-    int index = is_store ? which : which - bench_daemons();
+    int index = is_store ? which : which - bench_daemon_count();
     if (!soak_acquire_target(target, index))
         return;
     soak_log("fault silence open links of=%s%d silence=%d", is_store ? "daemon" : "engine", index,
--- a/tests/soak/main.c
+++ b/tests/soak/main.c
@@ -91,7 +91,7 @@
         line->seed = parse_number(argument, G_MAXUINT, state);
         return 0;
     case 'd':
-        line->daemons = (int)parse_number(argument, BENCH_DAEMONS_MOST, state);
+        line->daemons = (int)parse_number(argument, BENCH_MAX_DAEMONS, state);
         return 0;
     case 'l':
         line->logs = argument;
@@ -110,7 +110,8 @@
 /** Returns how many daemons fit into half of the free memory. */
 static int get_daemons_by_memory(void) {
     uint64_t free_bytes = (uint64_t)sysconf(_SC_AVPHYS_PAGES) * (uint64_t)sysconf(_SC_PAGESIZE);
-    return (int)CLAMP(free_bytes / 2 / DAEMON_MEMORY_BYTES, BENCH_DAEMONS, MAX_DAEMONS_BY_MEMORY);
+    return (int)CLAMP(free_bytes / 2 / DAEMON_MEMORY_BYTES, BENCH_DEFAULT_DAEMONS,
+                      MAX_DAEMONS_BY_MEMORY);
 }
 
 /** Arguments of one thread that injects faults. */
@@ -200,10 +201,10 @@
         .retention_s = RETENTION_S,
         .log_directory = line->logs,
     };
-    bench.past_program = line->past;
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
-        bench.is_past[daemon] = line->past != NULL;
-    printf("seed %u, %u s, %d daemons\n", line->seed, line->seconds, bench_daemons());
+    bench.previous_program = line->past;
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
+        bench.runs_previous_program[daemon] = line->past != NULL;
+    printf("seed %u, %u s, %d daemons\n", line->seed, line->seconds, bench_daemon_count());
     bench_prepare();
     soak_start_proxies();
     soak_start_crash_fleet(line->seed);
@@ -211,17 +212,17 @@
         soak_report_violation("the daemons did not become ready after their start");
     run_callers(line);
     soak_check_end();
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
-        bench_signal(daemon, SIGKILL);
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
+        bench_signal_daemon(daemon, SIGKILL);
     soak_stop_crash_fleet();
-    end_bench();
+    bench_tear_down();
     soak_stop_proxies();
     print_verdict(line);
 }
 
 /** Kills the daemons before the program ends on a signal. */
 static void end_at_signal(int signal_number) {
-    for (int daemon = 0; daemon < BENCH_DAEMONS_MOST; daemon++)
+    for (int daemon = 0; daemon < BENCH_MAX_DAEMONS; daemon++)
         if (bench.pids[daemon] > 0)
             kill(bench.pids[daemon], SIGKILL);
     _exit(SIGNAL_EXIT_BASE + signal_number);
@@ -231,7 +232,7 @@
     command_line line = {.programs = "build",
                          .seconds = 180,
                          .seed = (unsigned)hs_clock_wall_ms(),
-                         .daemons = BENCH_DAEMONS};
+                         .daemons = BENCH_DEFAULT_DAEMONS};
     struct argp parser = {option_list,
                           parse_option,
                           NULL,
--- a/tests/soak/process_faults.c
+++ b/tests/soak/process_faults.c
@@ -18,9 +18,9 @@
 #define MAX_RELOAD_GAP_MS 200
 
 void soak_start_daemon(const fault_injector *injector, int daemon) {
-    if (bench.past_program != NULL) {
-        bench.is_past[daemon] = g_rand_boolean(injector->rng);
-        soak_log("starts daemon=%d past=%d", daemon, bench.is_past[daemon]);
+    if (bench.previous_program != NULL) {
+        bench.runs_previous_program[daemon] = g_rand_boolean(injector->rng);
+        soak_log("starts daemon=%d past=%d", daemon, bench.runs_previous_program[daemon]);
     }
     if (!bench_start_daemon(daemon, false))
         soak_report_violation("daemon %d failed to start", daemon);
@@ -30,7 +30,7 @@
     if (!soak_acquire_target(FAULT_PROCESS, daemon))
         return;
     soak_log("fault kill daemon=%d", daemon);
-    bench_signal(daemon, SIGKILL);
+    bench_signal_daemon(daemon, SIGKILL);
     soak_wait_random(injector, MIN_DAEMON_DOWN_MS, MAX_DAEMON_DOWN_MS);
     soak_start_daemon(injector, daemon);
     soak_release_target(FAULT_PROCESS, daemon);
@@ -50,7 +50,7 @@
         return;
     soak_log("fault stop daemon=%d", daemon);
     uint64_t started_ms = hs_clock_monotonic_ms();
-    int status = bench_signal(daemon, SIGTERM);
+    int status = bench_signal_daemon(daemon, SIGTERM);
     soak_check_stop(daemon, status, hs_clock_monotonic_ms() - started_ms);
     soak_wait_random(injector, 0, MIN_DAEMON_DOWN_MS);
     soak_start_daemon(injector, daemon);
@@ -62,9 +62,9 @@
     if (!soak_acquire_target(FAULT_PROCESS, daemon))
         return;
     soak_log("fault pause daemon=%d", daemon);
-    bench_signal(daemon, SIGSTOP);
+    bench_signal_daemon(daemon, SIGSTOP);
     soak_wait_random(injector, MIN_DAEMON_PAUSE_MS, MAX_DAEMON_PAUSE_MS);
-    bench_signal(daemon, SIGCONT);
+    bench_signal_daemon(daemon, SIGCONT);
     soak_log("fault pause ended daemon=%d", daemon);
     soak_release_target(FAULT_PROCESS, daemon);
 }
@@ -76,7 +76,7 @@
         return;
     soak_log("fault reload daemon=%d times=%d", daemon, times);
     for (int step = 0; step < times; step++) {
-        bench_signal(daemon, SIGHUP);
+        bench_signal_daemon(daemon, SIGHUP);
         soak_wait_random(injector, 0, MAX_RELOAD_GAP_MS);
     }
     soak_release_target(FAULT_PROCESS, daemon);
--- a/tests/soak/run_checks.c
+++ b/tests/soak/run_checks.c
@@ -18,11 +18,11 @@
     gpointer id = NULL;
     g_hash_table_iter_init(&iterator, record.run_once_ids);
     while (g_hash_table_iter_next(&iterator, &id, NULL))
-        if (bench_runs(id) > 1)
-            soak_report_violation("%s ran %u times", (char *)id, bench_runs(id));
+        if (bench_run_count(id) > 1)
+            soak_report_violation("%s ran %u times", (char *)id, bench_run_count(id));
     g_hash_table_iter_init(&iterator, record.refused_ids);
     while (g_hash_table_iter_next(&iterator, &id, NULL))
-        if (bench_runs(id) > 0)
+        if (bench_run_count(id) > 0)
             soak_report_violation("%s was refused and ran", (char *)id);
 }
 
--- a/tests/soak/self_test.c
+++ b/tests/soak/self_test.c
@@ -265,7 +265,7 @@
     planted->plant(with_fault);
     guint found = count_violations(with_fault ? planted->expected_text : NULL);
     soak_record_clear();
-    end_bench();
+    bench_tear_down();
     return found;
 }
 
--- a/tests/system/fleet_calls.c
+++ b/tests/system/fleet_calls.c
@@ -44,7 +44,7 @@
 }
 
 uint32_t submit_job(int daemon, const char *id, int count) {
-    g_autofree char *body = bench_job(id, count);
+    g_autofree char *body = bench_job_body(id, count);
     bench_answer answer = bench_send(&(bench_call){
         .daemon = daemon, .method = "POST", .target = "/jobs/x", .request_id = id, .body = body});
     uint32_t status = answer.status;
--- a/tests/system/system_tests.h
+++ b/tests/system/system_tests.h
@@ -51,7 +51,7 @@
 extern const test_case online_taking_tests[];
 extern const test_case fleet_taking_system_tests[];
 
-/** Starts the bench with routes that have long timeouts; end_bench stops it. */
+/** Starts the bench with routes that have long timeouts; bench_tear_down stops it. */
 int begin_bench_with_long_timeouts(void);
 extern const test_case fleet_caller_system_tests[];
 
--- a/tests/system/test_fleet.c
+++ b/tests/system/test_fleet.c
@@ -32,7 +32,7 @@
 }
 
 static void answers_are_forwarded_unchanged(void) {
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/plain/%2F?a=%20b", "whole");
         CU_ASSERT_EQUAL(answer.status, 200);
         CU_ASSERT_STRING_EQUAL(answer.body, "/plain/%2F?a=%20b");
@@ -47,7 +47,7 @@
 }
 
 static void streams_are_complete_on_every_daemon(void) {
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/once/s", "stream");
         CU_ASSERT_EQUAL(answer.status, 200);
         CU_ASSERT_TRUE(answer.whole);
@@ -65,35 +65,35 @@
         .method = "POST", .target = "/plain/x", .request_id = "large", .body = large});
     CU_ASSERT_EQUAL(answer.status, 413);
     bench_answer_clear(&answer);
-    CU_ASSERT_EQUAL(bench_runs("nowhere") + bench_runs("large"), 0);
+    CU_ASSERT_EQUAL(bench_run_count("nowhere") + bench_run_count("large"), 0);
 }
 
 static void a_refused_request_does_not_run_and_gets_retry_after(void) {
-    bench_set_engines(TOKEN_ENGINE_FULL);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
     bench_answer answer = post_request(1, "/once/s", "full");
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_EQUAL(answer.status, 503);
     CU_ASSERT_PTR_NOT_NULL(hs_http_fields_find(answer.fields, "Retry-After"));
     CU_ASSERT_PTR_NULL(hs_http_fields_find(answer.fields, HEADER_SIGNATURE));
-    CU_ASSERT_EQUAL(bench_runs("full"), 0);
+    CU_ASSERT_EQUAL(bench_run_count("full"), 0);
     bench_answer_clear(&answer);
 }
 
 static gpointer restore_engines(gpointer data) {
     hs_clock_sleep_ms(*(const uint64_t *)data);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     return NULL;
 }
 
 /** For three times the target latency the engines refuse all requests although slots are free. */
 static void requests_wait_for_engines_with_free_slots(void) {
     uint64_t refusing_ms = 900;
-    bench_set_engines(TOKEN_ENGINE_FULL);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
     GThread *restorer = g_thread_new("restorer", restore_engines, &refusing_ms);
     bench_answer answer = post_request(1, "/once/s", "waited-for");
     g_thread_join(restorer);
     CU_ASSERT_EQUAL(answer.status, 200);
-    CU_ASSERT_EQUAL(bench_runs("waited-for"), 1);
+    CU_ASSERT_EQUAL(bench_run_count("waited-for"), 1);
     bench_answer_clear(&answer);
 }
 
@@ -125,31 +125,31 @@
 }
 
 static void a_broken_run_once_stream_ends_incomplete(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
+    bench_set_engine_modes(TOKEN_ENGINE_BREAKS_STREAMS);
     bench_answer answer = post_request(0, "/once/s", "broken");
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_FALSE(answer.whole);
-    CU_ASSERT_EQUAL(bench_runs("broken"), 1);
+    CU_ASSERT_EQUAL(bench_run_count("broken"), 1);
     bench_answer_clear(&answer);
 }
 
 static void a_broken_resumable_stream_is_resumed(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
+    bench_set_engine_modes(TOKEN_ENGINE_BREAKS_STREAMS);
     bench_answer answer = post_request(2, "/again/s", "resumed");
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_TRUE(answer.whole);
     check_events("resumed", answer.body);
-    CU_ASSERT(bench_runs("resumed") >= 2);
+    CU_ASSERT(bench_run_count("resumed") >= 2);
     bench_answer_clear(&answer);
 }
 
 static void an_engine_error_is_forwarded(void) {
-    bench_set_engines(TOKEN_ENGINE_FAILS);
+    bench_set_engine_modes(TOKEN_ENGINE_FAILS);
     bench_answer answer = post_request(0, "/once/s", "fails");
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_EQUAL(answer.status, 500);
     CU_ASSERT_STRING_EQUAL(hs_http_fields_find(answer.fields, HEADER_SIGNATURE), "sig.f");
-    CU_ASSERT_EQUAL(bench_runs("fails"), 1);
+    CU_ASSERT_EQUAL(bench_run_count("fails"), 1);
     bench_answer_clear(&answer);
 }
 
@@ -191,7 +191,7 @@
 /** A request that ends by its caller's short timeout is no failure of the engine. */
 static void a_short_caller_timeout_makes_no_engine_suspected(void) {
     wait_for_suspicions_to_end(0);
-    bench_set_engines(TOKEN_ENGINE_SLOW);
+    bench_set_engine_modes(TOKEN_ENGINE_SLOW);
     for (int request = 0; request < 6; request++) {
         bench_answer answer = bench_send(&(bench_call){.method = "POST",
                                                        .target = "/once/s",
@@ -201,7 +201,7 @@
         CU_ASSERT_EQUAL(answer.status, 504);
         bench_answer_clear(&answer);
     }
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_TRUE(is_no_engine_suspected(0));
 }
 
@@ -210,7 +210,7 @@
     hs_clock_sleep_ms(1000);
     uint32_t before = token_engine_total_run_count(bench.engines[0]);
     for (int request = 0; request < 9; request++) {
-        bench_answer answer = post_request(request % BENCH_DAEMONS, "/plain/x", "leaving");
+        bench_answer answer = post_request(request % BENCH_DEFAULT_DAEMONS, "/plain/x", "leaving");
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
     }
@@ -227,7 +227,7 @@
         log_store_put(bench.store, TOPIC_ENGINES, index == 0 ? "engine-0" : "engine-1", "");
     log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
     hs_clock_sleep_ms(800);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/plain/x", "outlasts");
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
@@ -236,7 +236,7 @@
     /* Two announcement intervals and a read: engine 0 is listed again, engine 1 is removed. */
     hs_clock_sleep_ms(2200);
     uint32_t before = token_engine_total_run_count(bench.engines[1]);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         bench_answer answer = post_request(daemon, "/plain/x", "came-back");
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
@@ -249,7 +249,7 @@
 static void a_new_configuration_is_applied_by_every_daemon(void) {
     bench_configure(2);
     hs_clock_sleep_ms(300);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         bench_answer metrics = bench_send(&(bench_call){
             .method = "GET", .target = "/metrics", .port = bench_metrics_port(daemon)});
         CU_ASSERT_PTR_NOT_NULL(strstr(metrics.body, "heathsail_config_version 2\n"));
@@ -284,7 +284,7 @@
     CU_ASSERT_EQUAL(kill(bench.pids[1], SIGTERM), 0);
     hs_clock_sleep_ms(500);
     CU_ASSERT_FALSE(is_resolvable(0, 1));
-    CU_ASSERT_EQUAL(bench_signal(1, SIGTERM), 0);
+    CU_ASSERT_EQUAL(bench_signal_daemon(1, SIGTERM), 0);
     g_thread_join(caller);
     CU_ASSERT_TRUE(answer.whole);
     check_events("while-stopping", answer.body != NULL ? answer.body : "");
@@ -299,7 +299,7 @@
 }
 
 static void a_hangup_signal_does_not_interrupt_service(void) {
-    CU_ASSERT_EQUAL(bench_signal(0, SIGHUP), 0);
+    CU_ASSERT_EQUAL(bench_signal_daemon(0, SIGHUP), 0);
     hs_clock_sleep_ms(100);
     bench_answer answer = post_request(0, "/once/s", "hangup");
     CU_ASSERT_EQUAL(answer.status, 200);
@@ -308,7 +308,7 @@
 
 /** The log lines of these requests fill the pipe, which nothing reads. */
 static void a_stalled_log_reader_blocks_no_request(void) {
-    bench_signal(2, SIGKILL);
+    bench_signal_daemon(2, SIGKILL);
     CU_ASSERT_TRUE(bench_start_daemon(2, true));
     CU_ASSERT_TRUE(bench_wait_ready(2));
     for (int request = 0; request < 600; request++) {
@@ -321,11 +321,11 @@
 /** A daemon that is stopped during its start-up exits cleanly. */
 static void a_stop_during_startup_is_clean(void) {
     for (unsigned after_ms = 0; after_ms <= MAX_STOP_DELAY_MS; after_ms += STOP_DELAY_STEP_MS) {
-        CU_ASSERT_EQUAL(bench_signal(2, SIGTERM), 0);
+        CU_ASSERT_EQUAL(bench_signal_daemon(2, SIGTERM), 0);
         CU_ASSERT_TRUE(bench_start_daemon(2, false));
         hs_clock_sleep_ms(after_ms);
     }
-    CU_ASSERT_EQUAL(bench_signal(2, SIGTERM), 0);
+    CU_ASSERT_EQUAL(bench_signal_daemon(2, SIGTERM), 0);
     CU_ASSERT_TRUE(bench_start_daemon(2, false));
     CU_ASSERT_TRUE(bench_wait_ready(2));
 }
--- a/tests/system/test_fleet_callers.c
+++ b/tests/system/test_fleet_callers.c
@@ -32,7 +32,7 @@
 /** Configures routes on which requests wait long: for an engine (a quarter of the target latency),
  * and for a retry. */
 int begin_bench_with_long_timeouts(void) {
-    if (begin_bench() != 0)
+    if (bench_set_up() != 0)
         return -1;
     log_store_put(
         bench.store, TOPIC_CONFIG, KEY_CONFIG,
@@ -70,7 +70,7 @@
         bool disconnects_at_once = index % 7 == 0;
         const char *target = targets[index % G_N_ELEMENTS(targets)];
         g_snprintf(caller->id, sizeof caller->id, "leaver-%u", index);
-        caller->port = bench_front_port((int)(index % BENCH_DAEMONS));
+        caller->port = bench_front_port((int)(index % BENCH_DEFAULT_DAEMONS));
         caller->bytes = request_bytes(target, caller->id, sends_half_body ? "he" : "hello");
         caller->connect_at_ms =
             now_ms + (uint64_t)g_rand_int_range(random, 0, MAX_ARRIVAL_DELAY_MS);
@@ -119,12 +119,12 @@
     disconnecting_callers_run(callers, CALLERS);
     g_atomic_int_set(&stopping, 1);
     g_thread_join(changes);
-    bench_set_engines(TOKEN_ENGINE_FULL);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
     hs_clock_sleep_ms(REFUSAL_MS);
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
     hs_clock_sleep_ms(ENGINE_OBSERVATION_MS);
     check_engines(callers, CALLERS, "fleet, callers that leave");
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     free_bytes(callers, CALLERS);
 }
 
@@ -134,7 +134,7 @@
     GRand *random = g_rand_new_with_seed(SEED);
     for (guint index = 0; index < WAITING_CALLERS; index++) {
         g_snprintf(callers[index].id, sizeof callers[index].id, "%s-%u", prefix, index);
-        callers[index].port = bench_front_port((int)(index % BENCH_DAEMONS));
+        callers[index].port = bench_front_port((int)(index % BENCH_DEFAULT_DAEMONS));
         callers[index].bytes = request_bytes(target, callers[index].id, "hello");
         callers[index].close_delay_ms =
             (uint32_t)g_rand_int_range(random, REFUSAL_DELAY_MS, MAX_STAY_MS);
@@ -142,28 +142,28 @@
     g_rand_free(random);
     disconnecting_callers_run(callers, WAITING_CALLERS);
     hs_clock_sleep_ms(REFUSAL_MS);
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
     hs_clock_sleep_ms(REFUSAL_MS);
     check_engines(callers, WAITING_CALLERS, title);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     free_bytes(callers, WAITING_CALLERS);
 }
 
 static void a_wait_for_an_engine_ends_when_the_caller_disconnects(void) {
-    bench_set_engines(TOKEN_ENGINE_FULL);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
     disconnect_during_refusals("/plain/x", "waiter", "fleet, waiting for an engine");
 }
 
 static gpointer refuse_after_delay(gpointer unused) {
     (void)unused;
     hs_clock_sleep_ms(REFUSAL_DELAY_MS);
-    bench_set_engines(TOKEN_ENGINE_FULL);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
     return NULL;
 }
 
 /** The streams broke and wait for an engine to resume on. */
 static void a_wait_for_a_retry_ends_when_the_caller_disconnects(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
+    bench_set_engine_modes(TOKEN_ENGINE_BREAKS_STREAMS);
     GThread *refusal = g_thread_new("refusal", refuse_after_delay, NULL);
     disconnect_during_refusals("/again/x", "retrier", "fleet, waiting for a retry");
     g_thread_join(refusal);
@@ -172,7 +172,7 @@
 /** A caller that closes only its sending side can't be distinguished from one that disconnected. */
 static void a_half_closed_connection_counts_as_disconnected(void) {
     g_autofree char *bytes = request_bytes("/once/x", "half", "hello");
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
     raw_caller *caller = raw_caller_open(bench_front_port(1));
     CU_ASSERT_PTR_NOT_NULL_FATAL(caller);
     raw_caller_send(caller, bytes);
@@ -182,7 +182,7 @@
     /* The engine's thread notices the end of its connection asynchronously. */
     CU_ASSERT_TRUE(wait_for_engine_runs_to_end(MAX_WORK_AFTER_DISCONNECT_MS));
     raw_caller_close(caller);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
 }
 
 /** Opens reusable connections to the engines, on which a daemon sends a request without delay. */
@@ -208,10 +208,10 @@
         callers[index].bytes =
             request_bytes(targets[index % G_N_ELEMENTS(targets)], callers[index].id, "hello");
     }
-    CU_ASSERT_EQUAL(bench_signal(0, SIGSTOP), 0);
+    CU_ASSERT_EQUAL(bench_signal_daemon(0, SIGSTOP), 0);
     disconnecting_callers_run(callers, UNREAD_CALLERS);
     hs_clock_sleep_ms(STOPPED_MS);
-    CU_ASSERT_EQUAL(bench_signal(0, SIGCONT), 0);
+    CU_ASSERT_EQUAL(bench_signal_daemon(0, SIGCONT), 0);
     hs_clock_sleep_ms(STOPPED_MS);
     check_engines(callers, UNREAD_CALLERS, "fleet, requests left unread");
     free_bytes(callers, UNREAD_CALLERS);
--- a/tests/system/test_fleet_crash_trials.c
+++ b/tests/system/test_fleet_crash_trials.c
@@ -49,7 +49,8 @@
     while (g_atomic_int_get(&results->stopping) == 0) {
         gint number = g_atomic_int_add(&results->request_count, 1);
         g_autofree char *id = g_strdup_printf("innocent-%d", number);
-        bench_answer answer = send_crash_request(number % BENCH_DAEMONS, "/once/x", id, "innocent");
+        bench_answer answer =
+            send_crash_request(number % BENCH_DEFAULT_DAEMONS, "/once/x", id, "innocent");
         g_mutex_lock(caller->lock);
         if (answer.status == 200 && answer.whole)
             record_served(results);
@@ -79,7 +80,7 @@
     for (int arrival = 0; hs_clock_monotonic_ms() < start_ms + CRASH_REQUESTS_MS; arrival++) {
         const char *content = fatal[arrival % crashing_contents];
         bench_answer answer =
-            send_crash_request(arrival % BENCH_DAEMONS, "/plain/x", content, content);
+            send_crash_request(arrival % BENCH_DEFAULT_DAEMONS, "/plain/x", content, content);
         bench_answer_clear(&answer);
         hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
     }
--- a/tests/system/test_fleet_crashes.c
+++ b/tests/system/test_fleet_crashes.c
@@ -61,10 +61,10 @@
 }
 
 int end_crashes(void) {
-    for (int index = 0; index < bench_daemons(); index++)
-        bench_signal(index, SIGKILL);
+    for (int index = 0; index < bench_daemon_count(); index++)
+        bench_signal_daemon(index, SIGKILL);
     crash_fleet_stop(engines);
-    return end_bench();
+    return bench_tear_down();
 }
 
 bool wait_for_crashes(uint32_t before, uint32_t count, uint64_t limit_ms) {
@@ -76,11 +76,11 @@
 }
 
 void kill_and_restart_all_daemons(void) {
-    for (int index = 0; index < BENCH_DAEMONS; index++)
-        bench_signal(index, SIGKILL);
-    for (int index = 0; index < BENCH_DAEMONS; index++)
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
+        bench_signal_daemon(index, SIGKILL);
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
         bench_start_daemon(index, false);
-    for (int index = 0; index < BENCH_DAEMONS; index++)
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
         CU_ASSERT_TRUE(bench_wait_ready(index));
 }
 
@@ -122,7 +122,7 @@
     g_autofree char *id = g_strdup_printf("other-%d", number);
     g_autofree char *unique_body = g_strdup_printf("new-%d", number);
     const char *body = number % 2 == 0 ? "asked by many" : unique_body;
-    bench_answer answer = send_crash_request(number % BENCH_DAEMONS,
+    bench_answer answer = send_crash_request(number % BENCH_DEFAULT_DAEMONS,
                                              targets[number % G_N_ELEMENTS(targets)], id, body);
     g_mutex_lock(&group->lock);
     bool is_served = answer.status == 200 && answer.whole;
@@ -188,7 +188,8 @@
             quarantined_wall_ms = hs_clock_wall_ms() + MAX_QUARANTINE_DELAY_MS;
         if (quarantined_wall_ms != 0 && hs_clock_wall_ms() < quarantined_wall_ms)
             broken_before = broken_count(&group);
-        bench_answer answer = send_crash_request(daemon++ % BENCH_DAEMONS, target, body, body);
+        bench_answer answer =
+            send_crash_request(daemon++ % BENCH_DEFAULT_DAEMONS, target, body, body);
         bench_answer_clear(&answer);
         hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
     }
@@ -197,7 +198,7 @@
                                 .late_sends =
                                     crash_fleet_count_starts(engines, body, quarantined_wall_ms),
                                 .late_broken = group.broken - broken_before};
-    for (int index = 0; index < BENCH_DAEMONS; index++) {
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++) {
         bench_answer answer = send_crash_request(index, target, body, body);
         const char *after =
             answer.fields != NULL ? hs_http_fields_find(answer.fields, "Retry-After") : NULL;
@@ -221,7 +222,7 @@
     CU_ASSERT(outcome.crashes >= MIN_QUARANTINE_CRASHES);
     CU_ASSERT(outcome.crashes <= MAX_CRASHES);
     CU_ASSERT_EQUAL(outcome.late_sends, 0);
-    CU_ASSERT_EQUAL(outcome.refused, BENCH_DAEMONS);
+    CU_ASSERT_EQUAL(outcome.refused, BENCH_DEFAULT_DAEMONS);
     CU_ASSERT(outcome.retry_after_s > 0);
     CU_ASSERT_EQUAL(outcome.late_broken, 0);
 }
@@ -257,7 +258,7 @@
 /** A daemon that has just started quarantines the contents that the others quarantine. */
 static void a_starting_daemon_learns_the_quarantines(void) {
     CU_ASSERT_TRUE(is_request_quarantined(0, "/once/x", "fatal-stream", "fatal-stream"));
-    bench_signal(2, SIGKILL);
+    bench_signal_daemon(2, SIGKILL);
     bench_start_daemon(2, false);
     CU_ASSERT_TRUE(bench_wait_ready(2));
     CU_ASSERT(wait_for_quarantine(2, "/once/x", "fatal-stream") <= QUARANTINE_SYNC_MS);
@@ -268,11 +269,11 @@
     static const char body[] = "fatal-missed";
     CU_ASSERT_TRUE(crash_fleet_wait_all_up(engines));
     int before = get_daemon_metric(1, "heathsail_contents_held_back ");
-    bench_signal(1, SIGSTOP);
+    bench_signal_daemon(1, SIGSTOP);
     uint64_t until_ms = hs_clock_monotonic_ms() + REPEAT_MS;
     while (!is_request_quarantined(0, "/once/x", body, body) && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
-    bench_signal(1, SIGCONT);
+    bench_signal_daemon(1, SIGCONT);
     uint64_t start_ms = hs_clock_monotonic_ms();
     while (get_daemon_metric(1, "heathsail_contents_held_back ") <= before &&
            hs_clock_monotonic_ms() < start_ms + QUARANTINE_SYNC_MS)
@@ -287,7 +288,7 @@
     CU_ASSERT_TRUE(is_request_quarantined(0, "/once/x", "fatal-stream", "fatal-stream"));
     hs_clock_sleep_ms(STORE_WRITE_MS);
     kill_and_restart_all_daemons();
-    for (int index = 0; index < BENCH_DAEMONS; index++)
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
         CU_ASSERT(wait_for_quarantine(index, "/once/x", "fatal-stream") <= QUARANTINE_SYNC_MS);
 }
 
--- a/tests/system/test_fleet_edges.c
+++ b/tests/system/test_fleet_edges.c
@@ -63,21 +63,21 @@
 
 /** An orderly close without chunked encoding would make a truncated stream look complete. */
 static void a_broken_stream_resets_http_1_0_connections(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
+    bench_set_engine_modes(TOKEN_ENGINE_BREAKS_STREAMS);
     raw_caller *caller = raw_caller_open(bench_front_port(1));
     CU_ASSERT_PTR_NOT_NULL_FATAL(caller);
     g_autofree char *head = request_head("/once/cut", "1.0", "cut-old", "");
     raw_caller_send(caller, head);
     raw_caller_send(caller, "hello");
     CU_ASSERT_EQUAL(raw_caller_read_to_end(caller, LIMIT_MS), RAW_RESET);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     raw_caller_close(caller);
 }
 
 /** A caller that disconnects before its first event or within its stream ends the engine's run. */
 static void a_disconnected_caller_frees_its_engine(void) {
     static const char *const received[] = {"", "id: 2\n"};
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
     for (size_t index = 0; index < G_N_ELEMENTS(received); index++) {
         raw_caller *caller = raw_caller_open(bench_front_port(2));
         CU_ASSERT_PTR_NOT_NULL_FATAL(caller);
@@ -90,36 +90,36 @@
         raw_caller_close(caller);
         CU_ASSERT_TRUE(wait_for_engine_runs_to_end(500));
     }
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
 }
 
 /** Submits a job of one item and waits until the item runs. */
 static void start_single_item(const char *job, const char *item) {
     hs_clock_sleep_ms(2500); /* Until the partitions are assigned to all daemons. */
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
-    g_autofree char *body = bench_job(job, 1);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
+    g_autofree char *body = bench_job_body(job, 1);
     bench_answer accepted = bench_send(
         &(bench_call){.method = "POST", .target = "/jobs/x", .request_id = job, .body = body});
     CU_ASSERT_EQUAL(accepted.status, 202);
     bench_answer_clear(&accepted);
     uint64_t limit = hs_clock_monotonic_ms() + LIMIT_MS;
-    while (bench_runs(item) == 0 && hs_clock_monotonic_ms() < limit)
+    while (bench_run_count(item) == 0 && hs_clock_monotonic_ms() < limit)
         hs_clock_sleep_ms(20);
 }
 
 /** Starts all daemons and checks that each further run of the item resumes after an event. */
 static void check_item_resumes(const char *job, const char *item) {
-    CU_ASSERT_EQUAL(bench_runs(item), 1);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    CU_ASSERT_EQUAL(bench_run_count(item), 1);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT_TRUE(bench_start_daemon(daemon, false));
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT_TRUE(bench_wait_ready(daemon));
     g_autofree char *page = bench_wait_job(0, job, 1, 5 * LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
-    uint32_t runs = bench_runs(item);
+    uint32_t runs = bench_run_count(item);
     CU_ASSERT(runs >= 2);
-    CU_ASSERT_EQUAL(bench_resumes(item), runs - 1);
+    CU_ASSERT_EQUAL(bench_resume_count(item), runs - 1);
 }
 
 /** All daemons stop while the store refuses calls; it recovers within their grace period. */
@@ -128,12 +128,12 @@
     hs_clock_sleep_ms(300);
     log_store_set_mode(bench.store, LOG_STORE_REFUSES, NULL, G_MAXUINT32);
     hs_clock_sleep_ms(800);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT_EQUAL(kill(bench.pids[daemon], SIGTERM), 0);
     hs_clock_sleep_ms(2200);
     log_store_set_mode(bench.store, LOG_STORE_HEALTHY, NULL, 0);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
-        CU_ASSERT_EQUAL(bench_signal(daemon, SIGTERM), 0);
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
+        CU_ASSERT_EQUAL(bench_signal_daemon(daemon, SIGTERM), 0);
     check_item_resumes("away", "away-0");
 }
 
@@ -141,8 +141,8 @@
 static void a_kill_of_all_daemons_repeats_little(void) {
     start_single_item("killed", "killed-0");
     hs_clock_sleep_ms(3500);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
-        bench_signal(daemon, SIGKILL);
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
+        bench_signal_daemon(daemon, SIGKILL);
     check_item_resumes("killed", "killed-0");
 }
 
@@ -171,8 +171,8 @@
     CU_ASSERT_FATAL(descriptor >= 0);
     g_close(descriptor, NULL);
     g_file_set_contents(path, "[fleet]\ngrace_s=40\nresolve_ttl_most_s=3\n", -1, NULL);
-    bench_signal(0, SIGKILL);
-    CU_ASSERT_TRUE(bench_start_daemon_with(0, path));
+    bench_signal_daemon(0, SIGKILL);
+    CU_ASSERT_TRUE(bench_start_daemon_with_settings(0, path));
     CU_ASSERT_TRUE(bench_wait_ready(0));
     CU_ASSERT_TRUE(is_ttl_returned(0, 1)); /* A quarter of the 6 s set on the command line. */
     g_file_set_contents(path, "[fleet]\ngrace_s=60\nresolve_ttl_most_s=1x\n", -1, NULL);
@@ -191,7 +191,7 @@
 
 /** A daemon that can't bind its metrics port still becomes ready. */
 static void an_occupied_metrics_port_prevents_no_start(void) {
-    bench_signal(1, SIGKILL);
+    bench_signal_daemon(1, SIGKILL);
     struct sockaddr_in occupied = {.sin_family = AF_INET,
                                    .sin_port = htons(bench_metrics_port(1)),
                                    .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
--- a/tests/system/test_fleet_entries.c
+++ b/tests/system/test_fleet_entries.c
@@ -65,7 +65,7 @@
 static void send_requests(const char *prefix) {
     for (int index = 0; index < REQUESTS; index++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, index);
-        bench_answer answer = post_request(index % bench_daemons(), "/plain/x", id);
+        bench_answer answer = post_request(index % bench_daemon_count(), "/plain/x", id);
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
     }
@@ -113,7 +113,7 @@
 
 static void a_starting_daemon_ignores_invalid_entries(void) {
     log_store_put(bench.store, TOPIC_ENGINES, "a-stray", "\xff\xfe no text");
-    bench_signal(1, SIGKILL);
+    bench_signal_daemon(1, SIGKILL);
     bench_start_daemon(1, false);
     CU_ASSERT_TRUE(bench_wait_ready(1));
     send_requests("after-start");
--- a/tests/system/test_fleet_item_losses.c
+++ b/tests/system/test_fleet_item_losses.c
@@ -131,8 +131,8 @@
 /** All daemons are restarted, so the owner of the item is among them. */
 static void a_quarantined_item_completes_after_a_rolling_restart(void) {
     crash_engines_of_item("turned", MIDDLE_CRASH_MS, 3);
-    for (int index = 0; index < BENCH_DAEMONS; index++) {
-        bench_signal(index, SIGTERM);
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++) {
+        bench_signal_daemon(index, SIGTERM);
         bench_start_daemon(index, false);
         CU_ASSERT_TRUE(bench_wait_ready(index));
     }
--- a/tests/system/test_fleet_jobs.c
+++ b/tests/system/test_fleet_jobs.c
@@ -32,13 +32,13 @@
     if (first == NULL)
         return;
     check_job_results(first, 20);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         g_autofree char *page = bench_wait_job(daemon, "job1", 20, JOB_LIMIT_MS);
         CU_ASSERT_EQUAL(g_strcmp0(page, first), 0);
     }
     for (int item = 0; item < 20; item++) {
         g_autofree char *id = g_strdup_printf("job1-%d", item);
-        CU_ASSERT_EQUAL(bench_runs(id), 1);
+        CU_ASSERT_EQUAL(bench_run_count(id), 1);
     }
     bench_answer completed =
         bench_send(&(bench_call){.method = "GET", .target = PATH_ITEMS "job1?id=job1-3"});
@@ -74,7 +74,7 @@
 
 /** Whether a daemon owns an equal share of the partitions and knows the owners of all others. */
 static bool knows_all_owners(int daemon) {
-    int share = BENCH_PARTITIONS / BENCH_DAEMONS;
+    int share = BENCH_PARTITIONS / BENCH_DEFAULT_DAEMONS;
     return read_metric(daemon, "heathsail_job_partitions_owned ") == share &&
            read_metric(daemon, "heathsail_job_partitions_located ") == BENCH_PARTITIONS;
 }
@@ -89,7 +89,7 @@
     bool is_known = false;
     while (!is_known && hs_clock_monotonic_ms() < limit_ms) {
         is_known = true;
-        for (int daemon = 0; daemon < BENCH_DAEMONS && is_known; daemon++)
+        for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS && is_known; daemon++)
             is_known = knows_all_owners(daemon);
         if (!is_known)
             hs_clock_sleep_ms(ASSIGNMENT_POLL_MS);
@@ -105,7 +105,7 @@
     CU_ASSERT_PTR_NOT_NULL(first);
     int by_owner = 0;
     int from_log = 0;
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         by_owner -= read_metric(daemon, "heathsail_job_calls{by=\"owner\"} ");
         from_log -= read_metric(daemon, "heathsail_job_calls{by=\"log\"} ");
         g_autofree char *page = bench_wait_job(daemon, "job11", 2, JOB_LIMIT_MS);
@@ -113,12 +113,12 @@
         by_owner += read_metric(daemon, "heathsail_job_calls{by=\"owner\"} ");
         from_log += read_metric(daemon, "heathsail_job_calls{by=\"log\"} ");
     }
-    CU_ASSERT_EQUAL(by_owner, BENCH_DAEMONS - 1);
+    CU_ASSERT_EQUAL(by_owner, BENCH_DEFAULT_DAEMONS - 1);
     CU_ASSERT_EQUAL(from_log, 0);
 }
 
 static void open_items_return_their_bodies_and_stop_with_their_job(void) {
-    bench_set_engines(TOKEN_ENGINE_FULL);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
     CU_ASSERT_EQUAL(submit_job(1, "job2", 3), 202);
     bench_answer body = bench_send(
         &(bench_call){.daemon = 2, .method = "GET", .target = PATH_ITEMS "job2?id=job2-1"});
@@ -132,33 +132,34 @@
         bench_answer_clear(&ended);
     }
     hs_clock_sleep_ms(300);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     hs_clock_sleep_ms(600);
-    CU_ASSERT_EQUAL(bench_runs("job2-0") + bench_runs("job2-1") + bench_runs("job2-2"), 0);
+    CU_ASSERT_EQUAL(
+        bench_run_count("job2-0") + bench_run_count("job2-1") + bench_run_count("job2-2"), 0);
 }
 
 static void impossible_and_failing_items_are_given_up(void) {
-    bench_set_engines(TOKEN_ENGINE_UNPROCESSABLE);
+    bench_set_engine_modes(TOKEN_ENGINE_UNPROCESSABLE);
     CU_ASSERT_EQUAL(submit_job(0, "job3", 2), 202);
     g_autofree char *page = bench_wait_job(1, "job3", 2, JOB_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page == NULL)
         return;
     CU_ASSERT_PTR_NOT_NULL(strstr(page, "dead_letter"));
-    CU_ASSERT_EQUAL(bench_runs("job3-0"), 1);
-    bench_set_engines(TOKEN_ENGINE_FAILS);
+    CU_ASSERT_EQUAL(bench_run_count("job3-0"), 1);
+    bench_set_engine_modes(TOKEN_ENGINE_FAILS);
     CU_ASSERT_EQUAL(submit_job(0, "job4", 1), 202);
     g_autofree char *failed = bench_wait_job(1, "job4", 1, JOB_LIMIT_MS);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_PTR_NOT_NULL(failed);
-    CU_ASSERT_EQUAL(bench_runs("job4-0"), 2); /* max-attempts of the route. */
+    CU_ASSERT_EQUAL(bench_run_count("job4-0"), 2); /* max-attempts of the route. */
 }
 
 static void broken_items_resume_after_their_last_event(void) {
-    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
+    bench_set_engine_modes(TOKEN_ENGINE_BREAKS_STREAMS);
     CU_ASSERT_EQUAL(submit_job(2, "job5", 4), 202);
     g_autofree char *page = bench_wait_job(0, "job5", 4, JOB_LIMIT_MS);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page == NULL)
         return;
@@ -167,7 +168,7 @@
 
 static void a_refusing_store_rejects_jobs_but_not_online_requests(void) {
     log_store_set_mode(bench.store, LOG_STORE_REFUSES, CALL_APPEND, G_MAXUINT32);
-    g_autofree char *body = bench_job("job6", 2);
+    g_autofree char *body = bench_job_body("job6", 2);
     bench_answer refused = bench_send(&(bench_call){.method = "POST",
                                                     .target = "/jobs/x",
                                                     .request_id = "job6",
@@ -187,7 +188,7 @@
 
 /** Kills and starts a daemon, with the store at @p store_port (0: without a proxy). */
 static void restart_daemon(int daemon, uint16_t store_port) {
-    bench_signal(daemon, SIGKILL);
+    bench_signal_daemon(daemon, SIGKILL);
     bench.store_port = store_port;
     CU_ASSERT_TRUE(bench_start_daemon(daemon, false));
     bench.store_port = 0;
@@ -229,11 +230,11 @@
     fault_proxy *proxy = fault_proxy_start(log_store_port(bench.store));
     restart_daemon(0, fault_proxy_port(proxy));
     CU_ASSERT_TRUE(wait_for_owners());
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
     CU_ASSERT_TRUE(submit_until_daemon_runs_item(0, "job13") > 0);
     fault_proxy_set_mode(proxy, PROXY_RESETS);
     CU_ASSERT_TRUE(wait_for_metric(0, RUNNING_METRIC, 0, ASSIGNMENT_LIMIT_MS));
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
@@ -244,7 +245,7 @@
     fault_proxy *proxy = fault_proxy_start(log_store_port(bench.store));
     restart_daemon(0, fault_proxy_port(proxy));
     CU_ASSERT_TRUE(wait_for_owners());
-    bench_set_engines(TOKEN_ENGINE_SLOW);
+    bench_set_engine_modes(TOKEN_ENGINE_SLOW);
     int count = submit_until_daemon_runs_item(0, "job14");
     fault_proxy_set_mode(proxy, PROXY_RESETS);
     CU_ASSERT_TRUE(count > 0);
@@ -253,9 +254,9 @@
         g_autofree char *item = g_strdup_printf("%s-0", id);
         g_autofree char *page = bench_wait_job(1, id, 1, JOB_LIMIT_MS);
         CU_ASSERT_PTR_NOT_NULL(page);
-        CU_ASSERT_EQUAL(bench_runs(item), 1);
+        CU_ASSERT_EQUAL(bench_run_count(item), 1);
     }
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     fault_proxy_set_mode(proxy, PROXY_FORWARDS);
     restart_daemon(0, 0);
     fault_proxy_stop(proxy);
@@ -284,11 +285,11 @@
 static void jobs_survive_the_loss_of_all_daemons(void) {
     CU_ASSERT_EQUAL(submit_job(0, "job10", 20), 202);
     hs_clock_sleep_ms(250);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
-        bench_signal(daemon, SIGKILL);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
+        bench_signal_daemon(daemon, SIGKILL);
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT_TRUE(bench_start_daemon(daemon, false));
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT_TRUE(bench_wait_ready(daemon));
     g_autofree char *page = bench_wait_job(2, "job10", 20, JOB_LIMIT_MS);
     CU_ASSERT_PTR_NOT_NULL(page);
--- a/tests/system/test_fleet_memory.c
+++ b/tests/system/test_fleet_memory.c
@@ -62,7 +62,7 @@
     g_autofree char *path = g_strdup_printf(SETTINGS_PATH, (int)getpid(), memory_mb);
     g_autofree char *text = g_strdup_printf("[fleet]\nmemory_mb = %s\n", memory_mb);
     bool started = g_file_set_contents(path, text, -1, NULL) &&
-                   bench_start_daemon_with(index, path) && bench_wait_ready(index);
+                   bench_start_daemon_with_settings(index, path) && bench_wait_ready(index);
     g_unlink(path);
     return started;
 }
@@ -96,13 +96,13 @@
     if (bench_start() != 0)
         return -1;
     g_autofree char *large_budget = g_strdup_printf("%d", LARGE_BUDGET_MB);
-    bench_signal(0, SIGKILL);
-    bench_signal(1, SIGKILL);
+    bench_signal_daemon(0, SIGKILL);
+    bench_signal_daemon(1, SIGKILL);
     return start_with_memory(0, large_budget) && start_with_memory(1, SMALL_BUDGET_MB) ? 0 : -1;
 }
 
 int end_memory(void) {
-    int ended = end_bench();
+    int ended = bench_tear_down();
     write_timeout_engine_stop(engine);
     return ended;
 }
@@ -327,7 +327,7 @@
     CU_ASSERT_EQUAL(get_daemon_metric(1, ENDED_SLOW), dropped);
     CU_ASSERT_EQUAL(kill(pid, 0), 0);
     bench_answer answer = post_request(1, "/plain/x", "beside");
-    CU_ASSERT(answer.status == 200 || (answer.status == 503 && bench_runs("beside") == 0));
+    CU_ASSERT(answer.status == 200 || (answer.status == 503 && bench_run_count("beside") == 0));
     bench_answer_clear(&answer);
     g_atomic_int_set(&all.stopping, 1);
     g_thread_join(thread);
@@ -352,7 +352,7 @@
     CU_ASSERT_PTR_NOT_NULL(answer.body);
     CU_ASSERT(answer.body != NULL && strstr(answer.body, "short of memory") != NULL);
     bench_answer_clear(&answer);
-    CU_ASSERT_EQUAL(bench_runs("large"), 0);
+    CU_ASSERT_EQUAL(bench_run_count("large"), 0);
     answer = post_request(1, "/plain/x", "small");
     CU_ASSERT_EQUAL(answer.status, 200);
     bench_answer_clear(&answer);
--- a/tests/system/test_fleet_runs.c
+++ b/tests/system/test_fleet_runs.c
@@ -51,7 +51,7 @@
 }
 
 int end_fleet_runs(void) {
-    int ended = end_bench();
+    int ended = bench_tear_down();
     surplus_engine_stop(surplus);
     return ended;
 }
@@ -67,10 +67,10 @@
 static gpointer refuse_after_a_run(gpointer data) {
     (void)data;
     uint64_t until_ms = hs_clock_monotonic_ms() + ITEM_ATTEMPTS_LIMIT_MS;
-    while (bench_runs(ITEM) == 0 && hs_clock_monotonic_ms() < until_ms)
+    while (bench_run_count(ITEM) == 0 && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
-    bench_set_engines(TOKEN_ENGINE_FULL);
-    return GUINT_TO_POINTER(bench_runs(ITEM));
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
+    return GUINT_TO_POINTER(bench_run_count(ITEM));
 }
 
 /** Checks that the surplus engine's run was requested to resume at the event before its first. */
@@ -96,13 +96,13 @@
 static void an_answer_to_an_earlier_attempt_is_not_used(void) {
     CU_ASSERT_EQUAL(submit_job(0, "runs", 1), 202);
     CU_ASSERT_TRUE(wait_for_attempts(WANTED_ATTEMPTS));
-    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);                 /* Each run sends some events */
+    bench_set_engine_modes(TOKEN_ENGINE_BREAKS_STREAMS);            /* Each run sends some events */
     GThread *full = g_thread_new("full", refuse_after_a_run, NULL); /* and breaks. */
     announce_engines(true);
     CU_ASSERT_NOT_EQUAL(g_thread_join(full), NULL);
     announce_engines(false);
     g_autofree char *page = bench_wait_job(0, "runs", 1, JOB_LIMIT_MS);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_PTR_NOT_NULL(page);
     if (page == NULL)
         return;
@@ -115,16 +115,16 @@
 /** Sets the engines' mode once a request has been started @p runs times. */
 static void set_mode_after_runs(const char *request_id, uint32_t runs, token_engine_mode mode) {
     uint64_t until_ms = hs_clock_monotonic_ms() + ITEM_ATTEMPTS_LIMIT_MS;
-    while (bench_runs(request_id) < runs && hs_clock_monotonic_ms() < until_ms)
+    while (bench_run_count(request_id) < runs && hs_clock_monotonic_ms() < until_ms)
         hs_clock_sleep_ms(POLL_MS);
-    CU_ASSERT(bench_runs(request_id) >= runs);
-    bench_set_engines(mode);
+    CU_ASSERT(bench_run_count(request_id) >= runs);
+    bench_set_engine_modes(mode);
 }
 
 static uint64_t count_mismatched_runs(void) {
     static const char name[] = "\nheathsail_runs_misplaced ";
     uint64_t mismatched_runs = 0;
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         bench_answer metrics = bench_send(&(bench_call){
             .method = "GET", .target = "/metrics", .port = bench_metrics_port(daemon)});
         const char *line = strstr(metrics.body, name);
@@ -139,7 +139,7 @@
 static void a_run_that_ignores_its_resume_event_is_not_used(void) {
     announce_engines(true);
     uint64_t before = count_mismatched_runs();
-    bench_set_engines(TOKEN_ENGINE_BREAKS_STREAMS);
+    bench_set_engine_modes(TOKEN_ENGINE_BREAKS_STREAMS);
     CU_ASSERT_EQUAL(submit_job(1, "anew", 1), 202);
     set_mode_after_runs("anew-0", 1, TOKEN_ENGINE_IGNORES_RESUME);
     set_mode_after_runs("anew-0", 2, TOKEN_ENGINE_HEALTHY);
--- a/tests/system/test_fleet_silence.c
+++ b/tests/system/test_fleet_silence.c
@@ -58,12 +58,12 @@
 }
 
 int end_silence(void) {
-    for (int index = 0; index < BENCH_DAEMONS; index++)
-        bench_signal(index, SIGKILL);
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
+        bench_signal_daemon(index, SIGKILL);
     for (int index = 0; index < BENCH_ENGINES; index++)
         fault_proxy_stop(engine_proxies[index]);
     fault_proxy_stop(store_proxy);
-    return end_bench();
+    return bench_tear_down();
 }
 
 static bool suspects_an_engine(int daemon) {
@@ -109,7 +109,7 @@
                   TARGET_MS);
         CU_ASSERT_EQUAL(answer.status, 200);
         bench_answer_clear(&answer);
-        CU_ASSERT_EQUAL(bench_runs(ids[round]), 1);
+        CU_ASSERT_EQUAL(bench_run_count(ids[round]), 1);
         CU_ASSERT_EQUAL(get_daemon_metric(0, LOST_ENGINE), round + 1);
         CU_ASSERT_FALSE(suspects_an_engine(0));
     }
@@ -128,7 +128,7 @@
         event_trace trace = event_trace_stream(ids[round], answer.body, true);
         check_trace(&trace);
         bench_answer_clear(&answer);
-        CU_ASSERT_EQUAL(bench_runs(ids[round]), 1);
+        CU_ASSERT_EQUAL(bench_run_count(ids[round]), 1);
         CU_ASSERT_EQUAL(get_daemon_metric(1, LOST_ENGINE), round + 1);
         CU_ASSERT_FALSE(suspects_an_engine(1));
     }
@@ -143,7 +143,7 @@
     CU_ASSERT(elapsed_ms < RUN_ONCE_LIMIT_MS);
     CU_ASSERT_EQUAL(answer.status, 502);
     bench_answer_clear(&answer);
-    CU_ASSERT_EQUAL(bench_runs("once-dropped"), 0);
+    CU_ASSERT_EQUAL(bench_run_count("once-dropped"), 0);
     CU_ASSERT_EQUAL(get_daemon_metric(2, LOST_ENGINE), 1);
     CU_ASSERT_FALSE(suspects_an_engine(2));
     answer = post_request(2, "/once/x", "once-after");
@@ -160,13 +160,13 @@
     CU_ASSERT_EQUAL(answer.status, 200);
     CU_ASSERT_TRUE(answer.whole);
     bench_answer_clear(&answer);
-    CU_ASSERT_EQUAL(bench_runs("once-silent"), 1);
+    CU_ASSERT_EQUAL(bench_run_count("once-silent"), 1);
     CU_ASSERT_FALSE(suspects_an_engine(2));
 }
 
 static bool is_applied_by_all(const char *line) {
     bool applied = true;
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         g_autofree char *text = get_daemon_metrics(daemon);
         applied = applied && strstr(text, line) != NULL;
     }
@@ -191,7 +191,7 @@
         fprintf(stderr, "version %d applied after %u ms\n", version, (unsigned)elapsed_ms);
         CU_ASSERT(elapsed_ms < APPLY_MS);
     }
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT(get_daemon_metric(daemon, LOST_STORE) > 0);
 }
 
@@ -214,10 +214,10 @@
     g_autofree char *path = NULL;
     g_close(g_file_open_tmp("heathsail-settings-XXXXXX", &path, NULL), NULL);
     g_file_set_contents(path, "[fleet]\ncaller_silence_ms=" CALLER_SILENCE_MS_TEXT "\n", -1, NULL);
-    bench_signal(0, SIGKILL);
-    CU_ASSERT_TRUE(bench_start_daemon_with(0, path));
+    bench_signal_daemon(0, SIGKILL);
+    CU_ASSERT_TRUE(bench_start_daemon_with_settings(0, path));
     CU_ASSERT_TRUE(bench_wait_ready(0));
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
     fault_proxy *proxy = fault_proxy_start(bench_front_port(0));
     raw_caller *idle = raw_caller_open(fault_proxy_port(proxy));
     raw_caller *streaming = raw_caller_open(fault_proxy_port(proxy));
@@ -233,7 +233,7 @@
     fprintf(stderr, "run of a silent caller ended after %u ms\n", (unsigned)elapsed_ms);
     CU_ASSERT(elapsed_ms < CALLER_LIMIT_MS);
     CU_ASSERT_TRUE(wait_for_metric_at_least(0, LOST_CALLER, 2, CALLER_LIMIT_MS));
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     raw_caller_close(idle);
     raw_caller_close(streaming);
     fault_proxy_stop(proxy);
--- a/tests/system/test_fleet_taking.c
+++ b/tests/system/test_fleet_taking.c
@@ -32,8 +32,8 @@
                                    "\r\n" HEADER_REQUEST_ID ": half\r\nContent-Length: 5\r\n\r\nhe";
 
 static void restart_confined(int daemon, unsigned descriptors) {
-    bench_signal(daemon, SIGKILL);
-    CU_ASSERT_TRUE(bench_start_daemon_confined(daemon, descriptors));
+    bench_signal_daemon(daemon, SIGKILL);
+    CU_ASSERT_TRUE(bench_start_daemon_with_descriptor_limit(daemon, descriptors));
     CU_ASSERT_TRUE(bench_wait_ready(daemon));
 }
 
@@ -48,9 +48,9 @@
 
 static void a_full_queue_is_accepted_or_reported(void) {
     connection_flood_target target = target_of(0);
-    CU_ASSERT_EQUAL(bench_signal(0, SIGSTOP), 0);
+    CU_ASSERT_EQUAL(bench_signal_daemon(0, SIGSTOP), 0);
     connection_flood_open(&target, QUEUED_CALLERS, NULL);
-    CU_ASSERT_EQUAL(bench_signal(0, SIGCONT), 0);
+    CU_ASSERT_EQUAL(bench_signal_daemon(0, SIGCONT), 0);
     connection_flood_check_readiness(&target, "1000 callers in the queue");
     connection_flood_close();
     connection_flood_open(&target, MANY_CALLERS, NULL);
@@ -61,23 +61,23 @@
 
 static void callers_waiting_for_engines_block_no_others(void) {
     connection_flood_target target = target_of(0);
-    bench_set_engines(TOKEN_ENGINE_UNRESPONSIVE);
+    bench_set_engine_modes(TOKEN_ENGINE_UNRESPONSIVE);
     connection_flood_open(&target, OPEN_CALLERS, silent_request);
     connection_flood_check_readiness(&target, "500 callers wait on engines");
     CU_ASSERT_EQUAL(connection_flood_get_readiness(&target), 200);
     connection_flood_close();
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     connection_flood_check_recovery(&target);
 }
 
 static void few_descriptors_and_waiting_callers_are_reported(void) {
     restart_confined(1, FEW_DESCRIPTORS);
     connection_flood_target target = target_of(1);
-    bench_set_engines(TOKEN_ENGINE_UNRESPONSIVE);
+    bench_set_engine_modes(TOKEN_ENGINE_UNRESPONSIVE);
     connection_flood_open(&target, OPEN_CALLERS, silent_request);
     connection_flood_check_readiness(&target, "300 descriptors, 500 callers wait on engines");
     connection_flood_close();
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     connection_flood_check_recovery(&target);
     connection_flood_open(&target, OPEN_CALLERS, half_request);
     connection_flood_check_readiness(&target, "300 descriptors, 500 callers with half a body");
--- a/tests/system/test_fleet_tenants.c
+++ b/tests/system/test_fleet_tenants.c
@@ -55,13 +55,13 @@
     if (strstr(log_directory, "XXXXXX") != NULL && g_mkdtemp(log_directory) == NULL)
         return -1;
     bench.settings = (bench_settings){.log_directory = log_directory};
-    int started = begin_bench();
+    int started = bench_set_up();
     configure(BOTH_TENANTS);
     return started;
 }
 
 int end_tenants(void) {
-    int ended = end_bench();
+    int ended = bench_tear_down();
     bench.settings = (bench_settings){0};
     return ended;
 }
@@ -143,7 +143,7 @@
     static const char *const alpha[] = {ALPHA_KEY, NULL};
     static const char *const other[] = {ALPHA_OTHER_KEY, NULL};
     static const char *const beta[] = {BETA_KEY, NULL};
-    g_autofree char *body = bench_job("owned", 4);
+    g_autofree char *body = bench_job_body("owned", 4);
     bench_call submit = {.method = "POST",
                          .target = "/jobs/x",
                          .request_id = "owned",
@@ -153,7 +153,7 @@
     CU_ASSERT_EQUAL(accepted.status, 202);
     bench_answer_clear(&accepted);
     hs_clock_sleep_ms(ASSIGNMENT_MS);
-    for (int daemon = 0; daemon < bench_daemons(); daemon++) {
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++) {
         CU_ASSERT_EQUAL(status_with(daemon, "GET", "/lots/owned?after=0", NULL, alpha), 200);
         CU_ASSERT_EQUAL(status_with(daemon, "GET", "/lots/owned?after=0", NULL, other), 200);
         CU_ASSERT_EQUAL(status_with(daemon, "GET", "/lots/owned?after=0", NULL, beta), 404);
@@ -178,8 +178,8 @@
 
 /** The items still run for the tenant after its key was revoked and all daemons were killed. */
 static void a_job_keeps_its_tenant_after_revocation_and_restarts(void) {
-    bench_set_engines(TOKEN_ENGINE_FULL);
-    g_autofree char *body = bench_job("kept", 2);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
+    g_autofree char *body = bench_job_body("kept", 2);
     static const char *const alpha[] = {ALPHA_KEY, NULL};
     static const char *const other[] = {ALPHA_OTHER_KEY, NULL};
     bench_answer accepted = bench_send(&(bench_call){.method = "POST",
@@ -190,13 +190,13 @@
     CU_ASSERT_EQUAL(accepted.status, 202);
     bench_answer_clear(&accepted);
     configure(ALPHAS_FIRST_KEY_REVOKED);
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
-        bench_signal(daemon, SIGKILL);
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
+        bench_signal_daemon(daemon, SIGKILL);
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
         bench_start_daemon(daemon, false);
-    for (int daemon = 0; daemon < bench_daemons(); daemon++)
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++)
         CU_ASSERT_TRUE(bench_wait_ready(daemon));
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     CU_ASSERT_EQUAL(status_with(1, "GET", "/lots/kept?after=0", NULL, alpha), 401);
     uint64_t limit_ms = hs_clock_monotonic_ms() + JOB_LIMIT_MS;
     bool is_done = false;
@@ -250,13 +250,13 @@
 }
 
 static void a_held_request_is_checked_by_the_current_configuration(void) {
-    bench_set_engines(TOKEN_ENGINE_FULL);
+    bench_set_engine_modes(TOKEN_ENGINE_FULL);
     GThread *operator= g_thread_new("operator", revoke_key, NULL);
     uint64_t start_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(post_with("/plain/x", "held", ALPHA_KEY), 401);
     CU_ASSERT(hs_clock_monotonic_ms() - start_ms < 300 + 2 * APPLY_MS);
     g_thread_join(operator);
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     configure(BOTH_TENANTS);
 }
 
@@ -266,15 +266,15 @@
     CU_ASSERT_TRUE(
         g_file_set_contents(path, "[fleet]\nstrict_revoke = 1\nrevoke_ms = 900\n", -1, NULL));
     fault_proxy *proxy = fault_proxy_start(log_store_port(bench.store));
-    bench_signal(daemon, SIGKILL);
+    bench_signal_daemon(daemon, SIGKILL);
     bench.store_ports[daemon] = fault_proxy_port(proxy);
-    CU_ASSERT_TRUE(bench_start_daemon_with(daemon, path));
+    CU_ASSERT_TRUE(bench_start_daemon_with_settings(daemon, path));
     CU_ASSERT_TRUE(bench_wait_ready(daemon));
     return proxy;
 }
 
 static void end_strict_daemon(int daemon, fault_proxy *proxy) {
-    bench_signal(daemon, SIGKILL);
+    bench_signal_daemon(daemon, SIGKILL);
     bench.store_ports[daemon] = 0;
     fault_proxy_stop(proxy);
     CU_ASSERT_TRUE(bench_start_daemon(daemon, false));
@@ -307,7 +307,7 @@
 /** With strict revocation a stream ends when its key is revoked; without, the stream continues. */
 static void streams_of_a_revoked_key_end_with_strict_revocation(void) {
     fault_proxy *proxy = start_strict_daemon(2);
-    bench_set_engines(TOKEN_ENGINE_ENDLESS);
+    bench_set_engine_modes(TOKEN_ENGINE_ENDLESS);
     static const char *const alpha[] = {ALPHA_KEY, NULL};
     for (int daemon = 1; daemon <= 2; daemon++) {
         GThread *operator= g_thread_new("operator", revoke_key, NULL);
@@ -317,14 +317,14 @@
                                                        .request_id = "under-way",
                                                        .body = "hello",
                                                        .fields = alpha,
-                                                       .leave_after_ms = STREAM_MS});
+                                                       .disconnect_after_ms = STREAM_MS});
         g_thread_join(operator);
         CU_ASSERT_FALSE(answer.whole);
         CU_ASSERT_EQUAL(answer.left, daemon == 1);
         bench_answer_clear(&answer);
         configure(BOTH_TENANTS);
     }
-    bench_set_engines(TOKEN_ENGINE_HEALTHY);
+    bench_set_engine_modes(TOKEN_ENGINE_HEALTHY);
     end_strict_daemon(2, proxy);
 }
 
@@ -334,7 +334,7 @@
     for (int index = 0; index < count; index++) {
         g_autofree char *id = g_strdup_printf("%s-%d", prefix, index);
         static const char *const alpha[] = {ALPHA_KEY, NULL};
-        uint32_t status = status_with(index % bench_daemons(), "POST", "/plain/x", id, alpha);
+        uint32_t status = status_with(index % bench_daemon_count(), "POST", "/plain/x", id, alpha);
         served += status == 200;
         *refused += status == 429;
         hs_clock_sleep_ms(pause_ms);
@@ -354,8 +354,8 @@
     CU_ASSERT(served <= (int)allowed + 1);
     CU_ASSERT(served >= (int)(allowed * 0.7));
     /* Each daemon, and thus the limit owner, is killed once; the others go on to serve. */
-    for (int daemon = 0; daemon < bench_daemons(); daemon++) {
-        bench_signal(daemon, SIGKILL);
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++) {
+        bench_signal_daemon(daemon, SIGKILL);
         served += send_as_alpha(daemon == 0   ? "killed-0"
                                 : daemon == 1 ? "killed-1"
                                               : "killed-2",
@@ -378,7 +378,7 @@
     for (int index = 0; index < MAX_DRAIN_CALLS && answer.status != 429; index++) {
         g_autofree char *id = g_strdup_printf("told-when-%d", index);
         bench_answer_clear(&answer);
-        answer = call_with(index % bench_daemons(), "POST", "/plain/x", id, alpha);
+        answer = call_with(index % bench_daemon_count(), "POST", "/plain/x", id, alpha);
     }
     return answer;
 }
@@ -405,7 +405,7 @@
 
 static void no_key_is_logged(void) {
     CU_ASSERT_EQUAL(post_with("/plain/x", "unknown", "X-Api-Key: unknownsecretkey"), 401);
-    for (int daemon = 0; daemon < bench_daemons(); daemon++) {
+    for (int daemon = 0; daemon < bench_daemon_count(); daemon++) {
         g_autofree char *path = g_strdup_printf("%s/daemon-%d.log", log_directory, daemon);
         g_autofree char *text = NULL;
         CU_ASSERT_TRUE(g_file_get_contents(path, &text, NULL, NULL));
--- a/tests/system/test_fleet_upgrade.c
+++ b/tests/system/test_fleet_upgrade.c
@@ -48,7 +48,7 @@
 
 static void submit_upgrade_job(callers *group, int daemon, gint number) {
     g_autofree char *id = g_strdup_printf("up-%d-%" G_GINT64_FORMAT, number, g_get_real_time());
-    g_autofree char *body = bench_job(id, JOB_ITEMS);
+    g_autofree char *body = bench_job_body(id, JOB_ITEMS);
     bench_answer answer = send_crash_request(daemon, "/jobs/x", id, body);
     g_mutex_lock(&group->lock);
     if (answer.status == 202)
@@ -64,9 +64,9 @@
     g_autofree char *id = g_strdup_printf("asked-%d", number);
     bench_answer answer = {0};
     uint64_t start_ms = hs_clock_monotonic_ms();
-    for (int turn = 0; turn < BENCH_DAEMONS && answer.status == 0; turn++) {
+    for (int turn = 0; turn < BENCH_DEFAULT_DAEMONS && answer.status == 0; turn++) {
         bench_answer_clear(&answer);
-        answer = send_crash_request((daemon + turn) % BENCH_DAEMONS, target, id, "asked");
+        answer = send_crash_request((daemon + turn) % BENCH_DEFAULT_DAEMONS, target, id, "asked");
     }
     bool is_served = answer.status == 200 && answer.whole;
     g_mutex_lock(&group->lock);
@@ -82,7 +82,7 @@
     callers *group = data;
     while (g_atomic_int_get(&group->stopping) == 0) {
         gint number = g_atomic_int_add(&group->call_count, 1);
-        int daemon = number % BENCH_DAEMONS;
+        int daemon = number % BENCH_DEFAULT_DAEMONS;
         if (number % CALLS_PER_JOB == 0)
             submit_upgrade_job(group, daemon, number);
         else
@@ -103,7 +103,7 @@
 static void check_job(const char *id) {
     g_autofree char *first = bench_wait_job(0, id, JOB_ITEMS, FINISH_MS);
     CU_ASSERT_PTR_NOT_NULL(first);
-    for (int daemon = 1; daemon < BENCH_DAEMONS; daemon++) {
+    for (int daemon = 1; daemon < BENCH_DEFAULT_DAEMONS; daemon++) {
         g_autofree char *page = bench_wait_job(daemon, id, JOB_ITEMS, JOB_LIMIT_MS);
         CU_ASSERT_EQUAL(g_strcmp0(page, first), 0);
     }
@@ -131,26 +131,26 @@
     g_mutex_clear(&group->lock);
 }
 
-static void replace(int index, int signal_number, bool is_past) {
+static void replace(int index, int signal_number, bool runs_previous_program) {
     if (signal_number == SIGKILL)
         g_atomic_pointer_set(&killed_ms, (gsize)hs_clock_monotonic_ms());
-    bench_signal(index, signal_number);
-    bench.is_past[index] = is_past;
+    bench_signal_daemon(index, signal_number);
+    bench.runs_previous_program[index] = runs_previous_program;
     bench_start_daemon(index, false);
     CU_ASSERT_TRUE(bench_wait_ready(index));
     hs_clock_sleep_ms(SETTLE_MS);
 }
 
-static void run_all_as(bool is_past) {
-    for (int index = 0; index < BENCH_DAEMONS; index++)
-        if (bench.is_past[index] != is_past)
-            replace(index, SIGTERM, is_past);
+static void run_all_as(bool runs_previous_program) {
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
+        if (bench.runs_previous_program[index] != runs_previous_program)
+            replace(index, SIGTERM, runs_previous_program);
 }
 
 static void a_rolling_upgrade_loses_nothing(void) {
     callers group;
     start_callers(&group);
-    for (int index = 0; index < BENCH_DAEMONS; index++)
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
         replace(index, SIGTERM, false);
     stop_callers(&group);
 }
@@ -159,7 +159,7 @@
     callers group;
     run_all_as(false);
     start_callers(&group);
-    for (int index = 0; index < BENCH_DAEMONS; index++)
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
         replace(index, SIGTERM, true);
     stop_callers(&group);
 }
@@ -171,7 +171,7 @@
     start_callers(&group);
     replace(0, SIGKILL, false);
     replace(0, SIGKILL, true);
-    for (int index = 0; index < BENCH_DAEMONS; index++)
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
         replace(index, SIGKILL, false);
     stop_callers(&group);
 }
@@ -185,19 +185,20 @@
     uint32_t before = crash_fleet_get_crash_count(get_crash_fleet());
     for (int arrival = 0;
          crash_fleet_get_crash_count(get_crash_fleet()) < before + MIN_QUARANTINE_CRASHES &&
-         arrival < BENCH_DAEMONS * MIN_QUARANTINE_CRASHES * 2;
+         arrival < BENCH_DEFAULT_DAEMONS * MIN_QUARANTINE_CRASHES * 2;
          arrival++) {
-        bench_answer answer = send_crash_request(arrival % BENCH_DAEMONS, "/plain/x", body, body);
+        bench_answer answer =
+            send_crash_request(arrival % BENCH_DEFAULT_DAEMONS, "/plain/x", body, body);
         bench_answer_clear(&answer);
         hs_clock_sleep_ms(ARRIVAL_INTERVAL_MS);
     }
     hs_clock_sleep_ms(MAX_QUARANTINE_DELAY_MS);
     uint32_t known = crash_fleet_get_crash_count(get_crash_fleet());
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT_TRUE(is_request_quarantined(daemon, "/plain/x", body, body));
     hs_clock_sleep_ms(STORE_WRITE_MS);
     run_all_as(false);
-    for (int daemon = 0; daemon < BENCH_DAEMONS; daemon++)
+    for (int daemon = 0; daemon < BENCH_DEFAULT_DAEMONS; daemon++)
         CU_ASSERT_TRUE(is_request_quarantined(daemon, "/plain/x", body, body));
     CU_ASSERT_EQUAL(crash_fleet_get_crash_count(get_crash_fleet()), known);
 }
@@ -231,20 +232,20 @@
 }
 
 int begin_upgrade(void) {
-    bench.past_program = g_getenv("HS_PAST_PROGRAM");
-    if (bench.past_program == NULL)
+    bench.previous_program = g_getenv("HS_PAST_PROGRAM");
+    if (bench.previous_program == NULL)
         return -1;
-    for (int index = 0; index < BENCH_DAEMONS; index++)
-        bench.is_past[index] = true;
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
+        bench.runs_previous_program[index] = true;
     return begin_crashes_with_settings(
         &(crash_fleet_settings){.pace = {.events = STREAM_EVENTS, .event_ms = STREAM_EVENT_MS}});
 }
 
 int end_upgrade(void) {
     int ended = end_crashes_same_ids();
-    for (int index = 0; index < BENCH_DAEMONS; index++)
-        bench.is_past[index] = false;
-    bench.past_program = NULL;
+    for (int index = 0; index < BENCH_DEFAULT_DAEMONS; index++)
+        bench.runs_previous_program[index] = false;
+    bench.previous_program = NULL;
     return ended;
 }
 
--- a/tests/system/test_fleet_waking.c
+++ b/tests/system/test_fleet_waking.c
@@ -30,9 +30,9 @@
 }
 
 static void suspend(int daemon) {
-    bench_signal(daemon, SIGSTOP);
+    bench_signal_daemon(daemon, SIGSTOP);
     hs_clock_sleep_ms(SUSPENSION_MS);
-    bench_signal(daemon, SIGCONT);
+    bench_signal_daemon(daemon, SIGCONT);
     hs_clock_sleep_ms(DETECTION_MS);
 }
 
--- a/tests/system/test_online_taking.c
+++ b/tests/system/test_online_taking.c
@@ -51,9 +51,9 @@
 
 static void restart_with_few_descriptors(int daemon) {
     fleet_signal(&test_fleet.daemon_pids[daemon], SIGKILL);
-    test_fleet.daemon_descriptors = DESCRIPTOR_LIMIT;
+    test_fleet.max_daemon_descriptors = DESCRIPTOR_LIMIT;
     CU_ASSERT_TRUE(fleet_start_daemon(&test_fleet, daemon, NULL));
-    test_fleet.daemon_descriptors = 0;
+    test_fleet.max_daemon_descriptors = 0;
     CU_ASSERT_TRUE(fleet_wait_ready(&test_fleet, daemon, START_TIMEOUT_MS));
 }
 
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -170,25 +170,25 @@
         g_autoptr(GRand) random = g_rand_new_with_seed(seed);
         limit_fault faults[4];
         for (size_t index = 0; index < G_N_ELEMENTS(faults); index++)
-            faults[index] =
-                (limit_fault){.at_ms = 5 * (uint64_t)g_rand_int_range(random, 1600, 3600),
-                              .for_ms = 5 * (uint64_t)g_rand_int_range(random, 40, 1200),
-                              .kind = g_rand_boolean(random) ? LIMIT_KILL : LIMIT_CUT,
-                              .share = g_rand_boolean(random) ? g_rand_double(random) : 1.0};
-        limit_case scenario = {.way = LIMIT_WAY_ASK,
-                               .daemons = 360,
-                               .tenants = 20,
-                               .requests_per_s = 400,
-                               .limit_share = 1.6,
-                               .is_square = true,
-                               .hot_tenant = (uint32_t)g_rand_int_range(random, 0, 20),
-                               .hot_share = g_rand_double_range(random, 2, 8),
-                               .hot_ms = 12000,
-                               .length_ms = 24000,
-                               .faults = faults,
-                               .fault_count = G_N_ELEMENTS(faults),
-                               .seed = seed};
-        CU_ASSERT(limit_model_run(&scenario).worst_window <= 1.0);
+            faults[index] = (limit_fault){
+                .at_ms = 5 * (uint64_t)g_rand_int_range(random, 1600, 3600),
+                .for_ms = 5 * (uint64_t)g_rand_int_range(random, 40, 1200),
+                .kind = g_rand_boolean(random) ? LIMIT_FAULT_KILL : LIMIT_FAULT_DISCONNECT,
+                .share = g_rand_boolean(random) ? g_rand_double(random) : 1.0};
+        limit_scenario scenario = {.way = LIMIT_STRATEGY_OWNER,
+                                   .daemons = 360,
+                                   .tenants = 20,
+                                   .requests_per_s = 400,
+                                   .limit_factor = 1.6,
+                                   .has_load_wave = true,
+                                   .hot_tenant = (uint32_t)g_rand_int_range(random, 0, 20),
+                                   .hot_load_factor = g_rand_double_range(random, 2, 8),
+                                   .hot_duration_ms = 12000,
+                                   .run_length_ms = 24000,
+                                   .faults = faults,
+                                   .fault_count = G_N_ELEMENTS(faults),
+                                   .seed = seed};
+        CU_ASSERT(limit_model_run(&scenario).max_window_ratio <= 1.0);
     }
 }
 
@@ -197,24 +197,24 @@
  * or equal shares do.
  */
 static void requests_within_the_limit_pass_without_faults(void) {
-    limit_case scenario = {.daemons = 60,
-                           .tenants = 72,
-                           .requests_per_s = 540,
-                           .limit_share = 1.6,
-                           .is_square = true,
-                           .hot_share = 1,
-                           .length_ms = 30000,
-                           .seed = 3};
-    double refused[LIMIT_WAY_COUNT];
-    for (int way = 0; way < LIMIT_WAY_COUNT; way++) {
-        scenario.way = (limit_way)way;
+    limit_scenario scenario = {.daemons = 60,
+                               .tenants = 72,
+                               .requests_per_s = 540,
+                               .limit_factor = 1.6,
+                               .has_load_wave = true,
+                               .hot_load_factor = 1,
+                               .run_length_ms = 30000,
+                               .seed = 3};
+    double refused[LIMIT_STRATEGY_COUNT];
+    for (int way = 0; way < LIMIT_STRATEGY_COUNT; way++) {
+        scenario.way = (limit_strategy)way;
         limit_outcome outcome = limit_model_run(&scenario);
         refused[way] = outcome.refused_share;
-        CU_ASSERT(outcome.worst_window <= 1.0);
+        CU_ASSERT(outcome.max_window_ratio <= 1.0);
     }
-    CU_ASSERT(refused[LIMIT_WAY_ASK] < 0.002);
-    CU_ASSERT(refused[LIMIT_WAY_ASK] < refused[LIMIT_WAY_LEASES]);
-    CU_ASSERT(refused[LIMIT_WAY_ASK] < refused[LIMIT_WAY_SHARES]);
+    CU_ASSERT(refused[LIMIT_STRATEGY_OWNER] < 0.002);
+    CU_ASSERT(refused[LIMIT_STRATEGY_OWNER] < refused[LIMIT_STRATEGY_LEASES]);
+    CU_ASSERT(refused[LIMIT_STRATEGY_OWNER] < refused[LIMIT_STRATEGY_EQUAL_SHARES]);
 }
 
 const test_case limit_tests[] = {
