--- a/tests/support/impatient_engine.c
+++ b/tests/support/write_timeout_engine.c
@@ -1,7 +1,7 @@
 /** @file write_timeout_engine.c  See write_timeout_engine.h. Each connection has a thread and one
  * request.
  */
-#include "tests/support/impatient_engine.h"
+#include "tests/support/write_timeout_engine.h"
 
 #include "platform/names.h"
 
--- a/tests/support/impatient_engine.h
+++ b/tests/support/write_timeout_engine.h
@@ -3,8 +3,8 @@
  * A stand-in engine that sends long streams and closes the connection if the reader stalls for too
  * long. A small socket send buffer makes the engine notice a stalled reader early.
  */
-#ifndef TESTS_SUPPORT_IMPATIENT_ENGINE_H
-#define TESTS_SUPPORT_IMPATIENT_ENGINE_H
+#ifndef TESTS_SUPPORT_WRITE_TIMEOUT_ENGINE_H
+#define TESTS_SUPPORT_WRITE_TIMEOUT_ENGINE_H
 
 #include "standin/log_store/log_store.h"
 
--- a/tests/system/crowd.c
+++ b/tests/system/connection_flood.c
@@ -1,5 +1,5 @@
-/** @file crowd.c  See crowd.h. */
-#include "tests/system/crowd.h"
+/** @file connection_flood.c  See connection_flood.h. */
+#include "tests/system/connection_flood.h"
 
 #include "base/clock.h"
 #include "tests/support/raw_caller.h"
--- a/tests/system/crowd.h
+++ b/tests/system/connection_flood.h
@@ -1,10 +1,10 @@
 /**
- * @file crowd.h
+ * @file connection_flood.h
  * Opens many connections to one daemon, and checks that the daemon either still accepts connections
  * or reports that it is not ready. There is one flood at a time; no function is thread-safe.
  */
-#ifndef TESTS_SYSTEM_CROWD_H
-#define TESTS_SYSTEM_CROWD_H
+#ifndef TESTS_SYSTEM_CONNECTION_FLOOD_H
+#define TESTS_SYSTEM_CONNECTION_FLOOD_H
 
 #include <glib.h>
 #include <stdint.h>
--- a/tests/system/leaving_callers.c
+++ b/tests/system/disconnecting_callers.c
@@ -1,5 +1,5 @@
-/** @file leaving_callers.c  See leaving_callers.h. */
-#include "tests/system/leaving_callers.h"
+/** @file disconnecting_callers.c  See disconnecting_callers.h. */
+#include "tests/system/disconnecting_callers.h"
 
 #include "base/clock.h"
 #include "tests/support/raw_caller.h"
--- a/tests/system/leaving_callers.h
+++ b/tests/system/disconnecting_callers.h
@@ -1,10 +1,10 @@
 /**
- * @file leaving_callers.h
+ * @file disconnecting_callers.h
  * Callers that send a request, or a part of a request, and close the connection after a given time;
  * and statistics of the engines' work for them after the close.
  */
-#ifndef TESTS_SYSTEM_LEAVING_CALLERS_H
-#define TESTS_SYSTEM_LEAVING_CALLERS_H
+#ifndef TESTS_SYSTEM_DISCONNECTING_CALLERS_H
+#define TESTS_SYSTEM_DISCONNECTING_CALLERS_H
 
 #include <glib.h>
 #include <stdbool.h>
--- a/tests/system/test_fleet_callers.c
+++ b/tests/system/test_fleet_callers.c
@@ -5,8 +5,8 @@
 #include "base/clock.h"
 #include "platform/names.h"
 #include "tests/support/raw_caller.h"
+#include "tests/system/disconnecting_callers.h"
 #include "tests/system/fleet_calls.h"
-#include "tests/system/leaving_callers.h"
 #include "tests/system/system_tests.h"
 #include "tools/surface/fleet_bench.h"
 
--- a/tests/system/test_fleet_memory.c
+++ b/tests/system/test_fleet_memory.c
@@ -5,7 +5,7 @@
  */
 #include "base/clock.h"
 #include "platform/names.h"
-#include "tests/support/impatient_engine.h"
+#include "tests/support/write_timeout_engine.h"
 #include "tests/system/fleet_calls.h"
 #include "tests/system/system_tests.h"
 
--- a/tests/system/test_fleet_taking.c
+++ b/tests/system/test_fleet_taking.c
@@ -4,7 +4,7 @@
  * is not ready.
  */
 #include "platform/names.h"
-#include "tests/system/crowd.h"
+#include "tests/system/connection_flood.h"
 #include "tests/system/system_tests.h"
 #include "tools/surface/fleet_bench.h"
 
--- a/tests/system/test_online_callers.c
+++ b/tests/system/test_online_callers.c
@@ -1,6 +1,6 @@
 /** @file test_online_callers.c  OpenAI surface: callers that disconnect early. */
 #include "base/clock.h"
-#include "tests/system/leaving_callers.h"
+#include "tests/system/disconnecting_callers.h"
 #include "tests/system/system_tests.h"
 
 #include <signal.h>
--- a/tests/system/test_online_taking.c
+++ b/tests/system/test_online_taking.c
@@ -1,5 +1,5 @@
 /** @file test_online_taking.c  OpenAI surface: accepting connections under a flood. */
-#include "tests/system/crowd.h"
+#include "tests/system/connection_flood.h"
 #include "tests/system/system_tests.h"
 
 #include <signal.h>
