--- a/spec/arbiters.pml
+++ b/spec/arbiters.pml
@@ -70,8 +70,8 @@
 #define STAYING(a, d) (told_batch[a].by[d] * (1 - leaving[a].by[d]))
 #define SUM(a) (told_online[a].by[0] + told_online[a].by[1] + STAYING(a, 0) + STAYING(a, 1))
 
-/* hs_fleet_engines_tell. An earlier word that is still on its way is as good as lost, and each change
- * is told, so that a word on its way has the daemon's counts of now. */
+/* hs_fleet_engines_notify_use. An earlier report that is still on its way counts as lost, and each
+ * change is reported, so that a report on its way has the daemon's current counts. */
 inline tell(d) {
     word[d] = true
 }
@@ -92,7 +92,7 @@
     od
 }
 
-/* hs_engine_lease_confirm: until the arbiter was heard, or not in time. */
+/* hs_engine_lease_confirm: until the arbiter's answer came, or its time was over. */
 proctype confirmation(byte d) {
 end:
     do
@@ -115,7 +115,7 @@
     od
 }
 
-/* hs_slot_ledger_put_report at the one that the word was sent to, and its answer. */
+/* hs_slot_ledger_put_report at the arbiter that the report was sent to, and its answer. */
 proctype words(byte d) {
     byte a;
 end:
@@ -159,7 +159,7 @@
 
 #define SILENT(a, d) (!alive[d] || view[d] != a || HAS(d) == 0)
 
-/* LEAVING_VALID_MS and USE_VALID_MS in slot_ledger.c. */
+/* PREEMPTION_VALID_MS and REPORT_VALID_MS in slot_ledger.c. */
 proctype limits(byte a, d) {
 end:
     do
--- a/spec/core.pml
+++ b/spec/core.pml
@@ -30,7 +30,7 @@
 byte intent = NONE; /* attempt that may run the run-once item */
 bool done[2];
 
-/* settle in partition_owner.c: after each append the owner reads its stream and learns of a loss. */
+/* update_grants in partition_owner.c: after each append the owner reads its stream and learns of a loss. */
 #define LEARN(id, mine)                                                                            \
     if                                                                                             \
     :: owner != id || epoch != mine -> mine = 0                                                    \
@@ -101,7 +101,7 @@
     }
 }
 
-/* apply_completion, result_counts: an ordinary item */
+/* apply_completion, is_result_valid: an ordinary item */
 inline append_ordinary_result() {
     atomic {
         if
@@ -126,7 +126,7 @@
     }
 }
 
-/* apply_completion, result_counts: a run-once item, by its attempt or as indeterminate */
+/* apply_completion, is_result_valid: a run-once item, by its attempt or as indeterminate */
 inline append_run_once_result(attempt, my_epoch, indeterminate) {
     atomic {
         if
--- a/spec/joints.pml
+++ b/spec/joints.pml
@@ -190,7 +190,7 @@
     od
 }
 
-/* hs_job_worker_run after an item was abandoned, and item_for: what is stored is the new begin, a
+/* hs_job_worker_run after an item was abandoned, and get_item: what is stored is the new begin, a
  * part of what was taken or, of any length, the text of another daemon. */
 inline begin_anew() {
     printf("given up and taken again\n");
--- a/spec/limits.pml
+++ b/spec/limits.pml
@@ -44,7 +44,7 @@
 byte passed;
 byte unnoticed;
 
-/* hs_limit_reachability and part_of. */
+/* hs_limit_reachability and allowance_fraction. */
 #define IS_HOME(daemon) (daemon == 0 || !sees[daemon])
 #ifdef WHOLE_LIMIT
 #define RATE_OF(daemon) RATE
--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -21,7 +21,7 @@
 byte next_place = 0;
 byte place[JOBS];       /* 0: no reservation. */
 bool released[JOBS];
-bool dropped[JOBS];     /* Settled as never stored: is_settled of job_quota.c. */
+bool dropped[JOBS];     /* Settled as never stored: is_settled_by_level of quota_fold.c. */
 bool stored[JOBS];
 bool finished[JOBS];
 bool late[JOBS];        /* An append that got no answer is still on its way. */
@@ -33,7 +33,7 @@
     unfinished++
 }
 
-/* The sum at hand: hs_job_quota_reserve and make_sum. */
+/* The sum at hand: hs_job_quota_report and apply_level of quota_fold.c. */
 inline take_sum() {
     d_step {
         sum = 0;
