--- a/spec/arbiters.pml
+++ b/spec/arbiters.pml
@@ -1,21 +1,22 @@
 /*
  * The exchange with an engine's arbiter, small: one engine, two daemons with one online request and
- * one batch item each at most, and two daemons that may be its arbiter. Each daemon tells its counts
+ * one batch item each at most, and two daemons that may be its arbiter. Each daemon reports its counts
  * to the one that it takes for the arbiter, at each change and repeated while it has something
  * there; which one that is may change, and the two may then differ for a while. A daemon may die. An
- * arbiter that nobody tells anything keeps what it was told, as one does that was cut
- * off and comes back. Words, answers and asks to step aside may be lost; nobody has to answer.
+ * arbiter that receives no reports keeps the last ones, as one does that was disconnected
+ * and comes back. Reports, answers and preemptions may be lost; no daemon has to answer.
  * Faults and starts are bounded; no item has to end by itself.
  *
- * Left out: time (a limit is a step that may come at any moment), ranks (any item may be asked), words
- * in the wrong order (by their sequence, a unit test), health, and the look at a second engine.
+ * Left out: time (a limit is a step that may come at any moment), ranks (any item may be preempted),
+ * reports in the wrong order (by their sequence, a unit test), health, and the question about a second
+ * engine.
  *
  * Each rule can be removed by a macro; check.sh must then find a counterexample:
- *   NO_REPEAT           counts are told at changes alone
- *   LEAVING_FOR_GOOD    an item that was asked to leave counts as gone until its daemon says so
- *   USES_KEPT           a word counts until the next one, however long its daemon is silent
- *   WAITS_FOR_ARBITER   an item is not sent before the arbiter was heard
- * And with DISAGREE the daemons tell different arbiters to the end: the bound is then the slots once
+ *   NO_REPEAT           counts are reported at changes alone
+ *   LEAVING_FOR_GOOD    a preempted item counts as gone until its daemon reports that it is
+ *   USES_KEPT           a report counts until the next one, however long its daemon sends none
+ *   WAITS_FOR_ARBITER   an item is not sent before the arbiter has answered
+ * And with DISAGREE the daemons report to different arbiters to the end: the bound is then the slots once
  * for each arbiter.
  *
  * docs/PROOF.md names the C function of each step.
@@ -52,7 +53,7 @@
 byte view[2];
 bool alive[2] = true;
 
-/* On their way. */
+/* Reports and preemptions on their way. */
 bool word[2];
 bool ask[2];
 
--- a/spec/core.pml
+++ b/spec/core.pml
@@ -5,7 +5,7 @@
  * answer may be lost, after which the appender appends again or reads back.
  *
  * A daemon that pauses is one that is not scheduled for a while: every gap between two steps of a
- * daemon is such a pause, so that it may go on believing in a claim that has been overtaken.
+ * daemon is such a pause, so that it may go on acting on a claim that has been overtaken.
  * Daemon 0 may also die for good, after any step.
  *
  * Each rule can be removed by a macro; check.sh must then find a counterexample:
@@ -196,7 +196,7 @@
         :: skip
         fi
 
-    /* A run-once item: append the intent under the epoch believed in. */
+    /* A run-once item: append the intent under the epoch that the daemon takes for its own. */
     :: mine != 0 && submitted && !done[RUN_ONCE] && !cancelled && intent == NONE && asked != ATTEMPT(id, mine) ->
         asked = ATTEMPT(id, mine);
         append_intent(asked, mine)
--- a/spec/jobs.pml
+++ b/spec/jobs.pml
@@ -3,7 +3,7 @@
  * EVENTS events, a daemon that takes the job with two tries, two daemons that both may think they
  * own the partition and stand at the same events, and a daemon that answers reads from its own fold.
  *
- * An append is done and told, or done and not told, or refused, or not told and done later, even
+ * An append is done and answered, or done and not answered, or refused, or not answered and done later, even
  * after other records (late_append). A daemon that runs the item may be killed at any step and
  * then begins anew from what the log holds. Faults are bounded, so that the job ends.
  *
@@ -11,8 +11,8 @@
  * each run that went on in it was asked to go on there.
  *
  * Each rule can be removed by a macro; check.sh must then find a counterexample:
- *   UNKNOWN_IS_REFUSED   an append without an answer is told to the caller as a refusal
- *   FORGETS_FIRST_TRY    a refused second try is told as a refusal, whatever became of the first
+ *   UNKNOWN_IS_REFUSED   an append without an answer is reported to the caller as a refusal
+ *   FORGETS_FIRST_TRY    a refused second try is reported as a refusal, whatever became of the first
  *   NO_FROM_CHECK        progress that follows an event is added wherever the fold stands
  *   NO_WRITER_CHECK      progress that follows an event is added whoever made the text before it
  *   LATER_RESULT_COUNTS  a second result of an item replaces the first
@@ -20,7 +20,7 @@
  *
  * docs/PROOF.md names the C function of each step.
  */
-#ifdef WRITERS /* Whose runs made a text is told apart; with fewer events, for the state space. */
+#ifdef WRITERS /* Whose runs made a text is distinguished; with fewer events, for the state space. */
 #define EVENTS 2
 #else
 #define EVENTS 3
--- a/spec/joints.pml
+++ b/spec/joints.pml
@@ -1,12 +1,12 @@
 /*
  * What one item's text is put together from, small: one item run that tries engines one after the
- * other with one request id, each try asking to go on after the last event taken; kept
+ * other with one request id, each try asking to resume after the last event taken; reused
  * connections, each a queue of answers that are due; engines that refuse whole (not executed), fail
  * whole (500), or stream and end whole, within an event, or with a cut connection.
  *
  * A surplus answer to an earlier request may come in the place of the next one due. It is a copy of
  * the earlier answer or, of a request that ran, another stream of that same run (COPIES_ONLY: copies
- * alone). An answer is told from others by the request id alone, and all tries have the same one,
+ * alone). An answer is distinguished from others by the request id alone, and all tries have the same one,
  * so that the first answer due is taken for the answer to the latest try; the own one stays due. The
  * item may be given up by this daemon and taken again, from the text that is stored by then.
  *
@@ -78,7 +78,7 @@
 bool dead = false;
 bool wrong_joint = false;    /* A run goes on that was not asked to go on there. */
 bool missing_event = false;
-bool broken_promise = false; /* A try is told as not run that ran. */
+bool broken_promise = false; /* A try is reported as not run that ran. */
 
 inline forget_connection(c) {
     do
@@ -109,7 +109,7 @@
     fi
 }
 
-/* hs_engine_lease_connect: a kept connection or a new one; an idle one may go at any time. */
+/* hs_engine_lease_connect: a reused connection or a new one; an idle one may go at any time. */
 inline connect() {
     if
 #ifdef CONNECTION_AGAIN
@@ -215,7 +215,7 @@
 #endif
 }
 
-/* Another request on a kept connection: read_head passes over what is not its own. */
+/* Another request on a reused connection: read_head passes over what is not its own. */
 inline other_request(c) {
     printf("another request on connection %d\n", c);
     do
--- a/spec/limits.pml
+++ b/spec/limits.pml
@@ -1,22 +1,23 @@
 /*
  * A tenant's limit over three daemons, small: tokens come in by ticks, RATE for the whole limit, a
- * third of it for one daemon's part; a full bucket holds BURST.
+ * third of it for one daemon's allowance; a full bucket holds BURST.
  *
- * Daemon 0 ranks first for the tenant and daemon 1 second; the third never goes and asks daemon 1
- * wherever that is the home, so that daemon 1 without daemon 0 has two parts. Links are cut and heal, a daemon dies and starts, stands still
- * and wakes; each daemon notices by itself, at any later time, who answers. A question goes to the home
- * as the asker believes; where that gives no answer the asker decides by its own part. What a home or
- * a part lets pass while a change is not noticed by all is counted apart (unnoticed): no rule without
- * agreement can avoid it, and time bounds it.
+ * Daemon 0 ranks first for the tenant and daemon 1 second; the third never goes and queries daemon 1
+ * wherever that is the limit owner (home), so that daemon 1 without daemon 0 has two parts. Links are cut
+ * and heal, a daemon dies and starts, stands still and wakes; each daemon notices by itself, at any later
+ * time, who answers. A query goes to the limit owner as the querying daemon sees it; where that gives no
+ * answer the querying daemon decides by its own allowance. What a limit owner or an allowance admits while
+ * a change is not noticed by all is counted apart (unnoticed): no rule without agreement can avoid it, and
+ * time bounds it.
  *
  * Invariant: what passed is at most BURST, RATE a tick, and unnoticed.
  *
  * Each rule can be removed by a macro; check.sh must then find a counterexample:
- *   NEW_HOME_FULL   a home that has no bucket of the tenant begins with a full one
- *   WHOLE_LIMIT     a daemon that is cut off lets pass the whole limit
+ *   NEW_HOME_FULL   a limit owner that has no bucket of the tenant begins with a full one
+ *   WHOLE_LIMIT     a disconnected daemon admits the whole limit
  *   SLEEPER_KEEPS   a daemon that stood still keeps its bucket, which came full meanwhile
- *   MOVED_KEEPS     a daemon keeps the bucket of a tenant whose home is another now, and it fills
- *   PART_KEEPS      what a daemon saved up of its part while it asked in vain outlives that
+ *   MOVED_KEEPS     a daemon keeps the bucket of a tenant whose limit owner is another now, and it fills
+ *   PART_KEEPS      what a daemon accrued of its allowance while the owner did not answer outlives that
  *
  * docs/PROOF.md names the C function of each step.
  */
@@ -50,7 +51,7 @@
 #define RATE_OF(daemon) RATE
 #define CAPACITY_OF(daemon) BURST
 #else
-/* Parts of three: daemon 0 alone one, daemon 1 as the home two, else as one that asks in vain one. */
+/* Parts of three: daemon 0 alone one, daemon 1 as the limit owner two, else, without an answer, one. */
 #define PARTS_OF(daemon)                                                                           \
     ((daemon == 0 && sees[0]) -> 3 : ((daemon == 1 && !sees[1]) -> 2 : 1))
 #define RATE_OF(daemon) (RATE * PARTS_OF(daemon) / 3)
@@ -102,7 +103,7 @@
     fi
 }
 
-/* Whether the daemon lets requests pass by a rate of its own now. */
+/* Whether the daemon admits requests by a rate of its own now. */
 #define LETS_PASS(daemon) (ANSWERS(daemon) && (IS_HOME(daemon) || !REACHES))
 
 inline refill(daemon) {
@@ -142,7 +143,7 @@
 end:
     do
     :: atomic { ticks < TICKS ->
-        /* What all let pass in this tick beyond the limit, since not all have noticed. */
+        /* What all admit in this tick beyond the limit, since not all have noticed. */
         rates = (LETS_PASS(0) -> RATE_OF(0) : 0) + (LETS_PASS(1) -> RATE_OF(1) : 0);
         if
 #ifndef WHOLE_LIMIT
--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -1,16 +1,16 @@
 /*
  * Admission of batch jobs under a route's limit, small: JOBS jobs of one token, each submitted at a
- * daemon of its own, room for LIMIT. The admission log is its order; partitions are one set.
+ * daemon of its own, capacity for LIMIT. The admission log is its order; partitions are one set.
  *
  * A submission appends its reservation, reads what is unfinished (maybe long before it decides, as a
  * sum that is not made anew), and decides by that and by the reservations before its own. The
- * manifest's append may be done and told, or not told and done later, or never; then the submission
- * keeps its room. A daemon may also stop at any step and leave its reservation behind. Items finish
+ * manifest's append may be done and answered, or not answered and done later, or never; then the submission
+ * keeps its reservation. A daemon may also stop at any step and leave its reservation behind. Items finish
  * at any time. A reservation is dropped once its manifest can no longer come.
  *
  * Each rule can be removed by a macro; check.sh must then find a counterexample:
  *   NO_RESERVATIONS        only what is stored counts
- *   RELEASES_UNKNOWN       an append without an answer gives its room back
+ *   RELEASES_UNKNOWN       an append without an answer releases its reservation
  *   DROPS_EARLY            a reservation is dropped while its manifest may still come
  *
  * docs/PROOF.md names the C function of each step.
@@ -98,7 +98,7 @@
         if
         :: true -> atomic { store(self); gone[self] = true }
         :: true ->
-            late[self] = true; /* No answer: the caller hears 504. */
+            late[self] = true; /* No answer: the caller gets 504. */
 #ifdef RELEASES_UNKNOWN
             released[self] = true
 #endif
