--- a/spec/core.pml
+++ b/spec/core.pml
@@ -5,7 +5,7 @@
  * answer may be lost, after which the appender appends again or reads back.
  *
  * A daemon that pauses is one that is not scheduled for a while: every gap between two steps of a
- * daemon is such a pause, so that it may go on believing in a claim that has been overtaken.
+ * daemon is such a pause, so that it may go on acting on a claim that has been overtaken.
  * Daemon 0 may also die for good, after any step.
  *
  * Each rule can be removed by a macro; check.sh must then find a counterexample:
@@ -30,7 +30,7 @@
 byte intent = NONE; /* attempt that may run the run-once item */
 bool done[2];
 
-/* settle in partition_owner.c: after each append the owner reads its stream and learns of a loss. */
+/* update_grants in partition_owner.c: after each append the owner reads its stream and learns of a loss. */
 #define LEARN(id, mine)                                                                            \
     if                                                                                             \
     :: owner != id || epoch != mine -> mine = 0                                                    \
@@ -101,7 +101,7 @@
     }
 }
 
-/* apply_completion, result_counts: an ordinary item */
+/* apply_completion, is_result_valid: an ordinary item */
 inline append_ordinary_result() {
     atomic {
         if
@@ -126,7 +126,7 @@
     }
 }
 
-/* apply_completion, result_counts: a run-once item, by its attempt or as indeterminate */
+/* apply_completion, is_result_valid: a run-once item, by its attempt or as indeterminate */
 inline append_run_once_result(attempt, my_epoch, indeterminate) {
     atomic {
         if
@@ -196,7 +196,7 @@
         :: skip
         fi
 
-    /* A run-once item: append the intent under the epoch believed in. */
+    /* A run-once item: append the intent under the epoch that the daemon takes for its own. */
     :: mine != 0 && submitted && !done[RUN_ONCE] && !cancelled && intent == NONE && asked != ATTEMPT(id, mine) ->
         asked = ATTEMPT(id, mine);
         append_intent(asked, mine)
