--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -117,7 +117,7 @@
         .resolve_ttl_s = resolve_ttl_s(settings),
         .store = daemon->store,
         .engines = daemon->engines,
-        .wakes = &daemon->stall_detector,
+        .stall_detector = &daemon->stall_detector,
         .crash_watch = daemon->crash_watch,
         .limit_tolerance = settings->fleet_limit_slack * LIMIT_TOLERANCE_SHARE,
         .size = read_machine_size(settings),
@@ -159,7 +159,7 @@
     hs_memory_budget_set(hs_memory_budget_for_machine((uint32_t)daemon->settings->fleet_memory_mb));
     if (hs_memory_budget_get() > 0)
         daemon->online.read_ahead = hs_read_ahead_new();
-    daemon->online.levels = hs_fair_shares_new();
+    daemon->online.fair_shares = hs_fair_shares_new();
     g_mutex_init(&daemon->online.counters.lock);
     hs_fleet_surface_settings surface = {.front = daemon->settings->fleet_front,
                                          .ready = daemon->settings->fleet_ready,
@@ -175,7 +175,7 @@
                                          .engine_source = daemon->engine_source,
                                          .store = daemon->store,
                                          .reloads = &daemon->reloads,
-                                         .wakes = &daemon->stall_detector,
+                                         .stall_detector = &daemon->stall_detector,
                                          .can_serve = can_serve,
                                          .user_data = daemon};
     daemon->surface = hs_fleet_surface_start(&surface, error);
@@ -192,7 +192,7 @@
     hs_caller_ages_free(daemon->online.ages);
     hs_held_requests_free(daemon->online.held);
     hs_read_ahead_free(daemon->online.read_ahead);
-    hs_fair_shares_free(daemon->online.levels);
+    hs_fair_shares_free(daemon->online.fair_shares);
     hs_fleet_engines_free(daemon->engines);
     hs_crash_watch_free(daemon->crash_watch);
     hs_store_client_free(daemon->store);
--- a/src/directory/daemon_directory.c
+++ b/src/directory/daemon_directory.c
@@ -358,11 +358,11 @@
 
 static gpointer run_ticker(gpointer data) {
     hs_daemon_directory *directory = data;
-    hs_stall_detector_check(directory->settings.wakes);
+    hs_stall_detector_check(directory->settings.stall_detector);
     while (!directory->settings.may_join(directory->settings.user_data)) {
         if (!hs_stop_wait_pause(&directory->pause, TICK_MS))
             return NULL;
-        hs_stall_detector_check(directory->settings.wakes);
+        hs_stall_detector_check(directory->settings.stall_detector);
     }
     hs_peer_socket_start(directory->socket, handle_message, directory);
     directory->started_ms = hs_clock_monotonic_ms();
@@ -371,7 +371,7 @@
     while (pause_round(directory)) {
         uint64_t now_ms = hs_clock_monotonic_ms();
         announce_utilisation(directory, now_ms);
-        hs_stall_detector_check(directory->settings.wakes);
+        hs_stall_detector_check(directory->settings.stall_detector);
         hs_membership_service_tick(directory->membership, now_ms);
         hs_crash_exchange_tick(directory->crashes, now_ms);
         hs_tenant_limiter_tick(directory->limiter);
--- a/src/directory/daemon_directory.h
+++ b/src/directory/daemon_directory.h
@@ -29,7 +29,7 @@
     uint32_t resolve_ttl_s;
     hs_store_client *store;
     hs_fleet_engines *engines;         /**< Receives the loads of other daemons. */
-    hs_stall_detector *wakes;          /**< Updated at each round of the ticker. */
+    hs_stall_detector *stall_detector; /**< Updated at each round of the ticker. */
     hs_crash_watch *crash_watch;       /**< Receives the crash evidence of other daemons. */
     double limit_tolerance;            /**< See hs_tenant_limiter_new. */
     hs_machine_size size;              /**< Of this daemon's machine. */
--- a/src/directory/tenant_limiter.c
+++ b/src/directory/tenant_limiter.c
@@ -329,8 +329,8 @@
     Hs__TenantVerdict body = HS__TENANT_VERDICT__INIT;
     body.sequence = ask->sequence;
     body.passes = verdict.passes;
-    body.return_ms = (uint32_t)verdict.return_ms;
-    body.part = verdict.part;
+    body.return_ms = (uint32_t)verdict.retry_after_ms;
+    body.part = verdict.allowance;
     body.used_slots_permille = hs_tenant_use_encode_slots(put_use(limiter, &report));
     Hs__PeerMessage answer = HS__PEER_MESSAGE__INIT;
     answer.kind_case = HS__PEER_MESSAGE__KIND_TENANT_VERDICT;
@@ -340,8 +340,8 @@
 
 static void handle_verdict(hs_tenant_limiter *limiter, const Hs__TenantVerdict *body) {
     hs_limit_verdict verdict = {.passes = body->passes,
-                                .return_ms = body->return_ms,
-                                .part = body->part,
+                                .retry_after_ms = body->return_ms,
+                                .allowance = body->part,
                                 .used_slots =
                                     hs_tenant_use_decode_slots(body->used_slots_permille)};
     hs_peer_queries_complete(limiter->queries, body->sequence, &verdict);
--- a/src/fleet/engine_attempt.c
+++ b/src/fleet/engine_attempt.c
@@ -52,9 +52,9 @@
 static hs_step await_acknowledgement(const hs_attempt_parameters *parameters, hs_attempt *attempt) {
     if (!hs_client_connection_is_reused(attempt->connection))
         return HS_STEP_PROGRESS;
-    hs_connection_timeouts bounds = hs_connection_timeouts_get();
-    uint32_t limit_ms =
-        parameters->may_repeat ? bounds.repeat_unacknowledged_ms : bounds.once_unacknowledged_ms;
+    hs_connection_timeouts timeouts = hs_connection_timeouts_get();
+    uint32_t limit_ms = parameters->may_repeat ? timeouts.repeat_unacknowledged_ms
+                                               : timeouts.once_unacknowledged_ms;
     return hs_client_connection_check_liveness(attempt->connection, limit_ms, &parameters->wait);
 }
 
@@ -168,9 +168,9 @@
 static bool keep_if_in_time(const hs_attempt_parameters *parameters, hs_attempt *attempt) {
     if (!parameters->refuse_if_late)
         return true;
-    attempt->prospect = hs_engine_lease_estimate(attempt->lease, &parameters->query,
-                                                 left_ms(parameters->wait.deadline));
-    if (!attempt->prospect.will_miss_deadline && attempt->prospect.can_start_in_time)
+    attempt->lease_estimate = hs_engine_lease_estimate(attempt->lease, &parameters->query,
+                                                       left_ms(parameters->wait.deadline));
+    if (!attempt->lease_estimate.will_miss_deadline && attempt->lease_estimate.can_start_in_time)
         return true;
     hs_engine_lease_release(attempt->lease, NULL, HS_ATTEMPT_DROPPED);
     attempt->lease = NULL;
@@ -180,7 +180,7 @@
 /** Returns the longest idle time of a connection that may be reused for the request. */
 static uint32_t max_idle_ms(const hs_attempt_parameters *parameters) {
     uint32_t once_idle_ms = hs_connection_timeouts_get().once_idle_ms;
-    if (parameters->fresh)
+    if (parameters->needs_new_connection)
         return 0;
     return parameters->may_repeat || once_idle_ms == 0 ? UINT32_MAX : once_idle_ms;
 }
--- a/src/fleet/engine_attempt.h
+++ b/src/fleet/engine_attempt.h
@@ -34,8 +34,8 @@
     hs_wait wait;
     uint32_t head_timeout_ms; /**< Longest wait for the response head; 0: up to the deadline. */
     bool refuse_if_late; /**< Do not send the request if it is expected to be served too late. */
-    bool fresh;          /**< Open a new connection, because an idle one was lost before. */
-    bool may_repeat;     /**< The request may be executed again after this attempt. */
+    bool needs_new_connection; /**< Open a new connection, because an idle one was lost before. */
+    bool may_repeat;           /**< The request may be executed again after this attempt. */
     /**
      * Longest wait for the response head on a reused connection, if may_repeat is set; raised to
      * hs_engine_lease_head_limit_ms. If either is 0, head_timeout_ms applies.
@@ -53,9 +53,10 @@
     uint64_t sent_ms; /**< Monotonic time at which the request was sent; 0: no connection. */
     uint32_t status;
     hs_engine_answer answer;
-    char engine_id[64];         /**< For logs; stays valid after hs_attempt_finish. */
-    hs_engine_reasons reasons;  /**< Why the engine was chosen; stays valid likewise. */
-    hs_lease_estimate prospect; /**< With refuse_if_late: the estimate that decided on sending. */
+    char engine_id[64];        /**< For logs; stays valid after hs_attempt_finish. */
+    hs_engine_reasons reasons; /**< Why the engine was chosen; stays valid likewise. */
+    hs_lease_estimate
+        lease_estimate; /**< With refuse_if_late: the estimate that decided on sending. */
 } hs_attempt;
 
 /**
--- a/src/fleet/engine_pace.c
+++ b/src/fleet/engine_pace.c
@@ -69,7 +69,7 @@
                                   uint64_t reported_ms) {
     if (pace->slowdown_percent == 0 || !is_dissimilar(relative_slowdown(pace)))
         return;
-    double gap_ms = (double)(reported_ms - pace->told_ms);
+    double gap_ms = (double)(reported_ms - pace->reported_at_ms);
     if (gap_ms > MAX_OUTLIER_MS)
         return;
     bool has_ended = is_dissimilar((double)slowdown_percent / pace->slowdown_percent);
@@ -85,11 +85,11 @@
     uint64_t reported_ms = now_ms - age_ms;
     bool is_same = slowdown_percent == pace->slowdown_percent;
     if (pace->slowdown_percent != 0 &&
-        reported_ms < pace->told_ms + (is_same ? DUPLICATE_REPORT_MS : 1))
+        reported_ms < pace->reported_at_ms + (is_same ? DUPLICATE_REPORT_MS : 1))
         return;
     note_outlier_duration(pace, slowdown_percent, reported_ms);
     pace->slowdown_percent = slowdown_percent;
-    pace->told_ms = reported_ms;
+    pace->reported_at_ms = reported_ms;
     pace->report_count = fmin(pace->report_count + 1, MAX_REPORT_COUNT);
     pace->mean_excess +=
         (slowdown_percent / 100.0 - 1 - pace->mean_excess) / (pace->report_count + PRIOR_REPORTS);
@@ -129,7 +129,7 @@
         return 1;
     double duration_ms = (pace->outlier_ms + PRIOR_OUTLIER_MS) / (pace->outlier_ends + 1);
     duration_ms = fmax(fmin(duration_ms, MAX_OUTLIER_MS), MIN_OUTLIER_MS);
-    double age_ms = now_ms > pace->told_ms ? (double)(now_ms - pace->told_ms) : 0;
+    double age_ms = now_ms > pace->reported_at_ms ? (double)(now_ms - pace->reported_at_ms) : 0;
     double deviation = (relative_slowdown(pace) - 1) * exp(-age_ms / duration_ms);
     return fabs(deviation) > SLOWDOWN_NOISE ? 1 + deviation : 1;
 }
--- a/src/fleet/engine_pace.h
+++ b/src/fleet/engine_pace.h
@@ -20,7 +20,7 @@
     double reported_event_ms; /**< Interval of events as the arbiter reported it; 0: unknown. */
     uint64_t event_reported_ms; /**< Time of that report. */
     uint32_t slowdown_percent;  /**< Latest slowdown the engine reported, 100: usual; 0: none. */
-    uint64_t told_ms;           /**< Time of that report. */
+    uint64_t reported_at_ms;    /**< Time of that report. */
     double report_count;        /**< Slowdown reports so far, up to a bound. */
     double mean_excess;         /**< Mean reported slowdown less 1, as a share: 0.5 for 150 %. */
     double outlier_ms;          /**< Decaying sum of the time watched after outlier reports. */
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -185,13 +185,13 @@
 hs_lease_confirmation hs_engine_lease_confirm(hs_engine_lease *lease, uint32_t limit_ms);
 
 /**
- * Returns a connection that was idle for less than @p idle_most_ms (0: none is reused), or a new
+ * Returns a connection that was idle for less than @p max_idle_ms (0: none is reused), or a new
  * one; NULL with @p step on failure. Never returns a connection that carried @p request_id (may be
  * NULL) before: a surplus answer to the earlier attempt has the same request id and would be taken
  * for the answer to this one.
  */
 hs_client_connection *hs_engine_lease_connect(hs_engine_lease *lease, const char *request_id,
-                                              const hs_wait *wait, uint32_t idle_most_ms,
+                                              const hs_wait *wait, uint32_t max_idle_ms,
                                               hs_step *step);
 
 /** Counts an answer that did not resume the run at the event that the request asked for. */
@@ -247,17 +247,17 @@
 typedef struct {
     bool is_known;    /**< The store's list was read to its end since the start. */
     uint32_t engines; /**< Engines listed and not draining. */
-    uint32_t sound;   /**< Those of them that are not suspected. */
+    uint32_t healthy; /**< Those of them that are not suspected. */
     uint32_t slots;   /**< Of the engines that are not suspected. */
     double running;   /**< Estimated requests of all daemons on them, batch items included. */
     double waiting;   /**< Online requests beyond their engine's slots. */
     double run_ms;    /**< Mean time of recent online runs. */
     uint64_t min_first_byte_ms; /**< Shortest recent time to a first byte; 0: unknown. */
-    uint64_t
-        return_ms; /**< Until this daemon's first suspicion runs out; 0: one engine has none. */
-    uint64_t absent_ms;       /**< How long the service has had no engine; 0: it has one. */
-    uint64_t last_absence_ms; /**< Length of the previous time without an engine; 0: none. */
-    uint64_t listed_age_ms;   /**< Since the store last listed any of the engines. */
+    uint64_t next_probe_in_ms;  /**< Until this daemon's first suspicion runs out; 0: one engine has
+                                   none. */
+    uint64_t absent_ms;         /**< How long the service has had no engine; 0: it has one. */
+    uint64_t last_absence_ms;   /**< Length of the previous time without an engine; 0: none. */
+    uint64_t listed_age_ms;     /**< Since the store last listed any of the engines. */
     hs_service_pressure pressure;
 } hs_service_outlook;
 
--- a/src/fleet/service_outlook.c
+++ b/src/fleet/service_outlook.c
@@ -35,7 +35,7 @@
 static void add_healthy(hs_service_outlook *outlook, const hs_fleet_engine *engine,
                         uint64_t now_ms) {
     double online = engine->online + hs_fleet_engine_others_online(engine, now_ms);
-    outlook->sound++;
+    outlook->healthy++;
     outlook->slots += engine->entry.slots;
     outlook->running += online + engine->batch + hs_fleet_engine_others_batch(engine, now_ms);
     outlook->waiting += fmax(online - engine->entry.slots, 0);
@@ -114,7 +114,7 @@
                                "heathsail_service_free_share{service=\"%s\"} %.3f\n"
                                "heathsail_service_wait_ms{service=\"%s\"} %.0f\n"
                                "heathsail_service_short{service=\"%s\"} %d\n",
-                               name, pressure->heard, name, pressure->free_share, name,
+                               name, pressure->reported, name, pressure->free_share, name,
                                pressure->wait_ms, name, pressure->is_short);
     }
     g_mutex_unlock(&engines->lock);
@@ -146,7 +146,7 @@
     uint64_t probe_ms = next_probe_ms(engine, now_ms);
     uint64_t age_ms = now_ms - engine->listed_ms;
     bool is_first = outlook->engines++ == 0;
-    outlook->return_ms = is_first ? probe_ms : MIN(outlook->return_ms, probe_ms);
+    outlook->next_probe_in_ms = is_first ? probe_ms : MIN(outlook->next_probe_in_ms, probe_ms);
     outlook->listed_age_ms = is_first ? age_ms : MIN(outlook->listed_age_ms, age_ms);
     if (!hs_fleet_engine_is_suspected(engine, now_ms))
         add_healthy(outlook, engine, now_ms);
--- a/src/fleet/service_pressure.c
+++ b/src/fleet/service_pressure.c
@@ -47,7 +47,7 @@
     for (size_t index = 0; index < count; index++)
         if (samples[index].age_ms <= HS_MAX_PRESSURE_REPORT_AGE_MS)
             add_sample(&sum, &samples[index], run_ms);
-    pressure.heard = sum.reported;
+    pressure.reported = sum.reported;
     if (sum.slots <= 0 || sum.reported < MIN_REPORTED_SHARE * (double)count)
         return pressure;
     double scale = (double)count / sum.reported;
--- a/src/fleet/service_pressure.h
+++ b/src/fleet/service_pressure.h
@@ -28,7 +28,7 @@
 /** Estimated state of a service. Engines without a recent report count as the mean engine. */
 typedef struct {
     uint32_t engines;  /**< Engines that are not suspected. */
-    uint32_t heard;    /**< Engines among them with a recent report. */
+    uint32_t reported; /**< Engines among them with a recent report. */
     double slots;      /**< Slots of these engines; 0: too few reports, all fields below neutral. */
     double free_share; /**< Share of the slots without an online request, 0 to 1. */
     double slot_free_interval_ms; /**< Mean interval at which a slot becomes free if all are used;
--- a/src/fleet/slot_ledger.c
+++ b/src/fleet/slot_ledger.c
@@ -174,7 +174,7 @@
     if (engine->pace.slowdown_percent == 0)
         return;
     load->slowdown_percent = engine->pace.slowdown_percent;
-    load->slowdown_age_ms = (uint32_t)MIN(now_ms - engine->pace.told_ms, UINT32_MAX);
+    load->slowdown_age_ms = (uint32_t)MIN(now_ms - engine->pace.reported_at_ms, UINT32_MAX);
 }
 
 static started_requests store_report(daemon_use *use, const hs_use_report *report,
--- a/src/jobs/item_run.c
+++ b/src/jobs/item_run.c
@@ -179,9 +179,9 @@
  * its end, so that the connection can be reused.
  */
 static hs_item_attempt_end send_and_read(hs_item_run *run, const hs_item_attempt_terms *terms,
-                                         const hs_attempt_parameters *order) {
+                                         const hs_attempt_parameters *parameters) {
     hs_attempt attempt;
-    bool has_head = hs_attempt_start(terms->engines, order, &attempt);
+    bool has_head = hs_attempt_start(terms->engines, parameters, &attempt);
     g_strlcpy(run->engine_id, attempt.engine_id, sizeof run->engine_id);
     run->was_sent = attempt.connection != NULL;
     if (attempt.lease == NULL)
@@ -196,7 +196,7 @@
                      end == HS_ITEM_ATTEMPT_IMPOSSIBLE);
     if (reads_body) {
         hs_step step =
-            hs_client_connection_read_all(attempt.connection, MAX_ANSWER_BYTES, &order->wait);
+            hs_client_connection_read_all(attempt.connection, MAX_ANSWER_BYTES, &parameters->wait);
         if (step != HS_STEP_COMPLETE && end != HS_ITEM_ATTEMPT_REFUSED)
             end = HS_ITEM_ATTEMPT_BROKEN;
     }
@@ -261,7 +261,7 @@
     hs_platform_read_terms(fields, &caller);
     const char *name = g_array_index(route->shares, hs_route_share, 0).service;
     const hs_fleet_service *service = hs_fleet_config_find_service(config, name);
-    hs_attempt_parameters order = {
+    hs_attempt_parameters parameters = {
         .query = {.service = name,
                   .size = caller.size.prompt_tokens > 0 ? &caller.size : NULL,
                   .work = HS_WORK_BATCH,
@@ -287,7 +287,7 @@
         .head_timeout_ms = RESPONSE_HEAD_TIMEOUT_MS,
         .may_repeat = true,
     };
-    hs_item_attempt_end end = send_and_read(run, terms, &order);
+    hs_item_attempt_end end = send_and_read(run, terms, &parameters);
     hs_interrupt_close_descriptor(&run->interrupt);
     hs_http_fields_free(fields);
     return end;
--- a/src/jobs/job_checkpoint.c
+++ b/src/jobs/job_checkpoint.c
@@ -51,7 +51,7 @@
 }
 
 void hs_job_checkpoint_take(hs_item_run *run, void *data) {
-    hs_owned_job_partition *owned = ((hs_item_task *)data)->owned;
+    hs_owned_job_partition *owned = ((hs_item_task *)data)->partition;
     uint64_t now_ms = hs_clock_monotonic_ms();
     if (run->next_checkpoint_ms == 0)
         run->next_checkpoint_ms = now_ms + CHECKPOINT_INTERVAL_MS;
--- a/src/jobs/job_owner.c
+++ b/src/jobs/job_owner.c
@@ -126,7 +126,7 @@
             continue;
         }
         hs_item_task *task = g_new0(hs_item_task, 1);
-        task->owned = owned;
+        task->partition = owned;
         task->item = item;
         task->is_handover = true;
         item->stage = HS_ITEM_RUNNING;
--- a/src/jobs/job_owner_state.h
+++ b/src/jobs/job_owner_state.h
@@ -63,10 +63,10 @@
 /** State that determines how many items of one service may start. */
 typedef struct {
     hs_demand_forecast demand;
-    hs_demand_outlook outlook; /**< Forecast of the latest pass. */
-    double expected_online;    /**< Slots that online requests are expected to use soon. */
-    hs_start_throttle sends;   /**< Limits all starts. */
-    hs_start_throttle pieces;  /**< Limits starts of items that are not urgent. */
+    hs_demand_outlook outlook;        /**< Forecast of the latest pass. */
+    double expected_online;           /**< Slots that online requests are expected to use soon. */
+    hs_start_throttle start_throttle; /**< Limits all starts. */
+    hs_start_throttle useful_run_throttle; /**< Limits starts of items that are not urgent. */
     uint64_t forecast_failure_logged_ms;
 } hs_service_starts;
 
@@ -94,7 +94,7 @@
 
 /** A task for a worker thread. */
 typedef struct {
-    hs_owned_job_partition *owned;
+    hs_owned_job_partition *partition;
     hs_owned_item *item;
     uint32_t max_attempts;
     int32_t rank_ms;     /**< See hs_engine_query. */
--- a/src/jobs/job_plan.h
+++ b/src/jobs/job_plan.h
@@ -14,7 +14,7 @@
 
 /** An item without a result, as seen by one scheduler pass. */
 typedef struct {
-    hs_owned_job_partition *home;
+    hs_owned_job_partition *partition;
     hs_owned_item *item;
     const char *service;   /**< Interned; NULL: the configuration has no route for the item. */
     int64_t left_ms;       /**< Time until the deadline; negative if it has passed. */
--- a/src/jobs/job_scheduler.c
+++ b/src/jobs/job_scheduler.c
@@ -62,7 +62,7 @@
         item->run->give_up_ms = item->discovered_ms + get_retention_ms(job);
         bool is_waiting = item->stage == HS_ITEM_WAITING;
         hs_open_item entry = {
-            .home = owned,
+            .partition = owned,
             .item = item,
             .left_ms = (int64_t)(job->submitted_ms + job->due_ms) - (int64_t)wall_ms,
             .remaining_ms = get_remaining_ms(owned, item, now_ms),
@@ -103,7 +103,7 @@
 }
 
 /** Logs the state that led to the start. */
-static void log_start(const hs_open_item *open, const hs_service_capacity *room,
+static void log_start(const hs_open_item *open, const hs_service_capacity *capacity,
                       const hs_service_starts *starts, guint count) {
     const hs_item_run *run = open->item->run;
     hs_log_info("item_started",
@@ -113,13 +113,14 @@
                 " expected_online=%.1f pressing=%d sends_share=%.2f pieces_share=%.2f",
                 run->job_id, run->item_id, open->item->attempts, (guint64)run->events.last_id,
                 (gint64)open->left_ms, (guint64)open->remaining_ms, open->rank_ms, count,
-                room->slots, room->online, room->batch, starts->expected_online, open->is_urgent,
-                1 - starts->sends.held_back, 1 - starts->pieces.held_back);
+                capacity->slots, capacity->online, capacity->batch, starts->expected_online,
+                open->is_urgent, 1 - starts->start_throttle.withheld_share,
+                1 - starts->useful_run_throttle.withheld_share);
 }
 
 static void start_item(hs_job_owner *owner, const hs_open_item *open) {
     hs_item_task *task = g_new0(hs_item_task, 1);
-    task->owned = open->home;
+    task->partition = open->partition;
     task->item = open->item;
     task->max_attempts = open->max_attempts;
     task->rank_ms = open->rank_ms;
@@ -154,16 +155,17 @@
 } pass_starts;
 
 static pass_count *get_pass_count(hs_job_owner *owner, const char *service,
-                                  const hs_service_capacity *room, const pass_starts *pass) {
+                                  const hs_service_capacity *capacity, const pass_starts *pass) {
     pass_count *count = g_hash_table_lookup(pass->counts, service);
     if (count != NULL)
         return count;
     hs_service_starts *starts = hs_job_starts_for_service(owner, service);
-    uint32_t all = hs_job_capacity_now(room, pass->daemons, owner->partitions->len);
-    double spare = room->slots - room->online - room->batch;
+    uint32_t all = hs_job_capacity_now(capacity, pass->daemons, owner->partitions->len);
+    double spare = capacity->slots - capacity->online - capacity->batch;
     count = g_new0(pass_count, 1);
-    count->max_starts = hs_start_throttle_begin_pass(&starts->sends, all, spare);
-    count->max_non_urgent_starts = hs_start_throttle_begin_pass(&starts->pieces, all, spare);
+    count->max_starts = hs_start_throttle_begin_pass(&starts->start_throttle, all, spare);
+    count->max_non_urgent_starts =
+        hs_start_throttle_begin_pass(&starts->useful_run_throttle, all, spare);
     g_hash_table_insert(pass->counts, (gpointer)service, count);
     return count;
 }
@@ -173,12 +175,13 @@
  * leave slots for expected online requests.
  */
 static uint32_t get_max_starts(hs_job_owner *owner, const hs_open_item *entry,
-                               const hs_service_capacity *room, const pass_starts *pass) {
+                               const hs_service_capacity *capacity, const pass_starts *pass) {
     if (entry->is_urgent)
-        return hs_job_capacity_now(room, pass->daemons, owner->partitions->len);
-    const pass_count *count = get_pass_count(owner, entry->service, room, pass);
+        return hs_job_capacity_now(capacity, pass->daemons, owner->partitions->len);
+    const pass_count *count = get_pass_count(owner, entry->service, capacity, pass);
     double expected = hs_job_starts_for_service(owner, entry->service)->expected_online;
-    uint32_t left = hs_job_capacity_expected(room, expected, pass->daemons, owner->partitions->len);
+    uint32_t left =
+        hs_job_capacity_expected(capacity, expected, pass->daemons, owner->partitions->len);
     return MIN(MIN(count->max_starts, count->max_non_urgent_starts), left);
 }
 
@@ -187,16 +190,17 @@
  */
 static bool try_count_start(hs_job_owner *owner, const hs_open_item *entry, pass_starts *pass,
                             guint open_count) {
-    hs_service_capacity room = hs_fleet_engines_capacity(owner->settings.engines, entry->service);
-    pass_count *count = get_pass_count(owner, entry->service, &room, pass);
+    hs_service_capacity capacity =
+        hs_fleet_engines_capacity(owner->settings.engines, entry->service);
+    pass_count *count = get_pass_count(owner, entry->service, &capacity, pass);
     if (count->is_full)
         return false;
-    if (count->started >= get_max_starts(owner, entry, &room, pass)) {
+    if (count->started >= get_max_starts(owner, entry, &capacity, pass)) {
         count->is_full = true;
         return false;
     }
     count->started++;
-    log_start(entry, &room, hs_job_starts_for_service(owner, entry->service), open_count);
+    log_start(entry, &capacity, hs_job_starts_for_service(owner, entry->service), open_count);
     return true;
 }
 
--- a/src/jobs/job_starts.c
+++ b/src/jobs/job_starts.c
@@ -22,19 +22,19 @@
     if (item->is_send_recorded)
         return;
     item->is_send_recorded = true;
-    hs_start_throttle_record(&starts->sends, has_succeeded);
+    hs_start_throttle_record(&starts->start_throttle, has_succeeded);
 }
 
 /** Records once for each start that the item ran for at least HS_MIN_USEFUL_RUN_MS. */
 static void record_useful_run(hs_service_starts *starts, hs_owned_item *item) {
     if (!item->is_useful_run_recorded)
-        hs_start_throttle_record(&starts->pieces, true);
+        hs_start_throttle_record(&starts->useful_run_throttle, true);
     item->is_useful_run_recorded = true;
 }
 
-void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_task *order,
+void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_task *task,
                             hs_item_attempt_end end) {
-    hs_owned_item *item = order->item;
+    hs_owned_item *item = task->item;
     uint64_t ran_ms = hs_clock_monotonic_ms() - item->started_ms;
     bool is_preempted = end == HS_ITEM_ATTEMPT_PREEMPTED && item->run->was_sent;
     bool is_rejected =
@@ -42,13 +42,13 @@
     owner->rejected_starts += is_rejected;
     owner->early_preemptions += is_preempted && ran_ms < HS_MIN_USEFUL_RUN_MS;
     owner->late_preemptions += is_preempted && ran_ms >= HS_MIN_USEFUL_RUN_MS;
-    if (order->service == NULL)
+    if (task->service == NULL)
         return;
-    hs_service_starts *starts = hs_job_starts_for_service(owner, order->service);
+    hs_service_starts *starts = hs_job_starts_for_service(owner, task->service);
     if (is_rejected)
         record_send(starts, item, false);
     if (is_preempted) /* Counts even after a long run: the engines are filling up. */
-        hs_start_throttle_record(&starts->pieces, false);
+        hs_start_throttle_record(&starts->useful_run_throttle, false);
 }
 
 /** Records the starts of running items as successful once they have run for long enough. */
@@ -87,7 +87,8 @@
                                "heathsail_job_starts_tried_share{service=\"%s\"} %.2f\n",
                                (const char *)service, starts->expected_online,
                                (const char *)service, starts->outlook.current,
-                               (const char *)service, 1 - starts->pieces.held_back);
+                               (const char *)service,
+                               1 - starts->useful_run_throttle.withheld_share);
     }
     g_mutex_unlock(&owner->lock);
 }
--- a/src/jobs/job_starts.h
+++ b/src/jobs/job_starts.h
@@ -21,7 +21,6 @@
 void hs_job_starts_observe(hs_job_owner *owner, const GArray *open);
 
 /** Records what the end of an attempt shows about its start. */
-void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_task *order,
-                            hs_item_attempt_end end);
+void hs_job_starts_note_end(hs_job_owner *owner, const hs_item_task *task, hs_item_attempt_end end);
 
 #endif
--- a/src/jobs/job_submission.c
+++ b/src/jobs/job_submission.c
@@ -178,15 +178,15 @@
 /** Checks the route's limit, stores the job and replies. */
 static void admit_job(hs_job_service *service, const submission *job,
                       const hs_fleet_config *config) {
-    hs_quota_request claim = {.job_id = job->terms->request_id,
-                              .partition = hs_job_partition_number(job->partition),
-                              .tokens = count_tokens(job->items),
-                              .config = config,
-                              .route = job->route,
-                              .tenant = job->tenant,
-                              .deadline = job->refusal_deadline};
+    hs_quota_request quota_request = {.job_id = job->terms->request_id,
+                                      .partition = hs_job_partition_number(job->partition),
+                                      .tokens = count_tokens(job->items),
+                                      .config = config,
+                                      .route = job->route,
+                                      .tenant = job->tenant,
+                                      .deadline = job->refusal_deadline};
     hs_quota_decision account;
-    hs_quota_verdict verdict = hs_job_quota_reserve(service->quota, &claim, &account);
+    hs_quota_verdict verdict = hs_job_quota_reserve(service->quota, &quota_request, &account);
     uint32_t status = verdict == HS_QUOTA_FITS ? store_job(job) : get_refusal_status(job, verdict);
     const char *text = status == 202 ? "" : "the job was not taken by this answer\n";
     if (status == 429)
--- a/src/jobs/job_worker.c
+++ b/src/jobs/job_worker.c
@@ -62,7 +62,7 @@
 static bool conclude_item(const hs_item_task *task, hs_item_outcome outcome) {
     GString *text =
         outcome == HS_ITEM_COMPLETED ? hs_item_run_text(task->item->run) : g_string_new(NULL);
-    hs_store_outcome stored = store_result(task->owned, task->item, outcome, text);
+    hs_store_outcome stored = store_result(task->partition, task->item, outcome, text);
     hs_log_info("item_listed", "job=%s item=%s outcome=%s engine=%s tries=%u stored=%s bytes=%zu",
                 task->item->run->job_id, task->item->run->item_id,
                 outcome == HS_ITEM_COMPLETED ? "completed" : "dead",
@@ -92,7 +92,7 @@
 /** Stores the progress of an unfinished item, so that the next owner resumes it. */
 static void hand_over(const hs_item_task *task) {
     hs_item_run *run = task->item->run;
-    hs_job_partition *partition = task->owned->partition;
+    hs_job_partition *partition = task->partition->partition;
     if (run->events.event_count == 0)
         return;
     hs_job_progress progress = hs_item_run_progress(run, 0);
@@ -105,7 +105,7 @@
             hs_job_partition_append_deadline(partition, attempt++, records->len, UINT64_MAX);
         if (is_framed)
             stored = hs_job_partition_append_framed(partition, records, deadline);
-    } while (wait_to_store_again(task->owned, stored));
+    } while (wait_to_store_again(task->partition, stored));
     hs_log_info("item_handed_over", "job=%s item=%s last_event=%" G_GUINT64_FORMAT " stored=%s",
                 run->job_id, run->item_id, (guint64)run->events.last_id,
                 hs_store_outcome_name(stored));
@@ -133,7 +133,7 @@
     } else if (task->is_expired) {
         listed = conclude_item(task, HS_ITEM_DEAD);
     } else if (config != NULL) {
-        hs_item_attempt_terms terms = {.partition = task->owned->partition,
+        hs_item_attempt_terms terms = {.partition = task->partition->partition,
                                        .engines = owner->settings.engines,
                                        .config = config,
                                        .rank_ms = task->rank_ms,
@@ -143,7 +143,7 @@
         listed = handle_attempt_end(task, end);
     }
     hs_fleet_config_unref(config);
-    if (!listed && end != HS_ITEM_ATTEMPT_DONE && is_owner_changing(owner, task->owned))
+    if (!listed && end != HS_ITEM_ATTEMPT_DONE && is_owner_changing(owner, task->partition))
         hand_over(task);
     g_mutex_lock(&owner->lock);
     if (end == HS_ITEM_ATTEMPT_DONE)
@@ -161,9 +161,9 @@
         pause_ms = QUARANTINED_PAUSE_MS;
     item->next_attempt_ms = hs_clock_monotonic_ms() + pause_ms;
     owner->running--;
-    if (!task->owned->is_owned || end == HS_ITEM_ATTEMPT_ABANDONED) {
+    if (!task->partition->is_owned || end == HS_ITEM_ATTEMPT_ABANDONED) {
         g_autofree char *key = g_strdup_printf("%s/%u", item->run->job_id, item->run->index);
-        g_hash_table_remove(task->owned->items, key);
+        g_hash_table_remove(task->partition->items, key);
     }
     g_cond_broadcast(&owner->changed);
     g_mutex_unlock(&owner->lock);
--- a/src/jobs/start_pace.c
+++ b/src/jobs/start_pace.c
@@ -20,14 +20,14 @@
 
 /** Adapts the share of the capacity that is used to the results since the last pass. */
 static void update_share(hs_start_throttle *throttle, double free_slots) {
-    double share = 1 - throttle->held_back;
+    double share = 1 - throttle->withheld_share;
     if (throttle->failed > throttle->succeeded) {
         share = fmax(share / 2, MIN_STARTED_SHARE);
         throttle->failure_free_slots = free_slots;
     } else if (throttle->succeeded > 0) {
         share = share * GROWTH_FACTOR;
     }
-    throttle->held_back = 1 - fmin(share, 1);
+    throttle->withheld_share = 1 - fmin(share, 1);
     throttle->succeeded = 0;
     throttle->failed = 0;
 }
@@ -35,14 +35,14 @@
 uint32_t hs_start_throttle_begin_pass(hs_start_throttle *throttle, uint32_t capacity,
                                       double free_slots) {
     update_share(throttle, free_slots);
-    if (throttle->held_back > 0 &&
+    if (throttle->withheld_share > 0 &&
         free_slots > throttle->failure_free_slots * MORE_CAPACITY_FACTOR + 1)
-        throttle->held_back = 0;
-    if (throttle->held_back <= 0 || capacity == 0) {
+        throttle->withheld_share = 0;
+    if (throttle->withheld_share <= 0 || capacity == 0) {
         throttle->fractional_starts = 0;
         return capacity;
     }
-    double starts = fmax(capacity * (1 - throttle->held_back), MIN_STARTS_PER_PASS);
+    double starts = fmax(capacity * (1 - throttle->withheld_share), MIN_STARTS_PER_PASS);
     throttle->fractional_starts = fmin(throttle->fractional_starts, 1) + starts;
     uint32_t allowed = MIN((uint32_t)throttle->fractional_starts, capacity);
     throttle->fractional_starts -= allowed;
--- a/src/jobs/start_pace.h
+++ b/src/jobs/start_pace.h
@@ -17,7 +17,7 @@
 
 /** State of one throttle; zero-initialise. */
 typedef struct {
-    double held_back;          /**< Share of the capacity that is not used: 0 to below 1. */
+    double withheld_share;     /**< Share of the capacity that is not used: 0 to below 1. */
     double fractional_starts;  /**< Fraction of a start carried over from earlier passes. */
     double failure_free_slots; /**< Estimated free slots of the service at the last failure. */
     uint32_t succeeded;        /**< Starts that succeeded since the last pass. */
--- a/src/online/online_attempts.c
+++ b/src/online/online_attempts.c
@@ -29,9 +29,9 @@
     return hs_clock_monotonic_ms() - request->inbound->received_ms;
 }
 
-static hs_attempt_parameters make_order(const hs_online_request *request) {
+static hs_attempt_parameters make_parameters(const hs_online_request *request) {
     const hs_inbound *inbound = request->inbound;
-    hs_attempt_parameters order = {
+    hs_attempt_parameters parameters = {
         .query = {.service = request->service,
                   .tenant = request->tenant,
                   .size = request->terms.size.prompt_tokens > 0 ? &request->terms.size : NULL,
@@ -50,26 +50,27 @@
         .wait = {.deadline = request->deadline, .watched = inbound->descriptor},
         .refuse_if_late = request->run == HS_RUN_NOT_EXECUTED,
     };
-    order.query.has_wait_limit = request->run == HS_RUN_NOT_EXECUTED;
-    order.query.max_start_wait_ms = hs_engine_choice_start_limit_ms(
+    parameters.query.has_wait_limit = request->run == HS_RUN_NOT_EXECUTED;
+    parameters.query.max_start_wait_ms = hs_engine_choice_start_limit_ms(
         request->route->target_latency_ms, request->age_ms + waited_ms(request),
         request->is_less_urgent);
     if (request->admission.verdict != HS_ADMISSION_OPEN)
-        order.query.max_start_wait_ms =
-            MIN(order.query.max_start_wait_ms, request->admission.begin_ms);
+        parameters.query.max_start_wait_ms =
+            MIN(parameters.query.max_start_wait_ms, request->admission.begin_ms);
     if (request->events.has_last_id) {
-        order.request.resumes = true;
-        order.request.last_event = request->events.last_id;
+        parameters.request.resumes = true;
+        parameters.request.last_event = request->events.last_id;
     }
-    order.fresh = request->lost_connection;
-    order.may_repeat =
+    parameters.needs_new_connection = request->lost_connection;
+    parameters.may_repeat =
         hs_online_may_repeat(request) && request->runs + 1 < request->route->max_attempts;
-    if (order.may_repeat) {
-        order.head_timeout_ms = MAX(HS_ONLINE_MIN_SILENCE_MS,
-                                    SILENCE_TARGET_FACTOR * request->route->target_latency_ms);
-        order.reused_head_timeout_ms = request->route->target_latency_ms / REUSED_SILENCE_DIVISOR;
+    if (parameters.may_repeat) {
+        parameters.head_timeout_ms = MAX(HS_ONLINE_MIN_SILENCE_MS,
+                                         SILENCE_TARGET_FACTOR * request->route->target_latency_ms);
+        parameters.reused_head_timeout_ms =
+            request->route->target_latency_ms / REUSED_SILENCE_DIVISOR;
     }
-    return order;
+    return parameters;
 }
 
 static void exclude_engine(hs_online_request *request) {
@@ -222,9 +223,9 @@
             action = handle_no_engine(request, reason);
             continue;
         }
-        hs_attempt_parameters order = make_order(request);
-        bool has_head = hs_attempt_start(request->online->engines, &order, &request->attempt);
-        if (request->attempt.prospect.will_miss_deadline) {
+        hs_attempt_parameters parameters = make_parameters(request);
+        bool has_head = hs_attempt_start(request->online->engines, &parameters, &request->attempt);
+        if (request->attempt.lease_estimate.will_miss_deadline) {
             hs_online_refuse_unsent(request, reason);
             return false;
         }
@@ -240,7 +241,7 @@
         hs_attempt_end end = classify_failure(request);
         if (has_head) {
             hs_client_connection_read_all(request->attempt.connection, HS_ONLINE_MAX_ANSWER_BYTES,
-                                          &order.wait);
+                                          &parameters.wait);
             end =
                 request->attempt.answer.wrong_engine ? HS_ATTEMPT_WRONG_ENGINE : HS_ATTEMPT_REFUSED;
         }
--- a/src/online/online_refusal.c
+++ b/src/online/online_refusal.c
@@ -23,13 +23,13 @@
         request->request_id, request->service, hs_refusal_verdict_name(choice->verdict),
         (guint64)choice->expected_ms, (guint64)view->left_ms, (guint64)view->waited_ms,
         (guint64)request->age_ms, (guint64)view->drain_ms, view->may_have_run, service->is_known,
-        service->engines, service->sound, service->slots, service->running, service->waiting,
-        service->run_ms, (guint64)service->min_first_byte_ms, (guint64)service->return_ms,
+        service->engines, service->healthy, service->slots, service->running, service->waiting,
+        service->run_ms, (guint64)service->min_first_byte_ms, (guint64)service->next_probe_in_ms,
         (guint64)service->absent_ms, (guint64)service->last_absence_ms,
         (guint64)service->listed_age_ms, hs_admission_verdict_name(request->admission.verdict),
         request->admitted_by.pressure.wait_ms, (guint64)request->admitted_by.head_waited_ms,
         (guint64)request->admitted_by.ahead_waited_ms, request->used_slots,
-        request->admitted_by.pressure.heard, request->admitted_by.pressure.free_share,
+        request->admitted_by.pressure.reported, request->admitted_by.pressure.free_share,
         request->admitted_by.pressure.age_ms, request->tries);
 }
 
@@ -123,18 +123,18 @@
 
 void hs_online_refuse_unsent(hs_online_request *request, hs_end_reason *reason) {
     const hs_attempt *attempt = &request->attempt;
-    const hs_lease_estimate *prospect = &attempt->prospect;
+    const hs_lease_estimate *estimate = &attempt->lease_estimate;
     uint64_t now_ms = hs_clock_monotonic_ms();
-    request->retry_after_ms = (uint64_t)prospect->wait_ms;
+    request->retry_after_ms = (uint64_t)estimate->wait_ms;
     *reason = HS_END_FULL;
     hs_log_info(
         "request_not_sent",
         "request=%s service=%s engine=%s wait_ms=%.0f need_ms=%.0f left_ms=%" G_GINT64_FORMAT
         " online=%.1f slots=%u queued_tokens=%.0f pace=%.2f sends=%u "
         "listed_age_ms=%" G_GUINT64_FORMAT,
-        request->request_id, request->service, attempt->engine_id, prospect->wait_ms,
-        prospect->min_first_byte_ms, (gint64)request->deadline - (gint64)now_ms, prospect->online,
-        prospect->slots, prospect->queued_tokens, prospect->pace, request->sends,
+        request->request_id, request->service, attempt->engine_id, estimate->wait_ms,
+        estimate->min_first_byte_ms, (gint64)request->deadline - (gint64)now_ms, estimate->online,
+        estimate->slots, estimate->queued_tokens, estimate->pace, request->sends,
         (guint64)attempt->reasons.listed_age_ms);
 }
 
--- a/src/online/online_request.h
+++ b/src/online/online_request.h
@@ -70,7 +70,7 @@
     hs_caller_ages *ages;
     hs_held_requests *held;
     hs_read_ahead *read_ahead; /**< NULL: nothing is read ahead. */
-    hs_fair_shares *levels;
+    hs_fair_shares *fair_shares;
     /** Max age of the list of valid keys; 0: no limit. With a limit, streams of a key that is
      * removed are ended. */
     uint64_t max_key_age_ms;
--- a/src/online/online_share.c
+++ b/src/online/online_share.c
@@ -23,7 +23,7 @@
         "engines=%u heard=%u free_share=%.3f wait_ms=%.0f return_ms=%" G_GUINT64_FORMAT
         " age_ms=%" G_GUINT64_FORMAT " told_ago_ms=%" G_GUINT64_FORMAT " pressure_age_ms=%.0f",
         request->request_id, request->tenant, request->service, request->used_slots,
-        verdict->share_slots, pressure->slots, pressure->engines, pressure->heard,
+        verdict->share_slots, pressure->slots, pressure->engines, pressure->reported,
         pressure->free_share, pressure->wait_ms, (guint64)verdict->retry_after_ms,
         (guint64)request->age_ms,
         (guint64)(hs_clock_monotonic_ms() - request->inbound->received_ms), pressure->age_ms);
@@ -43,7 +43,7 @@
                                            .sample = sample_of(request),
                                            .was_refused = request->age_ms > 0};
     hs_fair_share_verdict verdict =
-        hs_fair_shares_decide(request->online->levels, &share_request, &pressure,
+        hs_fair_shares_decide(request->online->fair_shares, &share_request, &pressure,
                               (uint32_t)pressure.slots, hs_clock_monotonic_ms());
     if (!verdict.is_over)
         return false;
--- a/src/online/refusal_choice.c
+++ b/src/online/refusal_choice.c
@@ -33,9 +33,9 @@
         choice.verdict = HS_REFUSAL_NO_ENGINE;
         choice.expected_ms =
             hs_retry_after_absence_ms(service->absent_ms, service->last_absence_ms);
-    } else if (service->sound == 0) {
+    } else if (service->healthy == 0) {
         choice.verdict = HS_REFUSAL_SUSPECTED;
-        choice.expected_ms = service->return_ms;
+        choice.expected_ms = service->next_probe_in_ms;
     } else {
         choice.expected_ms = MAX((uint64_t)slot_wait_ms(service), view->drain_ms);
     }
@@ -47,7 +47,7 @@
     const hs_service_outlook *service = &view->service;
     if (service->is_known && service->engines == 0)
         return true;
-    if (service->sound > 0 && has_ample_slots(service))
+    if (service->healthy > 0 && has_ample_slots(service))
         return false;
     return choice->expected_ms + service->min_first_byte_ms > view->left_ms;
 }
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -164,7 +164,7 @@
     g_autofree char *slot_use =
         hs_tenant_limiter_describe_slot_use(hs_daemon_directory_limiter(sources->members));
     g_string_append(text, slot_use);
-    g_autofree char *fair_shares = hs_fair_shares_describe(online->levels);
+    g_autofree char *fair_shares = hs_fair_shares_describe(online->fair_shares);
     g_string_append(text, fair_shares);
     write_entries(text, sources->engine_source);
     write_job_reads(text, sources->jobs);
@@ -182,7 +182,7 @@
     g_autofree char *crashes =
         hs_crash_watch_describe(hs_fleet_engines_crash_watch(online->engines));
     g_string_append(text, crashes);
-    g_autofree char *wakes = hs_stall_detector_describe(sources->wakes);
-    g_string_append(text, wakes);
+    g_autofree char *stalls = hs_stall_detector_describe(sources->stall_detector);
+    g_string_append(text, stalls);
     return g_string_free(text, FALSE);
 }
--- a/src/surface/fleet_metrics.h
+++ b/src/surface/fleet_metrics.h
@@ -23,7 +23,7 @@
     hs_daemon_directory *members;
     hs_engine_source *engine_source;
     hs_reload_counts *reloads;
-    hs_stall_detector *wakes;
+    hs_stall_detector *stall_detector;
     uint32_t open_requests;
 } hs_fleet_metrics_sources;
 
--- a/src/surface/fleet_surface.c
+++ b/src/surface/fleet_surface.c
@@ -130,9 +130,9 @@
         "request=%s tenant=%s rate_per_s=%.1f burst=%.1f version=%" G_GUINT64_FORMAT
         " decided_by=%s part=%.3f return_ms=%" G_GUINT64_FORMAT " waited_ms=%" G_GUINT64_FORMAT,
         terms->request_id != NULL ? terms->request_id : "-", tenant->name, tenant->rate_per_s,
-        tenant->burst, (guint64)config->version, hs_limit_decider_name(decider), verdict.part,
-        (guint64)verdict.return_ms, (guint64)(hs_clock_monotonic_ms() - inbound->received_ms));
-    hs_online_refuse(surface->settings.online, inbound, HS_END_OVER_LIMIT, verdict.return_ms);
+        tenant->burst, (guint64)config->version, hs_limit_decider_name(decider), verdict.allowance,
+        (guint64)verdict.retry_after_ms, (guint64)(hs_clock_monotonic_ms() - inbound->received_ms));
+    hs_online_refuse(surface->settings.online, inbound, HS_END_OVER_LIMIT, verdict.retry_after_ms);
     return false;
 }
 
@@ -301,7 +301,7 @@
                                         .members = surface->settings.members,
                                         .engine_source = surface->settings.engine_source,
                                         .reloads = surface->settings.reloads,
-                                        .wakes = surface->settings.wakes,
+                                        .stall_detector = surface->settings.stall_detector,
                                         .open_requests =
                                             hs_fleet_surface_open_request_count(surface)};
     g_autofree char *text = hs_fleet_metrics_write(&sources);
--- a/src/surface/fleet_surface.h
+++ b/src/surface/fleet_surface.h
@@ -30,7 +30,7 @@
     hs_engine_source *engine_source; /**< For metrics. */
     hs_store_client *store;
     hs_reload_counts *reloads;
-    hs_stall_detector *wakes;
+    hs_stall_detector *stall_detector;
     bool (*can_serve)(void *user_data); /**< Returns whether the daemon can serve requests. */
     void *user_data;
 } hs_fleet_surface_settings;
--- a/src/tenants/limit_book.c
+++ b/src/tenants/limit_book.c
@@ -75,10 +75,10 @@
                                      uint64_t now_ms) {
     tenant_entry *entry = find_or_add_entry(book, request, now_ms);
     hs_rate_limit limit = scale_limit(&entry->limit, entry->allowance);
-    hs_limit_verdict verdict = {.part = entry->allowance,
+    hs_limit_verdict verdict = {.allowance = entry->allowance,
                                 .passes = hs_rate_bucket_take(&entry->bucket, &limit, now_ms)};
     if (!verdict.passes)
-        verdict.return_ms = hs_rate_bucket_schedule_return(&entry->bucket, &limit, now_ms);
+        verdict.retry_after_ms = hs_rate_bucket_schedule_return(&entry->bucket, &limit, now_ms);
     return verdict;
 }
 
--- a/src/tenants/limit_book.h
+++ b/src/tenants/limit_book.h
@@ -42,8 +42,8 @@
 
 typedef struct {
     bool passes;
-    uint64_t return_ms; /**< If refused: time from now after which the caller should retry. */
-    double part;        /**< The deciding daemon's allowance, as a fraction of the limit. */
+    uint64_t retry_after_ms; /**< If refused: time from now after which the caller should retry. */
+    double allowance;        /**< The deciding daemon's allowance, as a fraction of the limit. */
     /** Engine slots recently requested by the tenant, as known to the deciding daemon; not set by
      * this module. 0: unknown. */
     double used_slots;
--- a/tests/unit/test_admission.c
+++ b/tests/unit/test_admission.c
@@ -190,7 +190,7 @@
     hs_refusal_view view = {
         .service = {.is_known = true,
                     .engines = ENGINES,
-                    .sound = ENGINES,
+                    .healthy = ENGINES,
                     .slots = ENGINES * SLOTS,
                     .run_ms = RUN_MS,
                     .min_first_byte_ms = NEED_MS},
@@ -414,18 +414,18 @@
 }
 
 /** Ten engines with 8 slots and runs of 800 ms: a slot becomes free every 10 ms. */
-static hs_service_pressure ten_engines(double online, uint64_t age_ms, size_t heard) {
+static hs_service_pressure ten_engines(double online, uint64_t age_ms, size_t reported) {
     hs_pressure_sample samples[10];
     for (size_t index = 0; index < G_N_ELEMENTS(samples); index++)
         samples[index] = (hs_pressure_sample){
-            .slots = 8, .online = online, .age_ms = index < heard ? age_ms : UINT64_MAX};
+            .slots = 8, .online = online, .age_ms = index < reported ? age_ms : UINT64_MAX};
     return hs_service_pressure_make(samples, G_N_ELEMENTS(samples), 800);
 }
 
 static void pressure_counts_running_and_waiting_requests(void) {
     hs_service_pressure pressure = ten_engines(8, 100, 10);
     CU_ASSERT_TRUE(pressure.is_short);
-    CU_ASSERT_EQUAL(pressure.heard, 10);
+    CU_ASSERT_EQUAL(pressure.reported, 10);
     CU_ASSERT_DOUBLE_EQUAL(pressure.free_share, 0, 1e-9);
     CU_ASSERT_DOUBLE_EQUAL(pressure.slot_free_interval_ms, 10, 1e-9);
     CU_ASSERT_DOUBLE_EQUAL(pressure.wait_ms, 10, 1e-9);
@@ -448,7 +448,7 @@
     CU_ASSERT_DOUBLE_EQUAL(ten_engines(20, 100, 4).wait_ms, 0, 1e-9);
     CU_ASSERT_TRUE(ten_engines(20, 100, 5).is_short);
     hs_service_pressure none = ten_engines(20, 100, 0);
-    CU_ASSERT_EQUAL(none.heard, 0);
+    CU_ASSERT_EQUAL(none.reported, 0);
     CU_ASSERT_DOUBLE_EQUAL(none.free_share, 1, 1e-9);
     CU_ASSERT_DOUBLE_EQUAL(none.wait_ms, 0, 1e-9);
     CU_ASSERT_FALSE(hs_service_pressure_make(NULL, 0, 0).is_short);
@@ -476,7 +476,7 @@
 
 static hs_admission_view short_view(double wait_ms) {
     return (hs_admission_view){
-        .pressure = {.engines = 10, .heard = 10, .wait_ms = wait_ms, .is_short = true},
+        .pressure = {.engines = 10, .reported = 10, .wait_ms = wait_ms, .is_short = true},
         .min_first_byte_ms = 40,
         .target_ms = 300};
 }
--- a/tests/unit/test_attempt.c
+++ b/tests/unit/test_attempt.c
@@ -439,7 +439,7 @@
     test.parameters.wait.deadline = hs_clock_monotonic_ms() + 20;
     CU_ASSERT_FALSE(hs_attempt_start(test.engines, &test.parameters, &attempt));
     CU_ASSERT_PTR_NULL(attempt.lease);
-    CU_ASSERT_TRUE(attempt.prospect.will_miss_deadline);
+    CU_ASSERT_TRUE(attempt.lease_estimate.will_miss_deadline);
     CU_ASSERT_EQUAL(attempt.run, HS_RUN_NOT_EXECUTED);
     CU_ASSERT_EQUAL(scripted_peer_requests(test.peer), before);
     CU_ASSERT_EQUAL(hs_fleet_engines_capacity(test.engines, "svc").online, 0);
--- a/tests/unit/test_entries.c
+++ b/tests/unit/test_entries.c
@@ -97,14 +97,14 @@
     uint64_t hash_before = first_engine_hash(engines);
     hs_engine_load_report failing = {.engine_hash = hash_before, .online = 40, .is_failing = true};
     hs_fleet_engines_put_report(engines, &failing);
-    CU_ASSERT_EQUAL(hs_fleet_engines_outlook(engines, "svc").sound, 0);
+    CU_ASSERT_EQUAL(hs_fleet_engines_outlook(engines, "svc").healthy, 0);
     put(engines, "e", 2000);
     hs_service_outlook outlook = hs_fleet_engines_outlook(engines, "svc");
     CU_ASSERT_EQUAL(outlook.engines, 1);
-    CU_ASSERT_EQUAL(outlook.sound, 1);
+    CU_ASSERT_EQUAL(outlook.healthy, 1);
     CU_ASSERT_DOUBLE_EQUAL(outlook.running, 0, 1e-9);
     hs_fleet_engines_put_report(engines, &failing); /* A late report on the earlier start. */
-    CU_ASSERT_EQUAL(hs_fleet_engines_outlook(engines, "svc").sound, 1);
+    CU_ASSERT_EQUAL(hs_fleet_engines_outlook(engines, "svc").healthy, 1);
     hs_engine_lease *after = take_online(engines);
     CU_ASSERT_PTR_NOT_NULL_FATAL(after);
     CU_ASSERT_NOT_EQUAL(first_engine_hash(engines), hash_before);
--- a/tests/unit/test_forecast.c
+++ b/tests/unit/test_forecast.c
@@ -214,8 +214,8 @@
             (hs_choice_item){.left_ms = (int64_t)open[index]->deadline_ms - (int64_t)now_ms,
                              .remaining_ms = (uint64_t)fmax(open[index]->work_left_ms, 1)};
     hs_demand_outlook outlook = hs_demand_forecast_read(&state->forecast);
-    double level = fmax(state->terms->slots - outlook.mean, 1) * 0.9;
-    bool is_scarce = hs_item_choice_is_capacity_scarce(choice, count, level);
+    double usable_slots = fmax(state->terms->slots - outlook.mean, 1) * 0.9;
+    bool is_scarce = hs_item_choice_is_capacity_scarce(choice, count, usable_slots);
     for (size_t index = 0; index < count; index++) {
         simulated_item *item = open[index];
         double reserved = is_scarce ? state->online : expected(state, &outlook, item->work_left_ms);
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -126,7 +126,7 @@
                 .tenant = "a", .limit = cases[index].limit, .version = 1, .reach = all_reached};
             hs_limit_verdict verdict = hs_limit_book_check(book, &request, now_ms);
             passed += verdict.passes;
-            CU_ASSERT(verdict.passes || verdict.return_ms <= HS_MAX_RATE_RETRY_AFTER_MS);
+            CU_ASSERT(verdict.passes || verdict.retry_after_ms <= HS_MAX_RATE_RETRY_AFTER_MS);
         }
         CU_ASSERT(passed <= cases[index].max_passed);
         hs_limit_book_free(book);
@@ -140,8 +140,8 @@
     for (int caller = 0; caller < 20; caller++) {
         hs_limit_verdict verdict = ask(book, "a", all_reached, 60000);
         CU_ASSERT_FALSE(verdict.passes);
-        CU_ASSERT(caller == 0 || verdict.return_ms >= previous_ms + 99);
-        previous_ms = verdict.return_ms;
+        CU_ASSERT(caller == 0 || verdict.retry_after_ms >= previous_ms + 99);
+        previous_ms = verdict.retry_after_ms;
     }
     CU_ASSERT(previous_ms >= 1900 && previous_ms <= 2100);
     hs_limit_book_free(book);
--- a/tests/unit/test_pace.c
+++ b/tests/unit/test_pace.c
@@ -79,7 +79,8 @@
     CU_ASSERT_EQUAL(pace.slowdown_percent, 250);
     hs_engine_pace before = pace;
     hs_engine_pace_note_slowdown(&pace, 250, 145, 1050); /* The same report from another daemon. */
-    CU_ASSERT(pace.told_ms == before.told_ms && pace.report_count == before.report_count);
+    CU_ASSERT(pace.reported_at_ms == before.reported_at_ms &&
+              pace.report_count == before.report_count);
     CU_ASSERT(pace.mean_excess == before.mean_excess && pace.outlier_ms == before.outlier_ms);
 }
 
--- a/tests/unit/test_refusal.c
+++ b/tests/unit/test_refusal.c
@@ -13,7 +13,7 @@
 static hs_refusal_view full_view(void) {
     return (hs_refusal_view){.service = {.is_known = true,
                                          .engines = 2,
-                                         .sound = 2,
+                                         .healthy = 2,
                                          .slots = 10,
                                          .running = 12,
                                          .waiting = 2,
@@ -83,7 +83,7 @@
 
 static void a_service_without_engines_refuses_at_once(void) {
     hs_refusal_view view = full_view();
-    view.service.engines = view.service.sound = view.service.slots = 0;
+    view.service.engines = view.service.healthy = view.service.slots = 0;
     view.service.absent_ms = 400;
     view.service.last_absence_ms = 1000;
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_NO_ENGINE);
@@ -103,8 +103,8 @@
 
 static void requests_wait_for_failed_engines_to_return(void) {
     hs_refusal_view view = full_view();
-    view.service.sound = 0;
-    view.service.return_ms = 1600;
+    view.service.healthy = 0;
+    view.service.next_probe_in_ms = 1600;
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_HOLD);
     view.left_ms = 1500;
     CU_ASSERT_EQUAL(verdict_of(&view), HS_REFUSAL_SUSPECTED);
@@ -222,8 +222,8 @@
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_DROPPED);
     hs_engine_lease_release(leases[0], NULL, HS_ATTEMPT_UNREACHABLE);
     hs_service_outlook failing = hs_fleet_engines_outlook(engines, "svc");
-    CU_ASSERT_EQUAL(failing.sound, 0);
-    CU_ASSERT(failing.return_ms > 0);
+    CU_ASSERT_EQUAL(failing.healthy, 0);
+    CU_ASSERT(failing.next_probe_in_ms > 0);
     hs_fleet_engines_free(engines);
 }
 
@@ -251,7 +251,7 @@
     CU_ASSERT_EQUAL(free_slots, 2);
     hs_clock_sleep_ms(30);
     hs_service_pressure pressure = hs_fleet_engines_pressure(engines, "svc");
-    CU_ASSERT_EQUAL(pressure.heard, 2);
+    CU_ASSERT_EQUAL(pressure.reported, 2);
     CU_ASSERT_TRUE(pressure.is_short);
     CU_ASSERT_DOUBLE_EQUAL(pressure.wait_ms, 2 * 300.0 / 8, 1e-9);
     CU_ASSERT_TRUE(hs_fleet_engines_outlook(engines, "svc").pressure.is_short);
@@ -269,7 +269,7 @@
         view.left_ms = left_ms;
         hs_refusal_choice before = hs_refusal_choose(&view);
         view.service.pressure =
-            (hs_service_pressure){.engines = 2, .heard = 2, .is_short = true, .wait_ms = 9000};
+            (hs_service_pressure){.engines = 2, .reported = 2, .is_short = true, .wait_ms = 9000};
         hs_refusal_choice with = hs_refusal_choose(&view);
         CU_ASSERT_EQUAL(with.verdict, before.verdict);
         CU_ASSERT_EQUAL(with.expected_ms, before.expected_ms);
--- a/tests/unit/test_shares.c
+++ b/tests/unit/test_shares.c
@@ -19,9 +19,9 @@
 
 static void report_use(hs_tenant_uses *uses, const char *daemon, uint64_t incarnation,
                        uint64_t used_ms, uint64_t now_ms) {
-    hs_tenant_use_report word = {
+    hs_tenant_use_report report = {
         .tenant = "a", .daemon = daemon, .incarnation = incarnation, .used_ms = used_ms};
-    hs_tenant_uses_put_report(uses, &word, now_ms);
+    hs_tenant_uses_put_report(uses, &report, now_ms);
 }
 
 static void requests_count_with_their_expected_run_time(void) {
@@ -134,10 +134,11 @@
     char name[8];
     for (unsigned index = 1; index <= 5; index++) {
         g_snprintf(name, sizeof name, "t%u", index);
-        hs_tenant_use_report word = {.tenant = name, .daemon = "d", .incarnation = 1, .used_ms = 1};
-        hs_tenant_uses_put_report(uses, &word, 0);
-        word.used_ms += (uint64_t)index * HS_TENANT_USE_FAST_DECAY_MS;
-        hs_tenant_uses_put_report(uses, &word, 0);
+        hs_tenant_use_report report = {
+            .tenant = name, .daemon = "d", .incarnation = 1, .used_ms = 1};
+        hs_tenant_uses_put_report(uses, &report, 0);
+        report.used_ms += (uint64_t)index * HS_TENANT_USE_FAST_DECAY_MS;
+        hs_tenant_uses_put_report(uses, &report, 0);
     }
     hs_tenant_slot_use shares[2];
     double rest = 0;
@@ -406,13 +407,13 @@
 
 static void note_use(share_model *model, uint32_t daemon, uint32_t tenant) {
     const char *name = tenant_names[tenant];
-    hs_tenant_use_report word = {.tenant = name,
-                                 .daemon = daemon_names[daemon],
-                                 .incarnation = 1,
-                                 .used_ms = hs_tenant_use_encode_count(
-                                     hs_tenant_runs_requested_ms(model->runs[daemon], name))};
+    hs_tenant_use_report report = {.tenant = name,
+                                   .daemon = daemon_names[daemon],
+                                   .incarnation = 1,
+                                   .used_ms = hs_tenant_use_encode_count(
+                                       hs_tenant_runs_requested_ms(model->runs[daemon], name))};
     bool reaches_owner = daemon >= model->scenario->cut_off;
-    hs_tenant_uses_put_report(reaches_owner ? model->limit_owner : model->own[daemon], &word,
+    hs_tenant_uses_put_report(reaches_owner ? model->limit_owner : model->own[daemon], &report,
                               model->now_ms);
 }
 
