--- a/src/commands/online_request.c
+++ b/src/commands/online_request.c
@@ -157,17 +157,17 @@
     case HS_RUN_INVALID:
     case HS_RUN_ABORTED:
     case HS_RUN_CANCELLED:
-        return HS_ATTEMPT_COMPLETED;
+        return HS_ATTEMPT_VERDICT_COMPLETED;
     case HS_RUN_REFUSED:
         if (strcmp(result->code, "leaving") == 0)
-            return HS_ATTEMPT_LEAVING;
+            return HS_ATTEMPT_VERDICT_LEAVING;
         if (strcmp(result->code, "model_not_loaded") == 0)
-            return HS_ATTEMPT_NO_MODEL;
-        return HS_ATTEMPT_REFUSED;
+            return HS_ATTEMPT_VERDICT_NO_MODEL;
+        return HS_ATTEMPT_VERDICT_REFUSED;
     case HS_RUN_INTERRUPTED:
-        return HS_ATTEMPT_FAILED;
+        return HS_ATTEMPT_VERDICT_FAILED;
     }
-    return HS_ATTEMPT_FAILED;
+    return HS_ATTEMPT_VERDICT_FAILED;
 }
 
 /** Returns the body sent to the engine. Free with free. */
@@ -278,7 +278,7 @@
 typedef struct {
     char ids[MAX_EXCLUDED_ENGINES][64];
     const char *pointers[MAX_EXCLUDED_ENGINES];
-    hs_engine_query query;
+    hs_routing_query query;
 } excluded_engines;
 
 static void exclude_tried_engine(excluded_engines *excluded, const char *id) {
@@ -349,13 +349,14 @@
     bool sent = reachable && acquire_key(request, choice) && is_awaited(request);
     if (sent)
         result = run_attempt(request, choice);
-    hs_attempt_verdict verdict = reachable ? HS_ATTEMPT_COMPLETED : HS_ATTEMPT_FAILED;
+    hs_attempt_verdict verdict =
+        reachable ? HS_ATTEMPT_VERDICT_COMPLETED : HS_ATTEMPT_VERDICT_FAILED;
     hs_engine_table_finish(request->node->engines, choice->id, request->model,
                            sent ? get_attempt_verdict(&result) : verdict, hs_clock_monotonic_ms());
     hs_node_send_online_notice(request->node, choice->id);
     if (reachable && !sent)
         return false;
-    *model_missing = sent && get_attempt_verdict(&result) == HS_ATTEMPT_NO_MODEL;
+    *model_missing = sent && get_attempt_verdict(&result) == HS_ATTEMPT_VERDICT_NO_MODEL;
     return continue_after(request, &result);
 }
 
--- a/src/config/config_fold.h
+++ b/src/config/config_fold.h
@@ -1,7 +1,7 @@
 /**
  * @file config_fold.h
  * Folds the configuration stream into the current objects and decides which changes are accepted.
- * The fold is deterministic and does no I/O; the caller serializes access to it.
+ * The fold is deterministic and does no I/O; the caller serialises access to it.
  *
  * A change carries a base revision: the revision of the object for which the change was made. The
  * change is accepted if that is still the object's revision at the change's offset, and rejected
--- a/src/daemon/fleet_daemon.c
+++ b/src/daemon/fleet_daemon.c
@@ -285,7 +285,7 @@
     hs_daemon_directory_update(daemon->directory, settings->fleet_seeds, resolve_ttl_s(settings));
     hs_settings_free(daemon->reloaded);
     daemon->reloaded = settings;
-    g_atomic_int_inc(&daemon->reloads.taken);
+    g_atomic_int_inc(&daemon->reloads.applied);
 }
 
 void hs_fleet_daemon_report_failed_reload(hs_fleet_daemon *daemon, const char *cause,
--- a/src/daemon/listing.h
+++ b/src/daemon/listing.h
@@ -2,7 +2,7 @@
  * @file listing.h
  * Thread that polls the platform's machine list: engines go to the engine table, daemons are
  * proposed to membership. The thread also evicts idle replicas, renews the counts of open online
- * requests, applies peers' knowledge of leaving engines and synchronizes the configuration.
+ * requests, applies peers' knowledge of leaving engines and synchronises the configuration.
  */
 #ifndef HS_DAEMON_LISTING_H
 #define HS_DAEMON_LISTING_H
--- a/src/directory/caller_choice.c
+++ b/src/directory/caller_choice.c
@@ -37,7 +37,7 @@
         open = min_known(open, fmax(size->memory_mb - DAEMON_MEMORY_MB, 1) / REQUEST_MEMORY_MB);
     capacity = min_known(capacity, open / REQUEST_OPEN_S);
     capacity = min_known(capacity, size->link_kbps / REQUEST_KBITS);
-    double spare = 1 - MIN(size->taken_percent, 100U) / 100.0;
+    double spare = 1 - MIN(size->utilisation_percent, 100U) / 100.0;
     return capacity * fmax(spare, MIN_SPARE_SHARE);
 }
 
--- a/src/directory/crash_exchange.c
+++ b/src/directory/crash_exchange.c
@@ -57,16 +57,16 @@
 
 static void send_trial_query(uint64_t sequence, void *user_data) {
     const outgoing_trial_query *outgoing = user_data;
-    Hs__TrialAsk ask = HS__TRIAL_ASK__INIT;
+    Hs__TrialAsk body = HS__TRIAL_ASK__INIT;
     hs_crash_message evidence;
     hs_crash_codec_write(outgoing->query->evidence, hs_clock_monotonic_ms(), &evidence);
-    ask.sequence = sequence;
-    ask.content = outgoing->query->evidence->content;
-    ask.is_accepted = outgoing->query->is_accepted;
-    ask.evidence = &evidence.message;
+    body.sequence = sequence;
+    body.content = outgoing->query->evidence->content;
+    body.is_accepted = outgoing->query->is_accepted;
+    body.evidence = &evidence.message;
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_TRIAL_ASK;
-    message.trial_ask = &ask;
+    message.trial_ask = &body;
     hs_membership_service_send(outgoing->exchange->membership, outgoing->to.address,
                                outgoing->to.port, &message);
 }
@@ -156,21 +156,21 @@
 }
 
 /** Returns the evidence sent with a query. Earlier versions send none. */
-static hs_crash_evidence read_query_evidence(const Hs__TrialAsk *ask) {
-    if (ask->evidence == NULL || ask->evidence->content != ask->content)
-        return (hs_crash_evidence){.content = ask->content};
-    return hs_crash_codec_read(ask->evidence, hs_clock_monotonic_ms());
+static hs_crash_evidence read_query_evidence(const Hs__TrialAsk *body) {
+    if (body->evidence == NULL || body->evidence->content != body->content)
+        return (hs_crash_evidence){.content = body->content};
+    return hs_crash_codec_read(body->evidence, hs_clock_monotonic_ms());
 }
 
 static void answer_trial_query(hs_crash_exchange *exchange, const Hs__PeerMessage *request,
                                const struct sockaddr_in *from) {
-    const Hs__TrialAsk *ask = request->trial_ask;
-    hs_crash_evidence evidence = read_query_evidence(ask);
-    hs_trial_query query = {.evidence = &evidence, .is_accepted = ask->is_accepted};
+    const Hs__TrialAsk *body = request->trial_ask;
+    hs_crash_evidence evidence = read_query_evidence(body);
+    hs_trial_query query = {.evidence = &evidence, .is_accepted = body->is_accepted};
     hs_trial_verdict decided =
         hs_crash_watch_decide_trial(exchange->watch, &query, request->sender_id);
     Hs__TrialVerdict verdict = HS__TRIAL_VERDICT__INIT;
-    verdict.sequence = ask->sequence;
+    verdict.sequence = body->sequence;
     verdict.may_run = decided == HS_TRIAL_GRANTED;
     verdict.reason = decided;
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
--- a/src/directory/daemon_directory.c
+++ b/src/directory/daemon_directory.c
@@ -58,9 +58,9 @@
     gint resolve_ttl_s;
     uint64_t started_ms;
     uint64_t next_shares_ms;
-    guint next_peer;      /**< Index of the peer at which the next announcement starts. */
-    hs_machine_load load; /**< Used by the ticker's thread only. */
-    gint taken_percent;   /**< As last announced; atomic. */
+    guint next_peer;          /**< Index of the peer at which the next announcement starts. */
+    hs_machine_load load;     /**< Used by the ticker's thread only. */
+    gint utilisation_percent; /**< As last announced; atomic. */
     GMutex lock;
     hs_stop_wait pause;
     gint leaving;
@@ -216,7 +216,7 @@
 
 /**
  * Reads the list of daemons until a read succeeds or the daemon has joined. Tenants' limits depend
- * on the list from the first request on: without it the daemon lets only a small part of them pass.
+ * on the list from the first request on: without it the daemon admits only a small part of them.
  */
 static void read_registry_before_join(hs_daemon_directory *directory) {
     while (!read_registry(directory) && g_atomic_int_get(&directory->joined) == 0 &&
@@ -344,15 +344,15 @@
 /** Announces the utilisation of this machine if it has changed by a step. */
 static void announce_utilisation(hs_daemon_directory *directory, uint64_t now_ms) {
     directory->load.memory_percent = hs_memory_used_percent();
-    uint32_t utilisation = hs_machine_load_taken_percent(&directory->load, now_ms);
-    if ((gint)utilisation == g_atomic_int_get(&directory->taken_percent))
+    uint32_t utilisation = hs_machine_load_utilisation_percent(&directory->load, now_ms);
+    if ((gint)utilisation == g_atomic_int_get(&directory->utilisation_percent))
         return;
     hs_log_info("machine_load", "taken_percent=%u before=%d late_ms=%.1f memory_percent=%u",
-                utilisation, g_atomic_int_get(&directory->taken_percent), directory->load.delay_ms,
-                directory->load.memory_percent);
-    g_atomic_int_set(&directory->taken_percent, (gint)utilisation);
+                utilisation, g_atomic_int_get(&directory->utilisation_percent),
+                directory->load.delay_ms, directory->load.memory_percent);
+    g_atomic_int_set(&directory->utilisation_percent, (gint)utilisation);
     hs_membership *membership = hs_membership_service_lock(directory->membership);
-    hs_membership_set_taken_percent(membership, utilisation);
+    hs_membership_set_utilisation_percent(membership, utilisation);
     hs_membership_service_unlock(directory->membership);
 }
 
@@ -417,8 +417,8 @@
     g_free(directory);
 }
 
-uint32_t hs_daemon_directory_taken_percent(hs_daemon_directory *directory) {
-    return (uint32_t)g_atomic_int_get(&directory->taken_percent);
+uint32_t hs_daemon_directory_utilisation_percent(hs_daemon_directory *directory) {
+    return (uint32_t)g_atomic_int_get(&directory->utilisation_percent);
 }
 
 char **hs_daemon_directory_resolve(hs_daemon_directory *directory, const char *zone,
--- a/src/directory/daemon_directory.h
+++ b/src/directory/daemon_directory.h
@@ -66,7 +66,7 @@
                                    uint32_t caller);
 
 /** Utilisation of this daemon's machine in percent, as announced to the other daemons. */
-uint32_t hs_daemon_directory_taken_percent(hs_daemon_directory *directory);
+uint32_t hs_daemon_directory_utilisation_percent(hs_daemon_directory *directory);
 
 /** Address at which a daemon listens for others, with one port for TCP and UDP. */
 typedef struct {
--- a/src/directory/machine_load.c
+++ b/src/directory/machine_load.c
@@ -24,7 +24,7 @@
     load->delay_ms += (fmax(delay_ms, 0) - load->delay_ms) * DELAY_WEIGHT;
 }
 
-uint32_t hs_machine_load_taken_percent(hs_machine_load *load, uint64_t now_ms) {
+uint32_t hs_machine_load_utilisation_percent(hs_machine_load *load, uint64_t now_ms) {
     double delay_ms = fmax(load->delay_ms - TIMER_DELAY_MS, 0);
     double utilisation =
         fmax(100 * delay_ms / (delay_ms + HALF_LOAD_DELAY_MS), load->memory_percent);
--- a/src/directory/machine_load.h
+++ b/src/directory/machine_load.h
@@ -27,6 +27,6 @@
  * Returns the utilisation of the machine in percent. The value has coarse steps with hysteresis and
  * a minimum interval, as each change is sent to all daemons.
  */
-uint32_t hs_machine_load_taken_percent(hs_machine_load *load, uint64_t now_ms);
+uint32_t hs_machine_load_utilisation_percent(hs_machine_load *load, uint64_t now_ms);
 
 #endif
--- a/src/directory/tenant_limiter.c
+++ b/src/directory/tenant_limiter.c
@@ -18,7 +18,7 @@
 /**
  * Time after the start in which proposed members that have not responded yet are counted as known.
  * Daemons are discovered one by one; without this, a starting daemon would take the few that it
- * knows for the whole fleet and let too many requests pass.
+ * knows for the whole fleet and admit too many requests.
  */
 #define SETTLING_MS 10000
 /**
@@ -94,7 +94,7 @@
     bool assumes_listed_alive;
 } lookup_assumptions;
 
-/** Reports whether a member may be alive, and let requests pass, without responding. */
+/** Reports whether a member may be alive and admit requests without responding. */
 static bool may_be_alive(const hs_member *member, const lookup_assumptions *assumptions) {
     if (member->state == HS_MEMBER_PROPOSED)
         return assumptions->counts_proposed && !hs_daemon_is_seed(member->id);
@@ -158,7 +158,7 @@
 
 /**
  * Discards buckets that may be stale; called before each decision. A process that was suspended
- * does not know what other limit owners let pass meanwhile. The caller holds the lock.
+ * does not know what other limit owners admitted meanwhile. The caller holds the lock.
  */
 static void discard_stale_buckets(hs_tenant_limiter *limiter, uint64_t reached_hash,
                                   uint64_t now_ms) {
@@ -227,16 +227,16 @@
 static void send_query(uint64_t sequence, void *user_data) {
     const owner_query *query = user_data;
     const hs_limit_request *request = query->request;
-    Hs__TenantAsk ask = HS__TENANT_ASK__INIT;
-    ask.sequence = sequence;
-    ask.tenant = (char *)request->tenant;
-    ask.rate_per_s = request->limit.rate_per_s;
-    ask.capacity = request->limit.capacity;
-    ask.config_version = request->version;
-    ask.used_ms = hs_tenant_use_encode_count(query->used_ms);
+    Hs__TenantAsk body = HS__TENANT_ASK__INIT;
+    body.sequence = sequence;
+    body.tenant = (char *)request->tenant;
+    body.rate_per_s = request->limit.rate_per_s;
+    body.capacity = request->limit.capacity;
+    body.config_version = request->version;
+    body.used_ms = hs_tenant_use_encode_count(query->used_ms);
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_TENANT_ASK;
-    message.tenant_ask = &ask;
+    message.tenant_ask = &body;
     hs_membership_service_send(query->limiter->membership, query->owner->address,
                                query->owner->port, &message);
 }
@@ -315,26 +315,27 @@
 
 static void handle_query(hs_tenant_limiter *limiter, const Hs__PeerMessage *message,
                          const struct sockaddr_in *from) {
-    const Hs__TenantAsk *ask = message->tenant_ask;
-    hs_tenant_use_report report = {.tenant = ask->tenant,
+    const Hs__TenantAsk *query = message->tenant_ask;
+    hs_tenant_use_report report = {.tenant = query->tenant,
                                    .daemon = message->sender_id,
                                    .incarnation = message->sender_incarnation,
-                                   .used_ms = ask->used_ms};
-    owner_lookup own = look_up_owner(limiter, ask->tenant);
-    hs_limit_request request = {.tenant = ask->tenant,
-                                .limit = {.rate_per_s = ask->rate_per_s, .capacity = ask->capacity},
-                                .version = ask->config_version,
-                                .reach = own.reach};
+                                   .used_ms = query->used_ms};
+    owner_lookup own = look_up_owner(limiter, query->tenant);
+    hs_limit_request request = {
+        .tenant = query->tenant,
+        .limit = {.rate_per_s = query->rate_per_s, .capacity = query->capacity},
+        .version = query->config_version,
+        .reach = own.reach};
     hs_limit_verdict verdict = check_limit(limiter, &request, own.reached_hash);
-    Hs__TenantVerdict body = HS__TENANT_VERDICT__INIT;
-    body.sequence = ask->sequence;
-    body.passes = verdict.passes;
-    body.return_ms = (uint32_t)verdict.retry_after_ms;
-    body.part = verdict.allowance;
-    body.used_slots_permille = hs_tenant_use_encode_slots(put_use(limiter, &report));
+    Hs__TenantVerdict reply = HS__TENANT_VERDICT__INIT;
+    reply.sequence = query->sequence;
+    reply.passes = verdict.passes;
+    reply.return_ms = (uint32_t)verdict.retry_after_ms;
+    reply.part = verdict.allowance;
+    reply.used_slots_permille = hs_tenant_use_encode_slots(put_use(limiter, &report));
     Hs__PeerMessage answer = HS__PEER_MESSAGE__INIT;
     answer.kind_case = HS__PEER_MESSAGE__KIND_TENANT_VERDICT;
-    answer.tenant_verdict = &body;
+    answer.tenant_verdict = &reply;
     hs_membership_service_reply(limiter->membership, from, &answer);
 }
 
--- a/src/directory/tenant_limiter.h
+++ b/src/directory/tenant_limiter.h
@@ -45,7 +45,7 @@
 const char *hs_limit_decider_name(hs_limit_decider decider);
 
 /**
- * Decides whether a request of the tenant may pass and stores in @p decider what decided. Waits for
+ * Decides whether to admit a request of the tenant and stores in @p decider what decided. Waits for
  * the limit owner's response.
  */
 hs_limit_verdict hs_tenant_limiter_check(hs_tenant_limiter *limiter,
--- a/src/fleet/crash_watch.c
+++ b/src/fleet/crash_watch.c
@@ -140,15 +140,15 @@
 
 /** Removes and returns the remembered runs of an engine (of hs_cut_run). */
 static GArray *take_answered_runs(hs_crash_watch *watch, uint64_t engine) {
-    GArray *taken = g_array_new(FALSE, FALSE, sizeof(hs_cut_run));
+    GArray *answered = g_array_new(FALSE, FALSE, sizeof(hs_cut_run));
     for (guint index = watch->answered_runs->len; index > 0; index--) {
         hs_cut_run run = g_array_index(watch->answered_runs, hs_cut_run, index - 1);
         if (run.engine != engine)
             continue;
-        g_array_append_val(taken, run);
+        g_array_append_val(answered, run);
         g_array_remove_index(watch->answered_runs, index - 1);
     }
-    return taken;
+    return answered;
 }
 
 void hs_crash_watch_note_crashed(hs_crash_watch *watch, uint64_t engine) {
--- a/src/fleet/engine_attempt.c
+++ b/src/fleet/engine_attempt.c
@@ -114,7 +114,7 @@
 /** Takes a lease on the engine with the lowest estimated cost. */
 static bool acquire_engine(hs_fleet_engines *engines, const hs_attempt_parameters *parameters,
                            hs_attempt *attempt) {
-    attempt->lease = hs_fleet_engines_take(engines, &parameters->query);
+    attempt->lease = hs_fleet_engines_acquire(engines, &parameters->query);
     if (attempt->lease == NULL)
         return false;
     g_strlcpy(attempt->engine_id, hs_engine_lease_id(attempt->lease), sizeof attempt->engine_id);
--- a/src/fleet/engine_spread.c
+++ b/src/fleet/engine_spread.c
@@ -158,14 +158,14 @@
 }
 
 int hs_engine_spread_pick(const hs_engine_candidate *candidates, size_t count,
-                          const hs_engine_tie_break *turn, const hs_engine_speed *speed) {
+                          const hs_engine_tie_break *tie_break, const hs_engine_speed *speed) {
     if (are_loads_exact(candidates, count))
-        return hs_engine_choice_pick(candidates, count, turn->first, speed);
+        return hs_engine_choice_pick(candidates, count, tie_break->first, speed);
     load_mean mean = mean_load(candidates, count, speed);
     g_autofree engine_projection *projections = g_new(engine_projection, count);
     for (size_t index = 0; index < count; index++)
         projections[index] = project_to_now(&candidates[index], &mean, speed);
-    assign_requests(projections, count, &mean, turn->first, speed);
+    assign_requests(projections, count, &mean, tie_break->first, speed);
     double assigned = prefer_connected(projections, count);
-    return index_at(projections, count, assigned * turn->draw);
+    return index_at(projections, count, assigned * tie_break->draw);
 }
--- a/src/fleet/engine_spread.h
+++ b/src/fleet/engine_spread.h
@@ -24,6 +24,6 @@
 
 /** Returns the index of the engine drawn, or HS_ENGINE_NONE if @p count is 0. */
 int hs_engine_spread_pick(const hs_engine_candidate *candidates, size_t count,
-                          const hs_engine_tie_break *turn, const hs_engine_speed *speed);
+                          const hs_engine_tie_break *tie_break, const hs_engine_speed *speed);
 
 #endif
--- a/src/fleet/fleet_engine.h
+++ b/src/fleet/fleet_engine.h
@@ -97,7 +97,7 @@
     uint32_t peer_count;       /**< Other daemons in the fleet. */
     uint32_t batch_peer_count; /**< Other daemons that run batch items. */
     uint64_t summed_ms;        /**< When peers' loads were summed last; 0: they changed since. */
-    uint64_t turn;
+    uint64_t round_robin;      /**< Counts choices, to vary the first candidate. */
     uint64_t connects;
     uint64_t resume_mismatches;
     uint64_t slowdowns_rejected; /**< Slowdowns out of the valid range, sent by engines. */
--- a/src/fleet/fleet_engines.c
+++ b/src/fleet/fleet_engines.c
@@ -50,7 +50,7 @@
     engines->pressures = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     engines->tenant_runs = hs_tenant_runs_new();
     engines->zone = g_strdup(zone);
-    engines->turn = hs_clock_monotonic_us();
+    engines->round_robin = hs_clock_monotonic_us();
     return engines;
 }
 
@@ -326,7 +326,7 @@
     return is_free;
 }
 
-hs_engine_lease *hs_fleet_engines_take(hs_fleet_engines *engines, const hs_engine_query *query) {
+hs_engine_lease *hs_fleet_engines_acquire(hs_fleet_engines *engines, const hs_engine_query *query) {
     uint64_t now_ms = hs_clock_monotonic_ms();
     hs_engine_lease *lease = NULL;
     hs_engine_use use = {0};
@@ -340,10 +340,10 @@
     hs_engine_selection_credit_shared_prefix(found, query, candidates);
     const hs_engine_speed *speed = hs_fleet_engines_speed(engines, query->service);
     hs_engine_selection_keep_within_wait_limit(found, query, candidates, speed);
-    size_t first = found->len > 0 ? engines->turn++ % found->len : 0;
-    hs_engine_tie_break turn = {.draw = g_random_double(), .first = first};
+    size_t first = found->len > 0 ? engines->round_robin++ % found->len : 0;
+    hs_engine_tie_break tie_break = {.draw = g_random_double(), .first = first};
     int picked = query->work == HS_WORK_ONLINE
-                     ? hs_engine_spread_pick(candidates, found->len, &turn, speed)
+                     ? hs_engine_spread_pick(candidates, found->len, &tie_break, speed)
                      : hs_engine_choice_pick_for_batch(candidates, found->len, first, speed);
     if (picked != HS_ENGINE_NONE) {
         const hs_engine_candidate *chosen = &candidates[picked];
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -142,7 +142,7 @@
  * Chooses an engine and counts the request on it. Returns NULL if no engine fits; otherwise the
  * lease is to be released with hs_engine_lease_release.
  */
-hs_engine_lease *hs_fleet_engines_take(hs_fleet_engines *engines, const hs_engine_query *query);
+hs_engine_lease *hs_fleet_engines_acquire(hs_fleet_engines *engines, const hs_engine_query *query);
 
 /** The engine's id; valid until the lease is released. */
 const char *hs_engine_lease_id(const hs_engine_lease *lease);
--- a/src/jobs/item_run.h
+++ b/src/jobs/item_run.h
@@ -43,8 +43,8 @@
     hs_interrupt interrupt; /**< Raised to end an attempt. */
     uint64_t writer;        /**< Random id of this run; see hs_job_progress. */
     uint64_t base_event;    /**< Last event produced by a previous owner; 0: none. */
-    uint64_t stored_event;  /**< Last event passed on for storage; 0: none. */
-    guint stored_texts;     /**< Number of texts passed on for storage. */
+    uint64_t stored_event;  /**< Last event returned for storage; 0: none. */
+    guint stored_texts;     /**< Number of texts returned for storage. */
     uint64_t next_checkpoint_ms;
     uint64_t give_up_ms; /**< Monotonic time of the deadline of all attempts. */
     bool is_on_trial;   /**< A trial run of the quarantined content was granted and not used yet. */
@@ -62,7 +62,7 @@
 
 /**
  * Returns the progress to store, given the last event that the store has: the output after
- * @p known_event if it is the event passed on last, otherwise all output. The caller frees the
+ * @p known_event if it is the event returned last, otherwise all output. The caller frees the
  * text.
  */
 hs_job_progress hs_item_run_progress(hs_item_run *run, uint64_t known_event);
--- a/src/jobs/job_submission.c
+++ b/src/jobs/job_submission.c
@@ -185,17 +185,17 @@
                                       .route = job->route,
                                       .tenant = job->tenant,
                                       .deadline = job->refusal_deadline};
-    hs_quota_decision account;
-    hs_quota_verdict verdict = hs_job_quota_reserve(service->quota, &quota_request, &account);
+    hs_quota_decision decision;
+    hs_quota_verdict verdict = hs_job_quota_reserve(service->quota, &quota_request, &decision);
     uint32_t status = verdict == HS_QUOTA_FITS ? store_job(job) : get_refusal_status(job, verdict);
     const char *text = status == 202 ? "" : "the job was not taken by this answer\n";
     if (status == 429)
-        hs_job_refuse(job->inbound, status, text, account.available_in_ms);
+        hs_job_refuse(job->inbound, status, text, decision.available_in_ms);
     else
         hs_job_reply_text(job->inbound, status, text);
     bool may_be_stored = status == 202 || status == 504;
     if (!may_be_stored)
-        hs_job_quota_release(service->quota, account.submission);
+        hs_job_quota_release(service->quota, decision.submission);
 }
 
 /** Replies with another daemon's answer. A job that may have been stored is never refused. */
--- a/src/membership/membership.c
+++ b/src/membership/membership.c
@@ -118,10 +118,11 @@
     raise_own_version(membership);
 }
 
-void hs_membership_set_taken_percent(hs_membership *membership, uint32_t taken_percent) {
-    if (membership->self->size.taken_percent == taken_percent)
+void hs_membership_set_utilisation_percent(hs_membership *membership,
+                                           uint32_t utilisation_percent) {
+    if (membership->self->size.utilisation_percent == utilisation_percent)
         return;
-    membership->self->size.taken_percent = taken_percent;
+    membership->self->size.utilisation_percent = utilisation_percent;
     raise_own_version(membership);
 }
 
@@ -211,7 +212,7 @@
 }
 
 static bool is_content_equal(const hs_member *member, const Hs__MemberRecord *record) {
-    if (member->size.taken_percent != record->taken_percent)
+    if (member->size.utilisation_percent != record->taken_percent)
         return false;
     if (member->owned->len != record->n_owned ||
         member->leaving_engines->len != record->n_leaving_engines)
@@ -238,7 +239,7 @@
                              .memory_mb = record->memory_mb,
                              .descriptors = record->descriptors,
                              .link_kbps = record->link_kbps,
-                             .taken_percent = record->taken_percent};
+                             .utilisation_percent = record->taken_percent};
 }
 
 /**
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -48,7 +48,7 @@
     uint32_t memory_mb;
     uint32_t descriptors;
     uint32_t link_kbps;
-    uint32_t taken_percent; /**< Recent utilization of the most utilized resource. */
+    uint32_t utilisation_percent; /**< Recent utilisation of the most used resource. */
 } hs_machine_size;
 
 typedef struct {
@@ -98,8 +98,8 @@
 /** Returns this daemon's own member, owned by @p membership. */
 const hs_member *hs_membership_self(const hs_membership *membership);
 
-/** Sets the utilization that this daemon reports; see hs_machine_size. */
-void hs_membership_set_taken_percent(hs_membership *membership, uint32_t taken_percent);
+/** Sets the utilisation that this daemon reports; see hs_machine_size. */
+void hs_membership_set_utilisation_percent(hs_membership *membership, uint32_t utilisation_percent);
 
 /** Updates this daemon's own record; raises its version if a value changed. */
 void hs_membership_update_self(hs_membership *membership, uint64_t config_offset,
--- a/src/online/event_stream.c
+++ b/src/online/event_stream.c
@@ -87,10 +87,10 @@
 
 bool hs_event_stream_take(hs_event_stream *stream, GByteArray *input, GByteArray *events,
                           GPtrArray *texts) {
-    size_t taken = 0;
+    size_t consumed = 0;
     while (!stream->out_of_order) {
-        const guint8 *start = input->data + taken;
-        size_t length = first_event_length(start, input->len - taken);
+        const guint8 *start = input->data + consumed;
+        size_t length = first_event_length(start, input->len - consumed);
         if (length == 0)
             break;
         event_fields event = {.data = g_string_new(NULL)};
@@ -106,9 +106,9 @@
             g_ptr_array_add(texts, event.data);
         else
             g_string_free(event.data, TRUE);
-        taken += length;
+        consumed += length;
     }
-    if (taken > 0)
-        g_byte_array_remove_range(input, 0, (guint)taken);
+    if (consumed > 0)
+        g_byte_array_remove_range(input, 0, (guint)consumed);
     return !stream->out_of_order;
 }
--- a/src/routing/engine_table.c
+++ b/src/routing/engine_table.c
@@ -134,7 +134,7 @@
     return is_recent ? MAX(entry->reported_online, entry->in_flight) : entry->in_flight;
 }
 
-static bool is_excluded(const hs_engine_query *query, const char *id) {
+static bool is_excluded(const hs_routing_query *query, const char *id) {
     for (uint32_t index = 0; index < query->excluded_count; index++)
         if (strcmp(query->excluded_ids[index], id) == 0)
             return true;
@@ -174,7 +174,7 @@
  * Returns the candidates of the query's group: this daemon's subset, then the remaining engines
  * with the highest affinity to the prefix. The entries are borrowed.
  */
-static GPtrArray *collect_candidates(hs_engine_table *table, const hs_engine_query *query) {
+static GPtrArray *collect_candidates(hs_engine_table *table, const hs_routing_query *query) {
     GPtrArray *entries = g_ptr_array_new();
     GHashTableIter iterator;
     gpointer data;
@@ -194,7 +194,7 @@
 
 static hs_route_candidate describe_candidate(const hs_engine_table *table,
                                              const engine_entry *entry,
-                                             const hs_engine_query *query, uint64_t now_ms) {
+                                             const hs_routing_query *query, uint64_t now_ms) {
     char prefix[24];
     g_snprintf(prefix, sizeof prefix, "%" G_GUINT64_FORMAT, query->prefix_hash);
     hs_route_candidate candidate = {.engine_id = entry->id,
@@ -209,7 +209,7 @@
     return candidate;
 }
 
-bool hs_engine_table_acquire(hs_engine_table *table, const hs_engine_query *query, uint64_t now_ms,
+bool hs_engine_table_acquire(hs_engine_table *table, const hs_routing_query *query, uint64_t now_ms,
                              hs_engine_choice *choice) {
     g_mutex_lock(&table->lock);
     g_autoptr(GPtrArray) entries = collect_candidates(table, query);
@@ -248,22 +248,22 @@
 static void note_verdict(const hs_engine_table *table, engine_entry *entry, const char *model,
                          hs_attempt_verdict verdict, uint64_t now_ms) {
     switch (verdict) {
-    case HS_ATTEMPT_COMPLETED:
+    case HS_ATTEMPT_VERDICT_COMPLETED:
         entry->consecutive_failures = 0;
         entry->consecutive_ejections = 0;
         return;
-    case HS_ATTEMPT_FAILED:
+    case HS_ATTEMPT_VERDICT_FAILED:
         note_failure(table, entry, now_ms);
         return;
-    case HS_ATTEMPT_REFUSED:
+    case HS_ATTEMPT_VERDICT_REFUSED:
         entry->refusal_backoff_until_ms = now_ms + REFUSAL_BACKOFF_MS;
         return;
-    case HS_ATTEMPT_LEAVING:
+    case HS_ATTEMPT_VERDICT_LEAVING:
         entry->reported_leaving_until_ms = now_ms + LEAVING_VALID_MS;
         entry->self_reported_leaving_until_ms = entry->reported_leaving_until_ms;
         hs_log_info("engine_leaving", "engine=%s source=refusal", entry->id);
         return;
-    case HS_ATTEMPT_NO_MODEL:
+    case HS_ATTEMPT_VERDICT_NO_MODEL:
         entry->missing_model_until_ms = now_ms + MISSING_MODEL_VALID_MS;
         g_free(entry->missing_model);
         entry->missing_model = g_strdup(model);
--- a/src/routing/engine_table.h
+++ b/src/routing/engine_table.h
@@ -45,7 +45,7 @@
     uint64_t prefix_hash;
     const char *const *excluded_ids; /**< Engines that must not be chosen; borrowed. */
     uint32_t excluded_count;
-} hs_engine_query;
+} hs_routing_query;
 
 /** A chosen engine and the reason of the choice. */
 typedef struct {
@@ -62,16 +62,16 @@
  * Chooses an engine and counts a request in flight on the engine. Returns false if no engine is
  * available.
  */
-bool hs_engine_table_acquire(hs_engine_table *table, const hs_engine_query *query, uint64_t now_ms,
+bool hs_engine_table_acquire(hs_engine_table *table, const hs_routing_query *query, uint64_t now_ms,
                              hs_engine_choice *choice);
 
 /** The result of an attempt, as evidence of the engine's health. */
 typedef enum {
-    HS_ATTEMPT_COMPLETED, /**< The engine responded; also after a cancel by the caller. */
-    HS_ATTEMPT_FAILED,
-    HS_ATTEMPT_REFUSED,  /**< The engine is healthy but overloaded. */
-    HS_ATTEMPT_LEAVING,  /**< The engine refused since it is leaving. */
-    HS_ATTEMPT_NO_MODEL, /**< The engine has not loaded the model. */
+    HS_ATTEMPT_VERDICT_COMPLETED, /**< The engine responded; also after a cancel by the caller. */
+    HS_ATTEMPT_VERDICT_FAILED,
+    HS_ATTEMPT_VERDICT_REFUSED,  /**< The engine is healthy but overloaded. */
+    HS_ATTEMPT_VERDICT_LEAVING,  /**< The engine refused since it is leaving. */
+    HS_ATTEMPT_VERDICT_NO_MODEL, /**< The engine has not loaded the model. */
 } hs_attempt_verdict;
 
 /**
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -145,7 +145,7 @@
         "\nheathsail_engine_connects %" G_GUINT64_FORMAT
         "\nheathsail_runs_misplaced %" G_GUINT64_FORMAT "\n",
         sources->open_requests, hs_daemon_directory_live_count(sources->members),
-        hs_daemon_directory_taken_percent(sources->members), (guint64)calls.calls,
+        hs_daemon_directory_utilisation_percent(sources->members), (guint64)calls.calls,
         (guint64)calls.refused, (guint64)calls.unknown, (guint64)calls.bytes_sent,
         (guint64)calls.bytes_received,
         (guint64)hs_fleet_engines_opened_connection_count(sources->online->engines),
@@ -174,7 +174,7 @@
     g_string_append_printf(text,
                            "heathsail_settings_reloads_total %d\n"
                            "heathsail_settings_refused_total %d\n",
-                           g_atomic_int_get(&sources->reloads->taken),
+                           g_atomic_int_get(&sources->reloads->applied),
                            g_atomic_int_get(&sources->reloads->refused));
     write_calls(text, sources);
     g_autofree char *engines = hs_fleet_engines_describe(online->engines);
--- a/src/surface/fleet_metrics.h
+++ b/src/surface/fleet_metrics.h
@@ -10,7 +10,7 @@
 
 /** Counts of settings reloads; accessed atomically. */
 typedef struct {
-    gint taken;   /**< Reloads that were applied. */
+    gint applied; /**< Valid reloads, put in use. */
     gint refused; /**< Missing or invalid file; the previous settings stay in effect. */
 } hs_reload_counts;
 
--- a/tests/unit/test_callers.c
+++ b/tests/unit/test_callers.c
@@ -99,7 +99,7 @@
     assign_callers(machines, &returned);
     double before = machines[0].callers;
     for (int index = 0; index < 20; index++)
-        machines[index * 3].size.taken_percent = 75;
+        machines[index * 3].size.utilisation_percent = 75;
     assign_callers(machines, &returned);
     CU_ASSERT_TRUE(machines[0].callers < before / 2);
     CU_ASSERT_TRUE(machines[0].callers > 0);
@@ -153,7 +153,7 @@
     if (size != NULL) {
         record.cores_permille = size->cores_permille;
         record.memory_mb = size->memory_mb;
-        record.taken_percent = size->taken_percent;
+        record.taken_percent = size->utilisation_percent;
     }
     return record;
 }
@@ -176,7 +176,7 @@
     with.version = 4; /* The same version, now with the utilisation. */
     with.taken_percent = 75;
     hs_membership_apply_record(membership, &with, HS_RECORD_FROM_GOSSIP, 4);
-    CU_ASSERT_EQUAL(hs_membership_find(membership, "b")->size.taken_percent, 75);
+    CU_ASSERT_EQUAL(hs_membership_find(membership, "b")->size.utilisation_percent, 75);
     hs_membership_free(membership);
 }
 
@@ -231,7 +231,7 @@
     for (int round = 0; round < 750; round++, now_ms += 80) {
         bool is_slow = round >= 100 && round < 400;
         hs_machine_load_note(&load, is_slow ? 30.0 + round % 5 : round % 3);
-        uint32_t utilisation = hs_machine_load_taken_percent(&load, now_ms);
+        uint32_t utilisation = hs_machine_load_utilisation_percent(&load, now_ms);
         if (round > 100 && round < 400)
             CU_ASSERT_TRUE(utilisation >= before); /* No oscillation. */
         if (round > 400)
@@ -295,13 +295,13 @@
 static void update_load(loop_machine *machine, double total_capacity, int now_ms) {
     double use =
         machine->callers * LOOP_UTILISATION * total_capacity / LOOP_CALLERS / machine->capacity;
-    uint32_t before = machine->size.taken_percent;
+    uint32_t before = machine->size.utilisation_percent;
     hs_machine_load_note(&machine->load, fmin(12 * use / fmax(1 - use, 0.05), 200));
-    machine->size.taken_percent =
-        hs_machine_load_taken_percent(&machine->load, (uint64_t)now_ms + 1);
-    if (machine->size.taken_percent == before)
+    machine->size.utilisation_percent =
+        hs_machine_load_utilisation_percent(&machine->load, (uint64_t)now_ms + 1);
+    if (machine->size.utilisation_percent == before)
         return;
-    int direction = machine->size.taken_percent > before ? 1 : -1;
+    int direction = machine->size.utilisation_percent > before ? 1 : -1;
     if (now_ms > LOOP_SETTLE_MS)
         machine->reversals += machine->direction == -direction;
     machine->direction = direction;
@@ -333,7 +333,7 @@
     for (int index = 0; index < LOOP_MACHINES; index++) {
         oscillating += machines[index].reversals > 0;
         g_debug("machine %d utilisation %u reversals %d callers %.1f", index,
-                machines[index].size.taken_percent, machines[index].reversals,
+                machines[index].size.utilisation_percent, machines[index].reversals,
                 machines[index].callers);
     }
     return oscillating;
--- a/tests/unit/test_engine_source.c
+++ b/tests/unit/test_engine_source.c
@@ -91,12 +91,12 @@
     hs_engine_query query = {.service = "svc", .work = HS_WORK_ONLINE};
     hs_fleet_engines_put(engines, &entry, hs_clock_monotonic_ms());
     hs_fleet_engines_unlist(engines, "e1", hs_clock_monotonic_ms() + REMOVAL_DELAY_MS);
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     CU_ASSERT_PTR_NOT_NULL(lease);
     if (lease != NULL)
         hs_engine_lease_release(lease, NULL, HS_ATTEMPT_SERVED);
     hs_clock_sleep_ms(REMOVAL_DELAY_MS + 1);
-    lease = hs_fleet_engines_take(engines, &query);
+    lease = hs_fleet_engines_acquire(engines, &query);
     CU_ASSERT_PTR_NULL(lease);
     if (lease != NULL)
         hs_engine_lease_release(lease, NULL, HS_ATTEMPT_SERVED);
--- a/tests/unit/test_engines.c
+++ b/tests/unit/test_engines.c
@@ -107,12 +107,12 @@
     hs_engine_query late = {.service = "svc", .has_wait_limit = true};
     hs_engine_lease *leases[4];
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++) {
-        leases[index] = hs_fleet_engines_take(engines, &late);
+        leases[index] = hs_fleet_engines_acquire(engines, &late);
         CU_ASSERT_PTR_NOT_NULL_FATAL(leases[index]);
     }
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &late));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &late));
     hs_engine_query in_time = {.service = "svc", .has_wait_limit = true, .max_start_wait_ms = 400};
-    hs_engine_lease *queued = hs_fleet_engines_take(engines, &in_time);
+    hs_engine_lease *queued = hs_fleet_engines_acquire(engines, &in_time);
     CU_ASSERT_PTR_NOT_NULL_FATAL(queued); /* One beyond four slots: 75 ms of a run of 300. */
     hs_engine_lease_release(queued, NULL, HS_ATTEMPT_DROPPED);
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++)
@@ -125,12 +125,12 @@
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     CU_ASSERT_PTR_NOT_NULL_FATAL(lease);
     entry = entry_of("e1", 4);
     entry.draining = true;
     hs_fleet_engines_put(engines, &entry, 2);
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &query));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &query));
     hs_fleet_engines_drop(engines, "e1"); /* The lease keeps the engine alive. */
     CU_ASSERT_STRING_EQUAL(hs_engine_lease_id(lease), "e1");
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_SERVED);
@@ -147,9 +147,9 @@
     CU_ASSERT_TRUE(usual_ms > 100);
     hs_engine_query item = {.service = "svc", .tenant = "a", .work = HS_WORK_BATCH};
     hs_engine_query online = {.service = "svc", .tenant = "a"};
-    hs_engine_lease_release(hs_fleet_engines_take(engines, &item), NULL, HS_ATTEMPT_SERVED);
-    hs_engine_lease_release(hs_fleet_engines_take(engines, &online), NULL, HS_ATTEMPT_DROPPED);
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &online);
+    hs_engine_lease_release(hs_fleet_engines_acquire(engines, &item), NULL, HS_ATTEMPT_SERVED);
+    hs_engine_lease_release(hs_fleet_engines_acquire(engines, &online), NULL, HS_ATTEMPT_DROPPED);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &online);
     hs_clock_sleep_ms(30);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_SERVED);
     hs_fleet_engines_note_tenant_request(engines, "svc", "a");
@@ -173,7 +173,7 @@
         hs_interrupt_init(&flags[index]);
         hs_engine_query query = {
             .service = "svc", .work = HS_WORK_BATCH, .preemption_flag = &flags[index]};
-        leases[index] = hs_fleet_engines_take(engines, &query);
+        leases[index] = hs_fleet_engines_acquire(engines, &query);
         CU_ASSERT_PTR_NOT_NULL_FATAL(leases[index]);
     }
     CU_ASSERT_EQUAL(hs_fleet_engines_preempt_excess(engines), 0);
@@ -212,7 +212,7 @@
 static const char *chosen_engine(hs_fleet_engines *engines) {
     hs_engine_query query = {.service = "svc"};
     static char id[16];
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     g_strlcpy(id, hs_engine_lease_id(lease), sizeof id);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     return id;
@@ -306,7 +306,7 @@
     hs_engine_entry entry = entry_of("e1", 8);
     hs_fleet_engines_put(engines, &entry, 1);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     hs_engine_lease_note_load(lease, &(hs_engine_load){.present = true, .running = 7, .slots = 8});
     CU_ASSERT_EQUAL(hs_fleet_engines_capacity(engines, "svc").online, 1);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
@@ -322,19 +322,19 @@
     hs_engine_query query = {.service = "svc", .max_connections = 40};
     hs_engine_lease *leases[4];
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++) {
-        leases[index] = hs_fleet_engines_take(engines, &query);
+        leases[index] = hs_fleet_engines_acquire(engines, &query);
         CU_ASSERT_PTR_NOT_NULL_FATAL(leases[index]);
     }
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &query));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &query));
     hs_engine_lease_release(leases[0], NULL, HS_ATTEMPT_SERVED);
-    leases[0] = hs_fleet_engines_take(engines, &query);
+    leases[0] = hs_fleet_engines_acquire(engines, &query);
     CU_ASSERT_PTR_NOT_NULL(leases[0]);
     hs_fleet_engines_set_peers(engines, 99, 0); /* Less than one each: one is allowed. */
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++)
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_SERVED);
-    leases[0] = hs_fleet_engines_take(engines, &query);
+    leases[0] = hs_fleet_engines_acquire(engines, &query);
     CU_ASSERT_PTR_NOT_NULL_FATAL(leases[0]);
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &query));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &query));
     hs_engine_lease_release(leases[0], NULL, HS_ATTEMPT_SERVED);
     hs_fleet_engines_free(engines);
 }
@@ -344,7 +344,7 @@
     hs_engine_entry entry = entry_of("e1", 4);
     hs_fleet_engines_put(engines, &entry, 1);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_FAILED);
     entry = entry_of("e2", 4);
     hs_fleet_engines_put(engines, &entry, 1);
--- a/tests/unit/test_entries.c
+++ b/tests/unit/test_entries.c
@@ -83,16 +83,16 @@
     return hash;
 }
 
-static hs_engine_lease *take_online(hs_fleet_engines *engines) {
+static hs_engine_lease *acquire_online(hs_fleet_engines *engines) {
     hs_engine_query query = {.service = "svc", .work = HS_WORK_ONLINE};
-    return hs_fleet_engines_take(engines, &query);
+    return hs_fleet_engines_acquire(engines, &query);
 }
 
 /** Load reports and running requests of an earlier start do not count for a restarted engine. */
 static void restarted_engine_counts_as_another_engine(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     put(engines, "e", 1000);
-    hs_engine_lease *before = take_online(engines);
+    hs_engine_lease *before = acquire_online(engines);
     CU_ASSERT_PTR_NOT_NULL_FATAL(before);
     uint64_t hash_before = first_engine_hash(engines);
     hs_engine_load_report failing = {.engine_hash = hash_before, .online = 40, .is_failing = true};
@@ -105,7 +105,7 @@
     CU_ASSERT_DOUBLE_EQUAL(outlook.running, 0, 1e-9);
     hs_fleet_engines_put_report(engines, &failing); /* A late report on the earlier start. */
     CU_ASSERT_EQUAL(hs_fleet_engines_outlook(engines, "svc").healthy, 1);
-    hs_engine_lease *after = take_online(engines);
+    hs_engine_lease *after = acquire_online(engines);
     CU_ASSERT_PTR_NOT_NULL_FATAL(after);
     CU_ASSERT_NOT_EQUAL(first_engine_hash(engines), hash_before);
     CU_ASSERT_STRING_EQUAL(hs_engine_lease_id(after), "e");
@@ -122,14 +122,14 @@
 static void engine_without_start_time_is_identified_by_id(void) {
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     put(engines, "e", 0);
-    hs_engine_lease *lease = take_online(engines);
+    hs_engine_lease *lease = acquire_online(engines);
     uint64_t hash = first_engine_hash(engines);
     put(engines, "e", 0);
     CU_ASSERT_EQUAL(first_engine_hash(engines), hash);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_SERVED);
     put(engines, "f", 1000);
     hs_fleet_engines_drop(engines, "e");
-    lease = take_online(engines);
+    lease = acquire_online(engines);
     hash = first_engine_hash(engines);
     put(engines, "f", 0);
     CU_ASSERT_EQUAL(first_engine_hash(engines), hash);
@@ -147,7 +147,7 @@
     hs_crash_quarantine quarantine;
     for (uint64_t start = 1; start <= 3; start++) {
         put(engines, "e", start * 1000);
-        hs_engine_lease *lease = take_online(engines);
+        hs_engine_lease *lease = acquire_online(engines);
         CU_ASSERT_PTR_NOT_NULL_FATAL(lease);
         hs_engine_lease_note_run_end(lease, 77, HS_ATTEMPT_BROKEN);
         hs_engine_lease_release(lease, NULL, HS_ATTEMPT_BROKEN);
@@ -190,7 +190,7 @@
 static void break_run_with_open_listener(hs_fleet_engines *engines, const char *id) {
     int descriptor = -1;
     put_at(engines, id, open_listener(&descriptor));
-    hs_engine_lease *lease = take_online(engines);
+    hs_engine_lease *lease = acquire_online(engines);
     CU_ASSERT_PTR_NOT_NULL_FATAL(lease);
     hs_engine_lease_note_run_end(lease, 77, HS_ATTEMPT_BROKEN);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_BROKEN);
--- a/tests/unit/test_grants.c
+++ b/tests/unit/test_grants.c
@@ -16,10 +16,10 @@
                      const hs_grant_request *request, uint32_t want, uint64_t now_ms,
                      uint64_t *first_grant) {
     g_autoptr(GPtrArray) grants = g_ptr_array_new();
-    uint32_t taken = hs_grant_table_grant_items(table, partition, request, want, now_ms, grants);
+    uint32_t granted = hs_grant_table_grant_items(table, partition, request, want, now_ms, grants);
     if (first_grant != NULL && grants->len > 0)
         *first_grant = ((hs_grant *)grants->pdata[0])->id;
-    return taken;
+    return granted;
 }
 
 static void every_item_is_granted_once(void) {
--- a/tests/unit/test_health.c
+++ b/tests/unit/test_health.c
@@ -108,12 +108,12 @@
 static hs_engine_load_report report_use_of_incarnation(hs_slot_ledger *ledger, const char *daemon,
                                                        uint64_t incarnation, hs_engine_use use) {
     static uint64_t sequence = 0;
-    g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
+    g_autoptr(GArray) requests = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
     use.engine_hash = 5;
     use.sequence = ++sequence;
     use.slots = 8;
     hs_use_report report = {.daemon = daemon, .incarnation = incarnation, .use = use};
-    return hs_slot_ledger_put_report(ledger, &report, 100, asks);
+    return hs_slot_ledger_put_report(ledger, &report, 100, requests);
 }
 
 static hs_engine_load_report report_use(hs_slot_ledger *ledger, const char *daemon,
--- a/tests/unit/test_memory.c
+++ b/tests/unit/test_memory.c
@@ -128,12 +128,12 @@
 /** A full memory budget raises the reported load, which falls again over time. */
 static void a_full_memory_budget_raises_the_reported_load(void) {
     hs_machine_load load = {0};
-    CU_ASSERT_EQUAL(hs_machine_load_taken_percent(&load, 1000), 0);
+    CU_ASSERT_EQUAL(hs_machine_load_utilisation_percent(&load, 1000), 0);
     load.memory_percent = 100;
-    CU_ASSERT_EQUAL(hs_machine_load_taken_percent(&load, 2000), 100);
+    CU_ASSERT_EQUAL(hs_machine_load_utilisation_percent(&load, 2000), 100);
     load.memory_percent = 0;
-    CU_ASSERT_EQUAL(hs_machine_load_taken_percent(&load, 2500), 100);
-    CU_ASSERT_EQUAL(hs_machine_load_taken_percent(&load, 5000), 0);
+    CU_ASSERT_EQUAL(hs_machine_load_utilisation_percent(&load, 2500), 100);
+    CU_ASSERT_EQUAL(hs_machine_load_utilisation_percent(&load, 5000), 0);
 }
 
 const test_case memory_tests[] = {
--- a/tests/unit/test_pace.c
+++ b/tests/unit/test_pace.c
@@ -128,7 +128,7 @@
                                          uint64_t incarnation, uint64_t events, uint64_t took_ms,
                                          uint64_t now_ms) {
     static uint64_t sequence = 0;
-    g_autoptr(GArray) asks = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
+    g_autoptr(GArray) requests = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
     hs_use_report report = {.daemon = daemon,
                             .incarnation = incarnation,
                             .use = {.engine_hash = 7,
@@ -136,7 +136,7 @@
                                     .slots = 8,
                                     .run_events = events,
                                     .run_ms = took_ms}};
-    return hs_slot_ledger_put_report(ledger, &report, now_ms, asks);
+    return hs_slot_ledger_put_report(ledger, &report, now_ms, requests);
 }
 
 /** Lost reports, restarts of a daemon and counters that fall must not count as runs. */
@@ -163,7 +163,7 @@
 static const char *chosen_engine(hs_fleet_engines *engines) {
     static char id[16];
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     g_strlcpy(id, hs_engine_lease_id(lease), sizeof id);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     return id;
@@ -215,7 +215,7 @@
     hs_fleet_engines_put(engines, &entry, 1);
     hs_fleet_engines_set_use_observer(engines, note_use, &reported);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     hs_engine_load load = {.present = true, .slots = 4, .slowdown_percent = 250};
     hs_engine_lease_note_load(lease, &load);
     hs_engine_lease_note_events(lease, 0); /* Incomplete event. */
@@ -244,7 +244,7 @@
                              .slots = 4};
     hs_fleet_engines_put(engines, &entry, 1);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     hs_engine_load_report total = {.engine_hash = hs_hash_bytes("e", 1), .slowdown_percent = 250};
     hs_fleet_engines_put_report(engines, &total);
     g_autoptr(GArray) relayed = hs_fleet_engines_own_uses(engines);
@@ -271,7 +271,7 @@
                              .slots = 4};
     hs_fleet_engines_put(engines, &entry, 1);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     g_usleep(20000);
     for (int headers = 0; headers < 10; headers++)
         hs_engine_lease_note_head(lease);
--- a/tests/unit/test_pace_play.c
+++ b/tests/unit/test_pace_play.c
@@ -121,7 +121,7 @@
 static int spread_engine(const simulation *state, int decider, int first, const int *running,
                          int now_ms) {
     hs_engine_candidate view[ENGINES];
-    hs_engine_tie_break turn = {.draw = g_rand_double(state->random), .first = (size_t)first};
+    hs_engine_tie_break tie_break = {.draw = g_rand_double(state->random), .first = (size_t)first};
     for (int index = 0; index < ENGINES; index++) {
         const observation *observed = view_of(state, decider, index, now_ms);
         bool is_polled = running[index] >= 0;
@@ -132,7 +132,7 @@
             .pace =
                 hs_engine_pace_factor(&observed->pace, state->speed.event_ms, (uint64_t)now_ms)};
     }
-    return hs_engine_spread_pick(view, ENGINES, &turn, &state->speed);
+    return hs_engine_spread_pick(view, ENGINES, &tie_break, &state->speed);
 }
 
 /** Polls the arbiter of the chosen engine, and chooses again while that engine is full. */
--- a/tests/unit/test_refusal.c
+++ b/tests/unit/test_refusal.c
@@ -210,7 +210,7 @@
     hs_engine_query query = {.service = "svc"};
     hs_engine_lease *leases[6];
     for (size_t index = 0; index < G_N_ELEMENTS(leases); index++)
-        leases[index] = hs_fleet_engines_take(engines, &query);
+        leases[index] = hs_fleet_engines_acquire(engines, &query);
     hs_service_outlook present = hs_fleet_engines_outlook(engines, "svc");
     CU_ASSERT_EQUAL(present.engines, 1);
     CU_ASSERT_EQUAL(present.slots, 4);
@@ -258,7 +258,7 @@
     report_online(engines, "e1", 3);
     CU_ASSERT_EQUAL(free_slots, 3);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease_release(hs_fleet_engines_take(engines, &query), NULL, HS_ATTEMPT_SERVED);
+    hs_engine_lease_release(hs_fleet_engines_acquire(engines, &query), NULL, HS_ATTEMPT_SERVED);
     CU_ASSERT_EQUAL(free_slots, 4);
     hs_fleet_engines_free(engines);
 }
--- a/tests/unit/test_routing.c
+++ b/tests/unit/test_routing.c
@@ -53,7 +53,7 @@
 typedef struct {
     hs_engine_table *table;
     hs_engine_group group;
-    hs_engine_query query;
+    hs_routing_query query;
 } table_fixture;
 
 static void open_table(table_fixture *fixture) {
@@ -62,7 +62,7 @@
     fixture->table = hs_engine_table_new("daemon", "z", &settings);
     fixture->group =
         (hs_engine_group){.name = (char *)"g", .selector = json_pack("{s:s}", "service", "s")};
-    fixture->query = (hs_engine_query){.group = &fixture->group, .model = "m", .prefix_hash = 1};
+    fixture->query = (hs_routing_query){.group = &fixture->group, .model = "m", .prefix_hash = 1};
     json_t *labels = json_pack("{s:s}", "service", "s");
     hs_engine_table_begin_listing(fixture->table);
     hs_engine_table_put_listed(fixture->table, "a", "http://127.0.0.1:1", "z", labels, false);
@@ -76,8 +76,8 @@
     hs_engine_table_free(fixture->table);
 }
 
-static bool take_and_finish(table_fixture *fixture, hs_attempt_verdict verdict, uint64_t now_ms,
-                            char id[64]) {
+static bool acquire_and_finish(table_fixture *fixture, hs_attempt_verdict verdict, uint64_t now_ms,
+                               char id[64]) {
     hs_engine_choice choice;
     if (!hs_engine_table_acquire(fixture->table, &fixture->query, now_ms, &choice))
         return false;
@@ -91,9 +91,9 @@
     open_table(&fixture);
     char first[64];
     char next[64];
-    CU_ASSERT_TRUE(take_and_finish(&fixture, HS_ATTEMPT_LEAVING, 1, first));
+    CU_ASSERT_TRUE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_LEAVING, 1, first));
     for (int round = 0; round < 20; round++) {
-        CU_ASSERT_TRUE(take_and_finish(&fixture, HS_ATTEMPT_COMPLETED, 2, next));
+        CU_ASSERT_TRUE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_COMPLETED, 2, next));
         CU_ASSERT_STRING_NOT_EQUAL(first, next);
     }
     close_table(&fixture);
@@ -121,12 +121,12 @@
     hs_engine_table_end_listing(fixture.table);
     json_decref(labels);
     char id[64];
-    CU_ASSERT_TRUE(take_and_finish(&fixture, HS_ATTEMPT_FAILED, 1, id));
-    CU_ASSERT_TRUE(take_and_finish(&fixture, HS_ATTEMPT_FAILED, 2, id));
-    CU_ASSERT_FALSE(take_and_finish(&fixture, HS_ATTEMPT_COMPLETED, 50, id));
-    CU_ASSERT_TRUE(take_and_finish(&fixture, HS_ATTEMPT_FAILED, 103, id));
-    CU_ASSERT_FALSE(take_and_finish(&fixture, HS_ATTEMPT_COMPLETED, 250, id));
-    CU_ASSERT_TRUE(take_and_finish(&fixture, HS_ATTEMPT_COMPLETED, 310, id));
+    CU_ASSERT_TRUE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_FAILED, 1, id));
+    CU_ASSERT_TRUE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_FAILED, 2, id));
+    CU_ASSERT_FALSE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_COMPLETED, 50, id));
+    CU_ASSERT_TRUE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_FAILED, 103, id));
+    CU_ASSERT_FALSE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_COMPLETED, 250, id));
+    CU_ASSERT_TRUE(acquire_and_finish(&fixture, HS_ATTEMPT_VERDICT_COMPLETED, 310, id));
     close_table(&fixture);
 }
 
--- a/tests/unit/test_shares.c
+++ b/tests/unit/test_shares.c
@@ -587,10 +587,10 @@
     double high = TOTAL_SLOTS;
     for (int round = 0; round < 60; round++) {
         double share = (low + high) / 2;
-        double taken = 0;
+        double used_slots = 0;
         for (uint32_t tenant = 0; tenant < TENANTS; tenant++)
-            taken += fmin(offered[tenant], share);
-        *(taken > TOTAL_SLOTS ? &high : &low) = share;
+            used_slots += fmin(offered[tenant], share);
+        *(used_slots > TOTAL_SLOTS ? &high : &low) = share;
     }
     return low;
 }
--- a/tests/unit/test_slots.c
+++ b/tests/unit/test_slots.c
@@ -194,7 +194,7 @@
         hs_interrupt_init(&flags[index]);
         hs_engine_query query = {
             .service = "svc", .work = HS_WORK_BATCH, .preemption_flag = &flags[index]};
-        leases[index] = hs_fleet_engines_take(engines, &query);
+        leases[index] = hs_fleet_engines_acquire(engines, &query);
         CU_ASSERT_PTR_NOT_NULL_FATAL(leases[index]);
     }
     CU_ASSERT_EQUAL(observed.started, 2);
@@ -208,7 +208,7 @@
     hs_engine_load_report total = {.engine_hash = hash, .online = 6, .batch = 2};
     hs_fleet_engines_put_report(engines, &total); /* Six online requests of other daemons. */
     hs_engine_query one_more = {.service = "svc", .work = HS_WORK_BATCH};
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &one_more));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &one_more));
     for (int index = 0; index < 2; index++)
         hs_engine_lease_release(leases[index], NULL, HS_ATTEMPT_DROPPED);
     CU_ASSERT_EQUAL(observed.count, 4);
@@ -243,7 +243,7 @@
 
 static hs_lease_confirmation confirm_lease(hs_fleet_engines *engines) {
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     hs_lease_confirmation confirmation = hs_engine_lease_confirm(lease, 20);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     return confirmation;
@@ -265,7 +265,7 @@
     arbiter.reports_failing = true;
     CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_ENGINE_FAILING);
     hs_engine_query item = {.service = "svc", .work = HS_WORK_BATCH};
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &item)); /* The engine is suspected. */
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &item)); /* The engine is suspected. */
     arbiter.is_silent = true;
     uint64_t start_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(confirm_lease(engines), HS_LEASE_UNCONFIRMED);
@@ -282,7 +282,7 @@
     hs_interrupt flag;
     hs_interrupt_init(&flag);
     hs_engine_query query = {.service = "svc", .work = HS_WORK_BATCH, .preemption_flag = &flag};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     CU_ASSERT_EQUAL(hs_fleet_engines_preempt_items(engines, hs_hash_bytes("e1", 2), 1), 1);
     uint64_t start_ms = hs_clock_monotonic_ms();
     CU_ASSERT_EQUAL(hs_engine_lease_confirm(lease, 2000), HS_LEASE_OVERLOADED);
--- a/tests/unit/test_spread.c
+++ b/tests/unit/test_spread.c
@@ -27,7 +27,7 @@
 typedef enum { AT_RANDOM, BY_REPORTS, BY_CHEAPEST_REPORT, BY_EXACT_LOAD } policy;
 
 typedef struct {
-    double utilization;     /**< Share of all slots; of a step load, while it is high. */
+    double utilisation;     /**< Share of all slots; of a step load, while it is high. */
     double low_utilization; /**< Share of all slots while a step load is low. */
     policy chosen_by;
 } load;
@@ -93,9 +93,9 @@
 }
 
 static int choose_index(const hs_engine_candidate *view, GRand *random) {
-    hs_engine_tie_break turn = {.draw = g_rand_double(random),
-                                .first = (size_t)g_rand_int_range(random, 0, ENGINES)};
-    return hs_engine_spread_pick(view, ENGINES, &turn, &speed);
+    hs_engine_tie_break tie_break = {.draw = g_rand_double(random),
+                                     .first = (size_t)g_rand_int_range(random, 0, ENGINES)};
+    return hs_engine_spread_pick(view, ENGINES, &tie_break, &speed);
 }
 
 static int count_free(const hs_engine_candidate *view) {
@@ -123,8 +123,8 @@
     return &fleet[chosen];
 }
 
-static double utilization_at(const load *offered, int now_ms) {
-    return now_ms % PERIOD_MS < HIGH_LOAD_MS ? offered->utilization : offered->low_utilization;
+static double utilisation_at(const load *offered, int now_ms) {
+    return now_ms % PERIOD_MS < HIGH_LOAD_MS ? offered->utilisation : offered->low_utilization;
 }
 
 /**
@@ -143,8 +143,8 @@
         all += sums[index];
         sums[index] = 0;
     }
-    bool is_high = now_ms > RUN_MS && utilization_at(offered, now_ms) == offered->utilization &&
-                   utilization_at(offered, now_ms - RUN_MS) == offered->utilization;
+    bool is_high = now_ms > RUN_MS && utilisation_at(offered, now_ms) == offered->utilisation &&
+                   utilisation_at(offered, now_ms - RUN_MS) == offered->utilisation;
     return is_high ? max_sum * ENGINES / all : 0;
 }
 
@@ -172,7 +172,7 @@
     for (int now_ms = 0; now_ms < SIMULATION_MS; now_ms++) {
         for (int index = 0; index < ENGINES; index++)
             end_runs(&fleet[index], now_ms);
-        double rate = utilization_at(offered, now_ms) * ENGINES * SLOTS / RUN_MS;
+        double rate = utilisation_at(offered, now_ms) * ENGINES * SLOTS / RUN_MS;
         due_requests += -rate * log(1 - g_rand_double(random));
         int arriving = (int)due_requests;
         due_requests -= arriving;
@@ -213,16 +213,16 @@
         mean.connected += result.connected / (double)SEEDS;
     }
     g_debug("use %.2f %.2f policy %d: p99 %.0f ms late %.4f ratio %.2f polls %.2f connected %.2f",
-            offered.utilization, offered.low_utilization, chosen_by, mean.wait_p99_ms,
+            offered.utilisation, offered.low_utilization, chosen_by, mean.wait_p99_ms,
             mean.late_share, mean.max_load_ratio, mean.polls, mean.connected);
     return mean;
 }
 
 typedef enum { PARTIAL_LOAD, FULL_LOAD, STEP_LOAD, LOADS } load_kind;
 
-static const load loads[] = {[PARTIAL_LOAD] = {.utilization = 0.85, .low_utilization = 0.85},
-                             [FULL_LOAD] = {.utilization = 0.95, .low_utilization = 0.95},
-                             [STEP_LOAD] = {.utilization = 0.95, .low_utilization = 0.20}};
+static const load loads[] = {[PARTIAL_LOAD] = {.utilisation = 0.85, .low_utilization = 0.85},
+                             [FULL_LOAD] = {.utilisation = 0.95, .low_utilization = 0.95},
+                             [STEP_LOAD] = {.utilisation = 0.95, .low_utilization = 0.20}};
 
 static outcome outcomes[LOADS][BY_EXACT_LOAD + 1];
 
@@ -311,9 +311,9 @@
                                                 .running = g_rand_int_range(random, 0, 16),
                                                 .same_zone = index % 2,
                                                 .is_connected = index % 3 == 0};
-        hs_engine_tie_break turn = {.draw = g_rand_double(random), .first = (size_t)trial};
-        CU_ASSERT_EQUAL(hs_engine_spread_pick(view, ENGINES, &turn, &speed),
-                        hs_engine_choice_pick(view, ENGINES, turn.first, &speed));
+        hs_engine_tie_break tie_break = {.draw = g_rand_double(random), .first = (size_t)trial};
+        CU_ASSERT_EQUAL(hs_engine_spread_pick(view, ENGINES, &tie_break, &speed),
+                        hs_engine_choice_pick(view, ENGINES, tie_break.first, &speed));
     }
 }
 
--- a/tests/unit/test_suspicion.c
+++ b/tests/unit/test_suspicion.c
@@ -59,9 +59,9 @@
 /** Sends one request until no engine takes it. Returns how often it was sent to a dead engine. */
 static uint32_t send_until_held(hs_fleet_engines *engines) {
     uint32_t sends = 0;
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &new_request);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &new_request);
     for (; lease != NULL && sends < MAX_SENDS;
-         lease = hs_fleet_engines_take(engines, &new_request)) {
+         lease = hs_fleet_engines_acquire(engines, &new_request)) {
         sends += is_dead(lease);
         hs_engine_lease_release(lease, NULL,
                                 is_dead(lease) ? HS_ATTEMPT_UNREACHABLE : HS_ATTEMPT_DROPPED);
@@ -90,18 +90,18 @@
     fill_healthy(engines);
     hs_engine_lease *probes[DEAD_ENGINES];
     for (int index = 0; index < DEAD_ENGINES; index++) {
-        probes[index] = hs_fleet_engines_take(engines, &new_request);
+        probes[index] = hs_fleet_engines_acquire(engines, &new_request);
         CU_ASSERT_PTR_NOT_NULL_FATAL(probes[index]);
         CU_ASSERT_TRUE(is_dead(probes[index]));
     }
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &new_request));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &new_request));
     hs_engine_lease_release(probes[0], NULL,
                             HS_ATTEMPT_DROPPED); /* No result: the next one probes. */
-    probes[0] = hs_fleet_engines_take(engines, &new_request);
+    probes[0] = hs_fleet_engines_acquire(engines, &new_request);
     CU_ASSERT_PTR_NOT_NULL_FATAL(probes[0]);
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &new_request));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &new_request));
     hs_engine_lease_note_received(probes[0]);
-    hs_engine_lease *next = hs_fleet_engines_take(engines, &new_request);
+    hs_engine_lease *next = hs_fleet_engines_acquire(engines, &new_request);
     CU_ASSERT_PTR_NOT_NULL_FATAL(next);
     CU_ASSERT_STRING_EQUAL(hs_engine_lease_id(next), hs_engine_lease_id(probes[0]));
     hs_engine_lease_release(next, NULL, HS_ATTEMPT_SERVED);
@@ -115,21 +115,21 @@
     hs_fleet_engines *engines = hs_fleet_engines_new("z");
     list_engine(engines, "d0");
     for (int sends = 0; sends < 3; sends++) {
-        hs_engine_lease *lease = hs_fleet_engines_take(engines, &new_request);
+        hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &new_request);
         CU_ASSERT_PTR_NOT_NULL_FATAL(lease);
         hs_engine_lease_release(lease, NULL, HS_ATTEMPT_UNREACHABLE);
     }
     list_engine(engines, "s0");
     fill_healthy(engines);
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &new_request));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &new_request));
     const char *attempted[] = {"s0"};
     g_autoptr(GPtrArray) excluded = g_ptr_array_new();
     g_ptr_array_add(excluded, (gpointer)attempted[0]);
     hs_engine_query excluding = new_request;
     excluding.excluded = excluded; /* It was attempted and is full, but healthy. */
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &excluding));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &excluding));
     excluding.has_wait_limit = false;
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &excluding);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &excluding);
     CU_ASSERT_PTR_NOT_NULL_FATAL(lease);
     hs_engine_lease_release(lease, NULL, HS_ATTEMPT_DROPPED);
     hs_fleet_engines_free(engines);
@@ -146,12 +146,12 @@
     g_array_append_vals(announced, shares, G_N_ELEMENTS(shares));
     hs_fleet_engines_put_peer_report(engines, "other", &(hs_peer_report){.shares = announced},
                                      hs_clock_monotonic_ms());
-    hs_engine_lease *probe = hs_fleet_engines_take(engines, &new_request);
+    hs_engine_lease *probe = hs_fleet_engines_acquire(engines, &new_request);
     CU_ASSERT_PTR_NOT_NULL_FATAL(probe);
     CU_ASSERT_TRUE(is_dead(probe));
-    CU_ASSERT_PTR_NULL(hs_fleet_engines_take(engines, &new_request));
+    CU_ASSERT_PTR_NULL(hs_fleet_engines_acquire(engines, &new_request));
     hs_engine_lease_release(probe, NULL, HS_ATTEMPT_SERVED);
-    probe = hs_fleet_engines_take(engines, &new_request);
+    probe = hs_fleet_engines_acquire(engines, &new_request);
     CU_ASSERT_PTR_NOT_NULL_FATAL(probe);
     hs_engine_lease_release(probe, NULL, HS_ATTEMPT_SERVED);
     hs_fleet_engines_free(engines);
--- a/tests/unit/test_words.c
+++ b/tests/unit/test_words.c
@@ -78,7 +78,7 @@
 static void own_requests_since_a_report_are_added(void) {
     hs_fleet_engines *engines = list_engines(1);
     hs_engine_query query = {.service = "svc"};
-    hs_engine_lease *lease = hs_fleet_engines_take(engines, &query);
+    hs_engine_lease *lease = hs_fleet_engines_acquire(engines, &query);
     hs_engine_load_report report = report_on("e0", 6, 100);
     hs_fleet_engines_put_relayed_report(engines, &report);
     CU_ASSERT_EQUAL(others_on(engines, "e0"), 6);
