--- a/include/heathsail/fleet.h
+++ b/include/heathsail/fleet.h
@@ -108,7 +108,7 @@
     uint32_t slots;
     bool draining;
     uint32_t warmup_left_ms;
-    uint64_t started_at_ms; /**< Wall-clock start time, which tells two starts under one id apart;
+    uint64_t started_at_ms; /**< Wall-clock start time, which distinguishes two starts under one id;
                            0: not reported, each start then has a new id. */
 } hs_engine_entry;
 
--- a/src/base/peer_watch.h
+++ b/src/base/peer_watch.h
@@ -2,8 +2,8 @@
  * @file peer_watch.h
  * Detection of a disconnect by the peer of a socket. Thread-safe.
  *
- * A peer that shut down only its sending side cannot be told from one that closed the connection,
- * so both count as disconnected.
+ * A peer that shut down only its sending side cannot be distinguished from one that closed the
+ * connection, so both count as disconnected.
  */
 #ifndef HS_BASE_PEER_WATCH_H
 #define HS_BASE_PEER_WATCH_H
--- a/src/commands/online_request.h
+++ b/src/commands/online_request.h
@@ -20,7 +20,7 @@
     HS_ONLINE_COMPLETED,
     HS_ONLINE_INVALID,      /**< The engine rejected the request as invalid; it did not run. */
     HS_ONLINE_NOT_RUN,      /**< No engine accepted the request; it did not run. */
-    HS_ONLINE_MAY_HAVE_RUN, /**< It failed after an engine may have received it. */
+    HS_ONLINE_MAY_HAVE_RUN, /**< The request failed after an engine may have received it. */
     HS_ONLINE_DUPLICATE     /**< Another attempt holds the key and its response cannot be read. */
 } hs_online_state;
 
--- a/src/directory/slot_arbiter.h
+++ b/src/directory/slot_arbiter.h
@@ -5,7 +5,7 @@
  *
  * The arbiter of an engine is the live daemon that ranks first for the engine by rendezvous
  * hashing, without election or stored state. While daemons disagree on the arbiter, or the arbiter
- * does not respond, no items are preempted by it; the loads that daemons exchange at intervals
+ * does not respond, the arbiter preempts no items; the loads that daemons exchange at intervals
  * (fleet/engine_peers.c) still lead to preemption, with more delay.
  */
 #ifndef HS_DIRECTORY_SLOT_ARBITER_H
--- a/src/directory/tenant_limiter.c
+++ b/src/directory/tenant_limiter.c
@@ -60,9 +60,9 @@
     uint32_t address;
     uint16_t port;
     hs_limit_reachability reach;
-    uint64_t reached_hash; /**< Hash of the reachable daemons. */
-    uint32_t answering;    /**< Other daemons that are alive. */
-    uint32_t older;        /**< Those of them that started before this one. */
+    uint64_t reached_hash;    /**< Hash of the reachable daemons. */
+    uint32_t alive;           /**< Other daemons that are alive. */
+    uint32_t started_earlier; /**< Those of them that started before this one. */
 } owner_lookup;
 
 hs_tenant_limiter *hs_tenant_limiter_new(hs_membership_service *membership, double tolerance) {
@@ -127,9 +127,9 @@
         if (!is_self && !is_reached(member, &assumptions))
             continue;
         lookup.reach.reached++;
-        lookup.answering += !is_self && member->state == HS_MEMBER_ALIVE;
-        lookup.older += !is_self && member->state == HS_MEMBER_ALIVE &&
-                        member->incarnation + MAX_START_DIFFERENCE_MS < own_start;
+        lookup.alive += !is_self && member->state == HS_MEMBER_ALIVE;
+        lookup.started_earlier += !is_self && member->state == HS_MEMBER_ALIVE &&
+                                  member->incarnation + MAX_START_DIFFERENCE_MS < own_start;
         lookup.reached_hash += hs_hash_bytes(member->id, strlen(member->id));
         uint64_t rank = hs_hash_pair(tenant, member->id);
         if (rank < best)
@@ -179,13 +179,13 @@
                                     uint64_t now_ms) {
     bool is_new = now_ms < limiter->started_ms + LISTED_ALIVE_MS &&
                   g_atomic_int_get(&limiter->is_member_list_read) != 0;
-    if (limiter->is_filled || !is_new || lookup->older > 0 ||
-        2 * lookup->answering < lookup->reach.known)
+    if (limiter->is_filled || !is_new || lookup->started_earlier > 0 ||
+        2 * lookup->alive < lookup->reach.known)
         return;
     limiter->is_filled = true;
     hs_limit_book_fill(limiter->book, now_ms);
     hs_log_info("limits_begin_anew", "answering=%u known=%u age_ms=%" G_GUINT64_FORMAT,
-                lookup->answering, lookup->reach.known, (guint64)(now_ms - limiter->started_ms));
+                lookup->alive, lookup->reach.known, (guint64)(now_ms - limiter->started_ms));
 }
 
 /** Stores a daemon's report of a tenant's use. Returns the tenant's slots at all daemons. */
@@ -279,10 +279,10 @@
     return is_answered;
 }
 
-static void count_decision(hs_tenant_limiter *limiter, bool passes, hs_limit_decider decider) {
+static void count_decision(hs_tenant_limiter *limiter, bool is_admitted, hs_limit_decider decider) {
     g_mutex_lock(&limiter->lock);
-    limiter->counters.passed += passes;
-    limiter->counters.refused += !passes;
+    limiter->counters.admitted += is_admitted;
+    limiter->counters.refused += !is_admitted;
     limiter->counters.by_allowance += decider == HS_LIMIT_BY_ALLOWANCE;
     g_mutex_unlock(&limiter->lock);
 }
--- a/src/directory/tenant_limiter.h
+++ b/src/directory/tenant_limiter.h
@@ -81,7 +81,7 @@
 
 /** Counters for metrics. */
 typedef struct {
-    uint64_t passed;
+    uint64_t admitted;
     uint64_t refused;
     uint64_t by_allowance; /**< Of both, decided by this daemon's allowance. */
     uint64_t tenants;      /**< Tenants with a bucket at this daemon. */
--- a/src/directory/trial_deciders.h
+++ b/src/directory/trial_deciders.h
@@ -24,7 +24,7 @@
 bool hs_trial_deciders_is_skipped(const hs_trial_deciders *deciders, uint64_t incarnation_hash,
                                   uint64_t now_ms);
 
-/** Notes that the daemon refused without a reason. It is skipped from then on. */
+/** Notes that the daemon refused without a reason, so that it is skipped from then on. */
 void hs_trial_deciders_note_no_reason(hs_trial_deciders *deciders, uint64_t incarnation_hash);
 
 /** Notes that the daemon did not respond to a query. */
--- a/src/fleet/crash_ledger.h
+++ b/src/fleet/crash_ledger.h
@@ -17,7 +17,7 @@
  *
  * Losses and acquittals can be merged in any order and repeatedly, so daemons that know the same
  * losses reach the same decisions. Memory is bounded, and records expire some time after the last
- * loss. An engine stands for one incarnation of it, so each engine crashes at most once.
+ * loss. A restarted engine counts as another engine, so each engine crashes at most once.
  *
  * The module does no I/O and reads no clock: times are passed in, in ms of the monotonic clock. A
  * ledger is not thread-safe.
@@ -71,7 +71,7 @@
 uint64_t hs_crash_evidence_suspect_since_ms(const hs_crash_evidence *evidence);
 
 /**
- * Returns whether a lost run had gone on for HS_CRASH_LONG_RUN_MS or more, which suggests another
+ * Returns whether a lost run had lasted for HS_CRASH_LONG_RUN_MS or more, which suggests another
  * cause: a content that crashes engines does so soon after its run starts.
  */
 bool hs_crash_evidence_has_long_run(const hs_crash_evidence *evidence);
--- a/src/fleet/crash_probe.c
+++ b/src/fleet/crash_probe.c
@@ -11,7 +11,7 @@
 #define MAX_QUEUED_RUNS 1024
 /** The thread's wait for the next run, in ms. A stop takes no longer. */
 #define IDLE_POLL_MS 100
-/** The same while engines are being checked. It delays the detection of a crash by no more. */
+/** The same while engines are being checked; bounds the delay of the detection of a crash. */
 #define ACTIVE_POLL_MS 10
 /** Maximum wait for an engine to accept or refuse a connection, in ms. */
 #define PROBE_TIMEOUT_MS 300
--- a/src/fleet/crash_trials.h
+++ b/src/fleet/crash_trials.h
@@ -3,15 +3,16 @@
  * Decides which quarantined contents may have a trial run, which finds out whether they crash
  * engines.
  *
- * A completed run ends a quarantine, but a quarantined content gets no runs. So it may have trial
- * runs, with delays between them and as long as few engines are lost to it, in these cases:
+ * A completed run ends a quarantine, but a quarantined content gets no ordinary runs. The content
+ * may therefore have trial runs, with delays between them and as long as few engines are lost to
+ * the content, in these cases:
  *
- * - Another content was lost with the same engines, so that either may be the cause. Such contents
- *   run one at a time.
- * - A run of it had gone on for long. A content that crashes engines does so soon after its run
- *   starts.
- * - It is accepted work, which this fleet must complete: no caller sends it again, so nothing else
- *   can end its quarantine. Without one of the other reasons, the delays are longer.
+ * - Another content was lost with the same engines, so either content may be the cause. Such
+ *   contents run one at a time.
+ * - A run of the content had lasted for a long time before its loss. A content that crashes engines
+ *   does so soon after its run starts.
+ * - The content is accepted work, which this fleet must complete: no caller sends it again, so
+ *   nothing else can end its quarantine. Without one of the other reasons, the delays are longer.
  *
  * A content that only callers send and that has none of these reasons gets no trial run.
  *
@@ -61,8 +62,8 @@
 /** Frees the object. NULL is allowed. */
 void hs_crash_trials_free(hs_crash_trials *trials);
 
-/** Returns HS_TRIAL_GRANTED if nothing but other trial runs can stand against a trial run of the
- * candidate, else the reason for refusing it. */
+/** Checks the conditions that do not depend on other trial runs. Returns HS_TRIAL_GRANTED if the
+ * candidate meets them, else the reason for refusing a trial run. */
 hs_trial_verdict hs_crash_trials_check(const hs_trial_candidate *candidate);
 
 /** Decides whether the candidate may run once now, and records the trial run if so. */
--- a/src/fleet/engine_attempt.c
+++ b/src/fleet/engine_attempt.c
@@ -130,9 +130,9 @@
 /**
  * Takes a lease on an engine and confirms it with the engine's arbiter, since local estimates may
  * be outdated. An engine reported as failing is rejected and another one is checked, as is, for an
- * online request, an overloaded one; after the last check an online request is sent anyway. A batch
- * item that the engine would preempt ends as interrupted. Returns false if the request is not to be
- * sent.
+ * online request, an overloaded one; after the last check an online request is sent regardless. A
+ * batch item that the engine would preempt ends as interrupted. Returns false if the request is not
+ * to be sent.
  */
 static bool select_engine(hs_fleet_engines *engines, const hs_attempt_parameters *parameters,
                           hs_attempt *attempt) {
--- a/src/fleet/engine_attempt.h
+++ b/src/fleet/engine_attempt.h
@@ -61,7 +61,7 @@
 
 /**
  * Chooses an engine, connects, sends the request and reads the response head. Returns true if a
- * head was read; otherwise @p attempt tells how far the attempt got.
+ * head was read; otherwise @p attempt shows how far the attempt got.
  */
 bool hs_attempt_start(hs_fleet_engines *engines, const hs_attempt_parameters *parameters,
                       hs_attempt *attempt);
--- a/src/fleet/engine_choice.h
+++ b/src/fleet/engine_choice.h
@@ -8,9 +8,9 @@
  * engines are chosen only if no other engine is left.
  *
  * The engine's pace scales only the terms that grow with the engine's load: the queued tokens, the
- * wait for a slot and the concurrent runs. It does not scale the terms that an idle engine has too.
- * Such a fixed advantage would not shrink as requests arrive, so all daemons with old reports would
- * fill the same fast engines.
+ * wait for a slot and the concurrent runs. The pace does not scale the terms that an idle engine
+ * has too. Such a fixed advantage would not shrink as requests arrive, so all daemons with old
+ * reports would fill the same fast engines.
  */
 #ifndef HS_FLEET_ENGINE_CHOICE_H
 #define HS_FLEET_ENGINE_CHOICE_H
--- a/src/fleet/engine_peers.c
+++ b/src/fleet/engine_peers.c
@@ -15,8 +15,8 @@
 /** Shortest time between two sums over daemons. */
 #define SUM_INTERVAL_MS 50
 /**
- * Time for which requests exceed an engine's slots before a daemon preempts items by itself. The
- * engine's arbiter, if it responds, preempts items much sooner.
+ * Time for which requests exceed an engine's slots before a daemon preempts items without a
+ * request of the engine's arbiter. An arbiter that responds preempts items much sooner.
  */
 #define MIN_EXCESS_MS 300
 /** Time until all daemons know of preempted items. */
--- a/src/fleet/engine_uses.c
+++ b/src/fleet/engine_uses.c
@@ -15,7 +15,8 @@
 /** Time for which an engine's use is still sent after its last request, in case of message loss. */
 #define RECENT_USE_MS 1500
 
-/** Current preemption rank. It falls as the item runs: the time left and the time needed shrink. */
+/** Current preemption rank. The rank falls as the item runs, since both the time left and the time
+ * needed shrink. */
 static int32_t current_rank(const hs_engine_lease *lease, uint64_t now_ms) {
     int64_t rank_ms = lease->rank_ms - 2 * (int64_t)(now_ms - lease->acquired_ms);
     return (int32_t)MAX(rank_ms, 0);
--- a/src/fleet/fleet_engine.h
+++ b/src/fleet/fleet_engine.h
@@ -12,7 +12,8 @@
 #include "fleet/prefix_index.h"
 #include "tenants/tenant_runs.h"
 
-/** Start times of own requests kept per engine, to tell which of them a load report includes. */
+/** Start times of own requests kept per engine, to determine which of them a load report includes.
+ */
 #define HS_MAX_RECENT_STARTS 8
 
 /** One engine. Counts are of this daemon's requests unless a comment says otherwise. */
@@ -61,8 +62,8 @@
     double mean_queued;
     uint64_t recent_starts_ms[HS_MAX_RECENT_STARTS]; /**< Ring: starts of online requests. */
     uint32_t start_count;                            /**< Wraps. */
-    uint64_t reported_failing_at_ms; /**< Time of the last report if it says that the engine fails;
-                                          0: it says that the engine is healthy. */
+    uint64_t reported_failing_at_ms; /**< Time of the last report if the engine fails by it; 0:
+                                          the engine is healthy by the last report. */
     uint32_t served_count;
     uint32_t failed_count;
     uint64_t run_events;      /**< Events of runs after the first of each run. */
--- a/src/fleet/fleet_engines.c
+++ b/src/fleet/fleet_engines.c
@@ -104,7 +104,7 @@
 
 /**
  * Hash that identifies one start of an engine. Two starts under one id are separate engines: load
- * and health of the one say nothing about the other.
+ * and health of one are no evidence about the other.
  */
 static uint64_t start_identity(const hs_engine_entry *entry) {
     uint64_t id = hs_hash_bytes(entry->id, strlen(entry->id));
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -150,7 +150,7 @@
 /** Figures behind the choice of the lease's engine. */
 hs_engine_reasons hs_engine_lease_reasons(const hs_engine_lease *lease);
 
-/** Response of the engine's arbiter to a new lease. */
+/** Response of the engine's arbiter to a new lease, or the lack of one. */
 typedef enum {
     HS_LEASE_CONFIRMED, /**< A slot is free, or a batch item is preempted to free one. */
     /** The batch item is to be preempted; an online request would wait for slots or prompts. */
@@ -243,7 +243,7 @@
     double batch;
 } hs_service_capacity;
 
-/** State of a service, for deciding on a request that no engine took. */
+/** State of a service, for deciding on a request that no engine accepted. */
 typedef struct {
     bool is_known;    /**< The store's list was read to its end since the start. */
     uint32_t engines; /**< Engines listed and not draining. */
@@ -253,8 +253,8 @@
     double waiting;   /**< Online requests beyond their engine's slots. */
     double run_ms;    /**< Mean time of recent online runs. */
     uint64_t min_first_byte_ms; /**< Shortest recent time to a first byte; 0: unknown. */
-    uint64_t next_probe_in_ms;  /**< Until this daemon's first suspicion runs out; 0: one engine has
-                                   none. */
+    uint64_t next_probe_in_ms;  /**< Time until this daemon may probe the first suspected engine; 0:
+                                   at least one engine is not suspected by this daemon. */
     uint64_t absent_ms;         /**< How long the service has had no engine; 0: it has one. */
     uint64_t last_absence_ms;   /**< Length of the previous time without an engine; 0: none. */
     uint64_t listed_age_ms;     /**< Since the store last listed any of the engines. */
--- a/src/fleet/request_content.h
+++ b/src/fleet/request_content.h
@@ -1,7 +1,7 @@
 /**
  * @file request_content.h
  * Identifies the content of a request by a hash that is equal on all daemons for requests that an
- * engine can't tell apart. Pure function.
+ * engine can't distinguish. Pure function.
  */
 #ifndef HS_FLEET_REQUEST_CONTENT_H
 #define HS_FLEET_REQUEST_CONTENT_H
--- a/src/http/connection_probe.h
+++ b/src/http/connection_probe.h
@@ -19,7 +19,7 @@
 
 /**
  * Connects and waits for a complete response. Returns HS_STEP_COMPLETE if the listener accepted the
- * connection and responded. Otherwise the result says how the probe failed: HS_STEP_DEADLINE at
+ * connection and responded. Otherwise the result is how the probe failed: HS_STEP_DEADLINE at
  * @p deadline, HS_STEP_CUT for example without a free descriptor or thread. Only one probe of a
  * listener may run at a time.
  */
--- a/src/jobs/job_partition.c
+++ b/src/jobs/job_partition.c
@@ -47,9 +47,9 @@
 
 hs_deadline hs_job_partition_append_deadline(const hs_job_partition *partition, uint32_t attempt,
                                              size_t bytes, hs_deadline limit) {
-    uint64_t patience_ms =
+    uint64_t timeout_ms =
         hs_store_client_write_timeout_ms(partition->settings.store, attempt, bytes);
-    hs_deadline deadline = hs_clock_monotonic_ms() + patience_ms;
+    hs_deadline deadline = hs_clock_monotonic_ms() + timeout_ms;
     return MIN(deadline, limit);
 }
 
--- a/src/jobs/job_partition.h
+++ b/src/jobs/job_partition.h
@@ -33,7 +33,7 @@
 
 /**
  * Returns whether the fold is known to hold all records that the log held at @p since_ms
- * (monotonic). It does not after the daemon was suspended or lost contact with the store.
+ * (monotonic). False after the daemon was suspended or lost contact with the store.
  */
 bool hs_job_partition_is_current(hs_job_partition *partition, uint64_t since_ms);
 
--- a/src/jobs/job_plan.h
+++ b/src/jobs/job_plan.h
@@ -12,7 +12,7 @@
 /** Excluded items have ranks from this value on. */
 #define HS_EXCLUDED_RANK_BASE 1000000000
 
-/** An item without a result, as seen by one scheduler pass. */
+/** An item without a result, as of one scheduler pass. */
 typedef struct {
     hs_owned_job_partition *partition;
     hs_owned_item *item;
--- a/src/jobs/job_relay.c
+++ b/src/jobs/job_relay.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 /**
- * Maximum number of owners asked for one append. Enough to find one that reaches the store while
+ * Maximum number of owners queried for one append. Enough to find one that reaches the store while
  * the store rejects a third of the daemons.
  */
 #define MAX_PEERS_ASKED 6
--- a/src/jobs/job_relay.h
+++ b/src/jobs/job_relay.h
@@ -16,8 +16,8 @@
 typedef struct hs_job_relay hs_job_relay;
 
 /**
- * Creates a relay. @p daemons: directory of the daemons to ask; both pointers are borrowed for the
- * lifetime of the relay.
+ * Creates a relay. @p daemons: directory of the daemons to query; both pointers are borrowed for
+ * the lifetime of the relay.
  */
 hs_job_relay *hs_job_relay_new(hs_daemon_directory *daemons, hs_store_client *store,
                                uint32_t part_count);
--- a/src/jobs/start_pace.h
+++ b/src/jobs/start_pace.h
@@ -5,9 +5,9 @@
  * Estimates lag behind by some hundred ms, and free slots of a service are not free on each engine.
  * While online demand fills the engines, arbiters would reject the started items, or preempt them
  * soon, in each pass of each owner. If more starts fail than succeed, the share of the capacity
- * that is used is halved, down to one start in several passes; if more succeed, it is multiplied by
- * four. If the estimated free slots clearly exceed those at the last failure, all of them are used.
- * Pure functions; the caller synchronises access.
+ * that is used is halved, down to one start in several passes; if more succeed, the share is
+ * multiplied by four. If the estimated free slots clearly exceed those at the last failure, all of
+ * them are used. Pure functions; the caller synchronises access.
  */
 #ifndef HS_JOBS_START_PACE_H
 #define HS_JOBS_START_PACE_H
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -62,7 +62,7 @@
     uint16_t admin_port;
     uint64_t config_offset;
     GArray *owned;              /**< Of hs_owned_partition. */
-    GPtrArray *leaving_engines; /**< Of char*: engines that announced their leaving to it. */
+    GPtrArray *leaving_engines; /**< Of char*: leaving engines reported by the member. */
     hs_machine_size size;
     uint64_t state_since_ms;
     uint32_t sent_count; /**< Times sent as gossip since the last change to relay. */
--- a/src/online/admission.c
+++ b/src/online/admission.c
@@ -37,7 +37,7 @@
     return pressure->is_short || (is_head_overdue && !has_ample_slots);
 }
 
-/** Ignores smaller ages: timeouts vary by a few ms, and no caller is told to return sooner. */
+/** Ignores smaller ages: timeouts vary by a few ms, and no caller is sent a shorter retry time. */
 static bool is_returning_caller(const hs_admission_view *view) {
     return view->age_ms >= HS_RETRY_AFTER_MIN_MS;
 }
--- a/src/online/admission.h
+++ b/src/online/admission.h
@@ -40,7 +40,7 @@
 
 typedef struct {
     hs_admission_verdict verdict;
-    bool may_try;         /**< Engines may be asked for a slot now. */
+    bool may_try;         /**< An attempt at engines may be made now. */
     uint64_t expected_ms; /**< Expected time until a slot is free for the request. */
     uint64_t max_hold_ms; /**< How long from now the request can be held and still be in time. */
     uint64_t begin_ms;    /**< Time within which an engine must start it to be in time. */
--- a/src/online/event_stream.h
+++ b/src/online/event_stream.h
@@ -17,8 +17,8 @@
  * known event.
  *
  * A run must start with the event that follows last_id; a stream that starts anywhere else is
- * rejected. All attempts of a request carry the same id, so the first event id is what tells the
- * response to this attempt from a delayed response to an earlier one (see also
+ * rejected. All attempts of a request carry the same id, so only the first event id
+ * distinguishes the response to this attempt from a delayed response to an earlier one (see also
  * hs_engine_lease_connect). Before the first event a stream may start with any id.
  */
 typedef struct {
--- a/src/online/fair_claim.h
+++ b/src/online/fair_claim.h
@@ -18,7 +18,7 @@
 typedef struct {
     double used_slots;   /**< Slots its tenant recently requested at all daemons; 0: unknown. */
     uint32_t rank;       /**< Urgency of its kind; 0 is the most urgent. */
-    bool is_in_time;     /**< It can still be answered within its objective. */
+    bool is_in_time;     /**< The request can still meet its objective. */
     uint64_t arrived_ms; /**< Monotonic time. */
     uint64_t deadline_ms;
 } hs_queue_priority;
--- a/src/online/fair_level.c
+++ b/src/online/fair_level.c
@@ -20,7 +20,7 @@
 #define TARGET_FREE_RATIO 0.02
 /**
  * The share halves in this time if no slot is free, and doubles if twice TARGET_FREE_RATIO are.
- * It must be longer than a run, since a change takes that long to show.
+ * This time must be longer than a run, since a change takes that long to show.
  */
 #define ADJUST_TIME_MS 6000
 /** While the service is full, the share falls faster in proportion to the expected wait. */
--- a/src/online/held_requests.h
+++ b/src/online/held_requests.h
@@ -3,7 +3,7 @@
  * Requests that a daemon holds until an engine has a free slot, by service. A slot that becomes
  * free wakes the first request in the order of hs_queue_priority. Thread-safe.
  *
- * Daemons do not learn of every free slot, and another daemon may take it first. So each held
+ * A daemon does not learn of every free slot, and another daemon may use the slot first. Each held
  * request also tries again after a pause.
  */
 #ifndef HS_ONLINE_HELD_REQUESTS_H
@@ -71,7 +71,7 @@
 
 hs_held_counters hs_held_requests_get_counters(hs_held_requests *held);
 
-/** Minimum time between two wake-ups of a request: each attempt asks up to three arbiters. */
+/** Minimum time between two wake-ups of a request: each attempt queries up to three arbiters. */
 #define HS_HELD_MIN_WAKE_INTERVAL_MS 15
 
 /** How often a held request's connection to its caller is checked. */
--- a/src/online/hold_queue.c
+++ b/src/online/hold_queue.c
@@ -5,7 +5,7 @@
 
 /**
  * Time constant of the count of placed requests, and the longest observation time. It is close to
- * callers' timeouts, so that requests are not held in vain if none was placed within it.
+ * callers' timeouts, so that requests are not held for longer if none was placed within this time.
  */
 #define OBSERVATION_MS 5000.0
 /** The observation restarts after no request was held for this long. */
--- a/src/online/online_refusal.c
+++ b/src/online/online_refusal.c
@@ -78,7 +78,7 @@
     request->tries += request->admission.may_try;
 }
 
-/** Returns how long a held request waits for a wake-up before it asks engines again. */
+/** Returns how long a held request waits for a wake-up before another attempt at engines. */
 static uint64_t pause_ms(const hs_online_request *request, const hs_refusal_choice *choice) {
     const hs_admission_choice *admission = &request->admission;
     switch (admission->verdict) {
--- a/src/online/refusal_choice.c
+++ b/src/online/refusal_choice.c
@@ -6,7 +6,7 @@
 
 #include <math.h>
 
-/** Shortest pause between two attempts, each of which asks several engines. */
+/** Shortest pause between two attempts, each of which tries several engines. */
 #define MIN_PAUSE_MS 15
 /** The pause is the expected wait divided by this, */
 #define EXPECTED_WAIT_DIVISOR 4
@@ -42,8 +42,8 @@
     return choice;
 }
 
-/** Whether waiting is in vain: the service has no engine, or the wait exceeds the deadline. */
-static bool is_wait_in_vain(const hs_refusal_view *view, const hs_refusal_choice *choice) {
+/** Whether waiting is pointless: the service has no engine, or the wait exceeds the deadline. */
+static bool is_wait_pointless(const hs_refusal_view *view, const hs_refusal_choice *choice) {
     const hs_service_outlook *service = &view->service;
     if (service->is_known && service->engines == 0)
         return true;
@@ -59,7 +59,7 @@
     choice.pause_ms = (uint64_t)fmin(fmax(pause_ms, MIN_PAUSE_MS), HS_MAX_HELD_RETRY_PAUSE_MS);
     if (choice.pause_ms >= view->left_ms)
         choice.verdict = HS_REFUSAL_OVER;
-    else if (view->may_have_run || !is_wait_in_vain(view, &choice))
+    else if (view->may_have_run || !is_wait_pointless(view, &choice))
         choice.verdict = HS_REFUSAL_HOLD;
     return choice;
 }
--- a/src/online/refusal_choice.h
+++ b/src/online/refusal_choice.h
@@ -16,7 +16,7 @@
     uint64_t left_ms;   /**< Time until the request's deadline. */
     uint64_t drain_ms;  /**< See hs_hold_queue_expected_ms; 0: unknown. */
     uint64_t waited_ms; /**< Time since the request arrived. */
-    bool may_have_run;  /**< An engine may have run it, and it is safe to repeat. */
+    bool may_have_run;  /**< An engine may have run the request, which is repeatable. */
 } hs_refusal_view;
 
 typedef enum {
@@ -25,13 +25,13 @@
     HS_REFUSAL_SUSPECTED, /**< All engines failed; none is expected back in time. */
     HS_REFUSAL_QUEUE,     /**< No slot is expected to become free in time. */
     HS_REFUSAL_OVER,      /**< The deadline is too close for another attempt. */
-    HS_REFUSAL_SHORT,     /**< It would miss its objective; see admission.h. */
+    HS_REFUSAL_SHORT,     /**< The request would miss its objective; see admission.h. */
     HS_REFUSAL_VERDICT_COUNT,
 } hs_refusal_verdict;
 
 typedef struct {
     hs_refusal_verdict verdict;
-    uint64_t expected_ms; /**< Expected time until an engine can accept it. */
+    uint64_t expected_ms; /**< Expected time until an engine can accept the request. */
     uint64_t pause_ms;    /**< Time until the next attempt. */
 } hs_refusal_choice;
 
--- a/src/online/retry_after.h
+++ b/src/online/retry_after.h
@@ -24,7 +24,7 @@
 
 /**
  * Returns the time to send to one caller: between @p expected_ms and twice that, at least
- * HS_RETRY_AFTER_MIN_MS. It is spread by @p caller, a hash of the request's identity, so that
+ * HS_RETRY_AFTER_MIN_MS. The time is spread by @p caller, a hash of the request's identity, so that
  * callers refused together do not return together.
  */
 uint64_t hs_retry_after_spread_ms(uint64_t expected_ms, uint64_t caller);
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -82,7 +82,7 @@
                            "heathsail_tenant_asks{verdict=\"refused\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_tenant_asks_without_home %" G_GUINT64_FORMAT "\n"
                            "heathsail_tenant_buckets %" G_GUINT64_FORMAT "\n",
-                           (guint64)counters.passed, (guint64)counters.refused,
+                           (guint64)counters.admitted, (guint64)counters.refused,
                            (guint64)counters.by_allowance, (guint64)counters.tenants);
 }
 
--- a/src/tenants/limit_book.c
+++ b/src/tenants/limit_book.c
@@ -78,7 +78,7 @@
     hs_limit_verdict verdict = {.allowance = entry->allowance,
                                 .passes = hs_rate_bucket_take(&entry->bucket, &limit, now_ms)};
     if (!verdict.passes)
-        verdict.retry_after_ms = hs_rate_bucket_schedule_return(&entry->bucket, &limit, now_ms);
+        verdict.retry_after_ms = hs_rate_bucket_schedule_retry(&entry->bucket, &limit, now_ms);
     return verdict;
 }
 
@@ -113,7 +113,7 @@
         tenant_entry *entry = value;
         entry->bucket = (hs_rate_bucket){.tokens = entry->limit.capacity * entry->allowance,
                                          .at_ms = now_ms,
-                                         .last_return_ms = entry->bucket.last_return_ms};
+                                         .last_retry_ms = entry->bucket.last_retry_ms};
     }
     book->reach_changed_ms = 0;
 }
--- a/src/tenants/limit_book.h
+++ b/src/tenants/limit_book.h
@@ -10,9 +10,9 @@
  *   all others admits the whole limit.
  * - A bucket starts with the tokens accrued since the set of reached daemons last changed. A new
  *   limit owner doesn't know what the previous one admitted, so its buckets start empty.
- * - A daemon that is asked although it takes another daemon for the limit owner admits one daemon's
- *   allowance only, and saves no tokens between such periods: either daemon may be wrong about who
- *   reaches the limit owner.
+ * - A daemon that receives a query although it considers another daemon the limit owner admits one
+ *   daemon's allowance only, and saves no tokens between such periods: either daemon may be wrong
+ *   about which daemons are reachable.
  * In consequence, a tenant at its limit may see more refusals for about a second after its limit
  * owner changes.
  */
--- a/src/tenants/rate_bucket.c
+++ b/src/tenants/rate_bucket.c
@@ -24,16 +24,16 @@
     return true;
 }
 
-uint64_t hs_rate_bucket_schedule_return(hs_rate_bucket *bucket, const hs_rate_limit *limit,
-                                        uint64_t now_ms) {
+uint64_t hs_rate_bucket_schedule_retry(hs_rate_bucket *bucket, const hs_rate_limit *limit,
+                                       uint64_t now_ms) {
     if (limit->rate_per_s <= 0)
         return HS_MAX_RATE_RETRY_AFTER_MS;
     double missing = fmax(1 - tokens_at(bucket, limit, now_ms), 0);
     double first_ms = (double)now_ms + missing / limit->rate_per_s * MS_PER_S;
-    double next_ms = (double)bucket->last_return_ms + MS_PER_S / limit->rate_per_s;
+    double next_ms = (double)bucket->last_retry_ms + MS_PER_S / limit->rate_per_s;
     double latest_ms = (double)(now_ms + HS_MAX_RATE_RETRY_AFTER_MS);
-    bucket->last_return_ms = (uint64_t)fmin(fmax(first_ms, next_ms), latest_ms);
-    return bucket->last_return_ms - now_ms;
+    bucket->last_retry_ms = (uint64_t)fmin(fmax(first_ms, next_ms), latest_ms);
+    return bucket->last_retry_ms - now_ms;
 }
 
 bool hs_rate_bucket_is_full(const hs_rate_bucket *bucket, const hs_rate_limit *limit,
--- a/src/tenants/rate_bucket.h
+++ b/src/tenants/rate_bucket.h
@@ -17,7 +17,7 @@
 typedef struct {
     double tokens; /**< Tokens as of at_ms. */
     uint64_t at_ms;
-    uint64_t last_return_ms; /**< Latest time at which a refused caller was asked to retry. */
+    uint64_t last_retry_ms; /**< Latest retry time given to a refused caller. */
 } hs_rate_bucket;
 
 /** Returns a bucket with the tokens accrued in @p age_ms, at most its capacity. */
@@ -31,8 +31,8 @@
  * refused one after the other get times one token apart, so that each finds a token. At most
  * HS_MAX_RATE_RETRY_AFTER_MS.
  */
-uint64_t hs_rate_bucket_schedule_return(hs_rate_bucket *bucket, const hs_rate_limit *limit,
-                                        uint64_t now_ms);
+uint64_t hs_rate_bucket_schedule_retry(hs_rate_bucket *bucket, const hs_rate_limit *limit,
+                                       uint64_t now_ms);
 
 /** Longest retry time given to callers, the default time for which callers retry. */
 #define HS_MAX_RATE_RETRY_AFTER_MS 5000
--- a/tests/unit/test_engine_source.c
+++ b/tests/unit/test_engine_source.c
@@ -47,7 +47,8 @@
     return hs_fleet_engines_capacity(engines, "svc").ready > 0;
 }
 
-/** Returns the time in ms until the engine is listed or not, as @p listed says; at most 2000. */
+/** Returns the time in ms until the engine is listed or, if @p listed is false, unlisted; at most
+ * 2000. */
 static uint64_t wait_for_engine(hs_fleet_engines *engines, bool listed) {
     uint64_t started_ms = hs_clock_monotonic_ms();
     while (is_listed(engines) != listed && hs_clock_monotonic_ms() < started_ms + 2000)
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -8,18 +8,18 @@
 
 static const hs_rate_limit limit = {.rate_per_s = 10, .capacity = 5};
 
-static hs_limit_verdict ask(hs_limit_book *book, const char *tenant, hs_limit_reachability reach,
-                            uint64_t now_ms) {
+static hs_limit_verdict check_limit(hs_limit_book *book, const char *tenant,
+                                    hs_limit_reachability reach, uint64_t now_ms) {
     hs_limit_request request = {.tenant = tenant, .limit = limit, .version = 1, .reach = reach};
     return hs_limit_book_check(book, &request, now_ms);
 }
 
-static int count_passed(hs_limit_book *book, const char *tenant, hs_limit_reachability reach,
-                        uint64_t from_ms, uint64_t until_ms) {
-    int passed = 0;
+static int count_admitted(hs_limit_book *book, const char *tenant, hs_limit_reachability reach,
+                          uint64_t from_ms, uint64_t until_ms) {
+    int admitted = 0;
     for (uint64_t now_ms = from_ms; now_ms < until_ms; now_ms++)
-        passed += ask(book, tenant, reach, now_ms).passes;
-    return passed;
+        admitted += check_limit(book, tenant, reach, now_ms).passes;
+    return admitted;
 }
 
 static const hs_limit_reachability all_reached = {.is_limit_owner = true, .reached = 4, .known = 4};
@@ -27,17 +27,17 @@
 static void a_bucket_admits_its_rate_and_capacity(void) {
     hs_limit_book *book = hs_limit_book_new(0);
     /* More tokens accrued since the start than the bucket holds. */
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 60000, 60001), 1);
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 60001, 62001), 4 + 20);
-    CU_ASSERT_EQUAL(count_passed(book, "b", all_reached, 62001, 62011), 5);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 60000, 60001), 1);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 60001, 62001), 4 + 20);
+    CU_ASSERT_EQUAL(count_admitted(book, "b", all_reached, 62001, 62011), 5);
     hs_limit_book_free(book);
 }
 
 /** Guards against a new limit owner that admits again what the previous one admitted. */
 static void a_new_limit_owner_starts_with_an_empty_bucket(void) {
     hs_limit_book *book = hs_limit_book_new(1000);
-    CU_ASSERT_FALSE(ask(book, "a", all_reached, 1000).passes);
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 1000, 2001), 10);
+    CU_ASSERT_FALSE(check_limit(book, "a", all_reached, 1000).passes);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 1000, 2001), 10);
     hs_limit_book_free(book);
 }
 
@@ -48,12 +48,12 @@
 
 static void tenants_with_another_limit_owner_are_removed(void) {
     hs_limit_book *book = hs_limit_book_new(0);
-    CU_ASSERT_TRUE(ask(book, "a", all_reached, 60000).passes);
-    CU_ASSERT_TRUE(ask(book, "b", all_reached, 60000).passes);
+    CU_ASSERT_TRUE(check_limit(book, "a", all_reached, 60000).passes);
+    CU_ASSERT_TRUE(check_limit(book, "b", all_reached, 60000).passes);
     hs_limit_book_note_reach_change(book, is_a, NULL, 60000);
     CU_ASSERT_EQUAL(hs_limit_book_size(book), 1);
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 60000, 60010), 4);
-    CU_ASSERT_EQUAL(count_passed(book, "b", all_reached, 60000, 60010), 0);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 60000, 60010), 4);
+    CU_ASSERT_EQUAL(count_admitted(book, "b", all_reached, 60000, 60010), 0);
     hs_limit_book_free(book);
 }
 
@@ -63,12 +63,12 @@
     hs_limit_book *one = hs_limit_book_new(0);
     hs_limit_reachability with_many = {.is_limit_owner = true, .reached = 3, .known = 4};
     hs_limit_reachability alone = {.is_limit_owner = true, .reached = 1, .known = 4};
-    int passed = count_passed(many, "a", with_many, 60000, 70000) +
-                 count_passed(one, "a", alone, 60000, 70000);
-    CU_ASSERT(passed <= 100 + 5);
-    CU_ASSERT(passed >= 100);
+    int admitted = count_admitted(many, "a", with_many, 60000, 70000) +
+                   count_admitted(one, "a", alone, 60000, 70000);
+    CU_ASSERT(admitted <= 100 + 5);
+    CU_ASSERT(admitted >= 100);
     hs_limit_reachability not_owner = {.is_limit_owner = false, .reached = 4, .known = 4};
-    CU_ASSERT(count_passed(one, "b", not_owner, 60000, 70000) <= 25);
+    CU_ASSERT(count_admitted(one, "b", not_owner, 60000, 70000) <= 25);
     hs_limit_book_free(many);
     hs_limit_book_free(one);
 }
@@ -76,11 +76,11 @@
 /** Guards against refusals after all daemons restarted, and against filling buckets twice. */
 static void buckets_are_full_after_a_fleet_restart(void) {
     hs_limit_book *book = hs_limit_book_new(60000);
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 60000, 60010), 0);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 60000, 60010), 0);
     hs_limit_book_fill(book, 60010);
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 60010, 60020), 5);
-    CU_ASSERT_EQUAL(count_passed(book, "b", all_reached, 60010, 60020), 5);
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 60020, 61020), 10);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 60010, 60020), 5);
+    CU_ASSERT_EQUAL(count_admitted(book, "b", all_reached, 60010, 60020), 5);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 60020, 61020), 10);
     hs_limit_book_free(book);
 }
 
@@ -89,14 +89,14 @@
     static const hs_limit_reachability owner_unreachable = {
         .is_limit_owner = false, .reached = 4, .known = 4};
     hs_limit_book *book = hs_limit_book_new(0);
-    CU_ASSERT_FALSE(ask(book, "a", owner_unreachable, 60000).passes);
+    CU_ASSERT_FALSE(check_limit(book, "a", owner_unreachable, 60000).passes);
     /* The allowance is 2.5 tokens a second, one token at a time. */
-    CU_ASSERT_TRUE(ask(book, "a", owner_unreachable, 60500).passes);
+    CU_ASSERT_TRUE(check_limit(book, "a", owner_unreachable, 60500).passes);
     /* After a gap the bucket is empty again. */
-    CU_ASSERT_FALSE(ask(book, "a", owner_unreachable, 69000).passes);
-    CU_ASSERT_TRUE(ask(book, "a", owner_unreachable, 69500).passes);
+    CU_ASSERT_FALSE(check_limit(book, "a", owner_unreachable, 69000).passes);
+    CU_ASSERT_TRUE(check_limit(book, "a", owner_unreachable, 69500).passes);
     hs_limit_book_remove(book, "a"); /* The limit owner responded. */
-    CU_ASSERT_FALSE(ask(book, "a", owner_unreachable, 69900).passes);
+    CU_ASSERT_FALSE(check_limit(book, "a", owner_unreachable, 69900).passes);
     hs_limit_book_free(book);
 }
 
@@ -108,7 +108,7 @@
                                 .reach = all_reached};
     CU_ASSERT_TRUE(hs_limit_book_check(book, &request, 60000).passes);
     /* Another daemon still sends the previous version. */
-    CU_ASSERT_EQUAL(count_passed(book, "a", all_reached, 60000, 62000), 1);
+    CU_ASSERT_EQUAL(count_admitted(book, "a", all_reached, 60000, 62000), 1);
     hs_limit_book_free(book);
 }
 
@@ -120,15 +120,15 @@
     } cases[] = {{{0, 0}, 1}, {{1, 0}, 11}, {{1, 1}, 11}, {{0.25, 1}, 4}};
     for (size_t index = 0; index < sizeof cases / sizeof cases[0]; index++) {
         hs_limit_book *book = hs_limit_book_new(0);
-        int passed = 0;
+        int admitted = 0;
         for (uint64_t now_ms = 60000; now_ms < 70000; now_ms += 10) {
             hs_limit_request request = {
                 .tenant = "a", .limit = cases[index].limit, .version = 1, .reach = all_reached};
             hs_limit_verdict verdict = hs_limit_book_check(book, &request, now_ms);
-            passed += verdict.passes;
+            admitted += verdict.passes;
             CU_ASSERT(verdict.passes || verdict.retry_after_ms <= HS_MAX_RATE_RETRY_AFTER_MS);
         }
-        CU_ASSERT(passed <= cases[index].max_passed);
+        CU_ASSERT(admitted <= cases[index].max_passed);
         hs_limit_book_free(book);
     }
 }
@@ -138,7 +138,7 @@
     hs_limit_book *book = hs_limit_book_new(60000);
     uint64_t previous_ms = 0;
     for (int caller = 0; caller < 20; caller++) {
-        hs_limit_verdict verdict = ask(book, "a", all_reached, 60000);
+        hs_limit_verdict verdict = check_limit(book, "a", all_reached, 60000);
         CU_ASSERT_FALSE(verdict.passes);
         CU_ASSERT(caller == 0 || verdict.retry_after_ms >= previous_ms + 99);
         previous_ms = verdict.retry_after_ms;
@@ -152,7 +152,7 @@
     for (int index = 0; index < 6500; index++) {
         char name[16];
         g_snprintf(name, sizeof name, "t%d", index);
-        ask(book, name, all_reached, 60000);
+        check_limit(book, name, all_reached, 60000);
     }
     hs_limit_book_expire(book, 60001);
     CU_ASSERT_EQUAL(hs_limit_book_size(book), 6500);
--- a/tests/unit/test_membership.c
+++ b/tests/unit/test_membership.c
@@ -16,8 +16,8 @@
     return hs_membership_new(&self, &settings, 1);
 }
 
-static bool learn(hs_membership *membership, const char *id, uint64_t incarnation, uint32_t version,
-                  Hs__MemberState state, uint64_t now_ms) {
+static bool apply_record(hs_membership *membership, const char *id, uint64_t incarnation,
+                         uint32_t version, Hs__MemberState state, uint64_t now_ms) {
     Hs__MemberRecord record = HS__MEMBER_RECORD__INIT;
     record.id = (char *)id;
     record.incarnation = incarnation;
@@ -37,9 +37,9 @@
     hs_membership *membership = new_membership();
     hs_membership_propose(membership, "b", 1, 1, 0);
     CU_ASSERT_EQUAL(hs_membership_live_count(membership), 1);
-    learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 1);
+    apply_record(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 1);
     CU_ASSERT_EQUAL(hs_membership_live_count(membership), 2);
-    learn(membership, "b", 1, 2, HS__MEMBER_STATE__MEMBER_LEAVING, 2);
+    apply_record(membership, "b", 1, 2, HS__MEMBER_STATE__MEMBER_LEAVING, 2);
     hs_membership_propose(membership, "b", 1, 1, 3);
     CU_ASSERT_EQUAL(state_of(membership, "b"), HS_MEMBER_LEAVING);
     hs_membership_free(membership);
@@ -47,22 +47,22 @@
 
 static void leaving_is_final_within_an_incarnation(void) {
     hs_membership *membership = new_membership();
-    learn(membership, "b", 1, 5, HS__MEMBER_STATE__MEMBER_LEAVING, 1);
-    learn(membership, "b", 1, 9, HS__MEMBER_STATE__MEMBER_ALIVE, 2);
+    apply_record(membership, "b", 1, 5, HS__MEMBER_STATE__MEMBER_LEAVING, 1);
+    apply_record(membership, "b", 1, 9, HS__MEMBER_STATE__MEMBER_ALIVE, 2);
     CU_ASSERT_EQUAL(state_of(membership, "b"), HS_MEMBER_LEAVING);
-    learn(membership, "b", 2, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 3);
+    apply_record(membership, "b", 2, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 3);
     CU_ASSERT_EQUAL(state_of(membership, "b"), HS_MEMBER_ALIVE);
     hs_membership_free(membership);
 }
 
 static void newer_own_record_supersedes_suspicion(void) {
     hs_membership *membership = new_membership();
-    learn(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_ALIVE, 1);
-    learn(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_SUSPECT, 2);
+    apply_record(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_ALIVE, 1);
+    apply_record(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_SUSPECT, 2);
     CU_ASSERT_EQUAL(state_of(membership, "b"), HS_MEMBER_SUSPECT);
-    learn(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_ALIVE, 3);
+    apply_record(membership, "b", 1, 3, HS__MEMBER_STATE__MEMBER_ALIVE, 3);
     CU_ASSERT_EQUAL(state_of(membership, "b"), HS_MEMBER_SUSPECT);
-    learn(membership, "b", 1, 4, HS__MEMBER_STATE__MEMBER_ALIVE, 4);
+    apply_record(membership, "b", 1, 4, HS__MEMBER_STATE__MEMBER_ALIVE, 4);
     CU_ASSERT_EQUAL(state_of(membership, "b"), HS_MEMBER_ALIVE);
     hs_membership_free(membership);
 }
@@ -70,8 +70,8 @@
 static void unresponsive_member_is_suspected_then_dead(void) {
     hs_membership *membership = new_membership();
     g_autoptr(GArray) orders = g_array_new(FALSE, FALSE, sizeof(hs_probe_order));
-    learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
-    learn(membership, "c", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
+    apply_record(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
+    apply_record(membership, "c", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
     hs_membership_probe_next(membership, 0, orders);
     CU_ASSERT_EQUAL_FATAL(orders->len, 1);
     hs_membership_check_probes(membership, 11, orders);
@@ -91,7 +91,7 @@
 static void acknowledged_probe_causes_no_suspicion(void) {
     hs_membership *membership = new_membership();
     g_autoptr(GArray) orders = g_array_new(FALSE, FALSE, sizeof(hs_probe_order));
-    learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
+    apply_record(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
     hs_membership_probe_next(membership, 0, orders);
     hs_membership_acknowledge(membership, g_array_index(orders, hs_probe_order, 0).sequence, "b");
     hs_membership_check_probes(membership, 50, orders);
@@ -102,10 +102,10 @@
 static void refutes_suspicion_and_rejoins_after_death(void) {
     hs_membership *membership = new_membership();
     uint32_t version = hs_membership_self(membership)->version;
-    learn(membership, "self", 5, version, HS__MEMBER_STATE__MEMBER_SUSPECT, 1);
+    apply_record(membership, "self", 5, version, HS__MEMBER_STATE__MEMBER_SUSPECT, 1);
     CU_ASSERT(hs_membership_self(membership)->version > version);
     CU_ASSERT_EQUAL(hs_membership_self(membership)->incarnation, 5);
-    learn(membership, "self", 5, version, HS__MEMBER_STATE__MEMBER_DEAD, 2);
+    apply_record(membership, "self", 5, version, HS__MEMBER_STATE__MEMBER_DEAD, 2);
     CU_ASSERT_EQUAL(hs_membership_self(membership)->incarnation, 6);
     CU_ASSERT_EQUAL(hs_membership_rejoin_count(membership), 1);
     hs_membership_free(membership);
@@ -123,9 +123,9 @@
 
 static void dead_member_always_receives_its_record(void) {
     hs_membership *membership = new_membership();
-    learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 0);
-    learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
-    learn(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 0);
+    apply_record(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 0);
+    apply_record(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 0);
+    apply_record(membership, "b", 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 0);
     for (int message = 0; message < 100; message++)
         gossip_includes(membership, "c", "b");
     CU_ASSERT_FALSE(gossip_includes(membership, "c", "b"));
@@ -242,8 +242,8 @@
     hs_membership *membership = hs_membership_service_lock(service);
     for (int index = 0; index < 50; index++) {
         g_autofree char *id = g_strdup_printf("dead-%d", index);
-        learn(membership, id, 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 1);
-        learn(membership, id, 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 1);
+        apply_record(membership, id, 1, 1, HS__MEMBER_STATE__MEMBER_ALIVE, 1);
+        apply_record(membership, id, 1, 1, HS__MEMBER_STATE__MEMBER_DEAD, 1);
     }
     hs_membership_propose(membership, "b", INADDR_LOOPBACK, ntohs(address.sin_port), 1);
     hs_membership_service_unlock(service);
--- a/tests/unit/test_shares.c
+++ b/tests/unit/test_shares.c
@@ -44,11 +44,11 @@
 static void use_is_split_by_service(void) {
     hs_tenant_runs *runs = hs_tenant_runs_new();
     CU_ASSERT_EQUAL(hs_tenant_runs_note_request(runs, "a", "large", 400), 1);
-    for (int ask = 0; ask < 900; ask++)
-        hs_tenant_runs_note_request(runs, "a", ask % 9 == 0 ? "small" : "large", 400);
+    for (int request = 0; request < 900; request++)
+        hs_tenant_runs_note_request(runs, "a", request % 9 == 0 ? "small" : "large", 400);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_request(runs, "a", "small", 400), 1.0 / 9, 0.03);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_request(runs, "a", "large", 400), 8.0 / 9, 0.03);
-    for (int ask = 0; ask < 300; ask++) /* Old requests decay. */
+    for (int request = 0; request < 300; request++) /* Old requests decay. */
         hs_tenant_runs_note_request(runs, "a", "small", 400);
     CU_ASSERT_TRUE(hs_tenant_runs_note_request(runs, "a", "small", 400) > 0.9);
     CU_ASSERT_EQUAL(hs_tenant_runs_note_request(runs, "b", "large", 0), 1);
--- a/tests/unit/test_words.c
+++ b/tests/unit/test_words.c
@@ -135,7 +135,8 @@
     }
 }
 
-/** Reports say that an engine is failing while it is down, and again while a probe is in flight. */
+/** Reports show that an engine is failing while it is down, and again while a probe is in flight.
+ */
 static void a_failing_report_ends_with_the_down_time(void) {
     hs_slot_ledger *ledger = hs_slot_ledger_new();
     g_autoptr(GArray) preemptions = g_array_new(FALSE, FALSE, sizeof(hs_preemption_request));
