--- a/src/online/online_request.c
+++ b/src/online/online_request.c
@@ -81,14 +81,14 @@
 }
 
 GArray *hs_online_response_fields(const GArray *fields) {
-    GArray *passed = hs_http_fields_new();
+    GArray *forwarded = hs_http_fields_new();
     for (guint index = 0; index < fields->len; index++) {
         const hs_http_field *field = &g_array_index(fields, hs_http_field, index);
         if (g_ascii_strcasecmp(field->name, "Content-Length") != 0 &&
             !hs_http_fields_is_hop_by_hop(fields, field->name))
-            hs_http_fields_add(passed, field->name, field->value);
+            hs_http_fields_add(forwarded, field->name, field->value);
     }
-    return passed;
+    return forwarded;
 }
 
 void hs_online_note_first_byte(hs_online_request *request) {
--- a/src/routing/tenant_limits.c
+++ b/src/routing/tenant_limits.c
@@ -74,7 +74,7 @@
     return true;
 }
 
-/** Max. requests admitted in advance; the owner deducts them from later allowances. */
+/** Maximum requests admitted in advance; the owner deducts them from later allowances. */
 static uint32_t compute_max_advanced(const hs_tenant_limit *limit) {
     if (limit->requests_per_second > 0)
         return (uint32_t)(limit->requests_per_second * ADVANCE_DURATION_S) + 1;
--- a/src/routing/tenant_limits.h
+++ b/src/routing/tenant_limits.h
@@ -13,7 +13,7 @@
 #include "config/config_view.h"
 #include "routing/limit_home.h"
 
-/** Min. time between two allowance requests of an edge for one tenant. */
+/** Minimum time between two allowance requests of an edge for one tenant. */
 #define HS_LIMIT_REQUEST_INTERVAL_MS 50U
 
 typedef struct hs_tenant_limits hs_tenant_limits;
--- a/src/scheduling/pacing.h
+++ b/src/scheduling/pacing.h
@@ -13,11 +13,11 @@
 #include <stdint.h>
 
 typedef struct {
-    uint32_t max_batch;               /**< Max. items without online requests. */
-    uint32_t max_beside_online;       /**< Max. running items beside online requests. */
+    uint32_t max_batch;               /**< Maximum items without online requests. */
+    uint32_t max_beside_online;       /**< Maximum running items beside online requests. */
     uint32_t max_start_beside_online; /**< Running items below which new ones start. */
     uint32_t idle_hold_ms;            /**< Time without online requests before full batch. */
-    uint32_t start_interval_ms;       /**< Min. time between two starts; 0: none. */
+    uint32_t start_interval_ms;       /**< Minimum time between two starts; 0: none. */
 } hs_pacing_settings;
 
 typedef struct {
