--- a/src/directory/tenant_limiter.c
+++ b/src/directory/tenant_limiter.c
@@ -18,7 +18,7 @@
 /**
  * Time after the start in which proposed members that have not responded yet are counted as known.
  * Daemons are discovered one by one; without this, a starting daemon would take the few that it
- * knows for the whole fleet and let too many requests pass.
+ * knows for the whole fleet and admit too many requests.
  */
 #define SETTLING_MS 10000
 /**
@@ -60,9 +60,9 @@
     uint32_t address;
     uint16_t port;
     hs_limit_reachability reach;
-    uint64_t reached_hash; /**< Hash of the reachable daemons. */
-    uint32_t answering;    /**< Other daemons that are alive. */
-    uint32_t older;        /**< Those of them that started before this one. */
+    uint64_t reached_hash;    /**< Hash of the reachable daemons. */
+    uint32_t alive;           /**< Other daemons that are alive. */
+    uint32_t started_earlier; /**< Those of them that started before this one. */
 } owner_lookup;
 
 hs_tenant_limiter *hs_tenant_limiter_new(hs_membership_service *membership, double tolerance) {
@@ -94,7 +94,7 @@
     bool assumes_listed_alive;
 } lookup_assumptions;
 
-/** Reports whether a member may be alive, and let requests pass, without responding. */
+/** Reports whether a member may be alive and admit requests without responding. */
 static bool may_be_alive(const hs_member *member, const lookup_assumptions *assumptions) {
     if (member->state == HS_MEMBER_PROPOSED)
         return assumptions->counts_proposed && !hs_daemon_is_seed(member->id);
@@ -127,9 +127,9 @@
         if (!is_self && !is_reached(member, &assumptions))
             continue;
         lookup.reach.reached++;
-        lookup.answering += !is_self && member->state == HS_MEMBER_ALIVE;
-        lookup.older += !is_self && member->state == HS_MEMBER_ALIVE &&
-                        member->incarnation + MAX_START_DIFFERENCE_MS < own_start;
+        lookup.alive += !is_self && member->state == HS_MEMBER_ALIVE;
+        lookup.started_earlier += !is_self && member->state == HS_MEMBER_ALIVE &&
+                                  member->incarnation + MAX_START_DIFFERENCE_MS < own_start;
         lookup.reached_hash += hs_hash_bytes(member->id, strlen(member->id));
         uint64_t rank = hs_hash_pair(tenant, member->id);
         if (rank < best)
@@ -158,7 +158,7 @@
 
 /**
  * Discards buckets that may be stale; called before each decision. A process that was suspended
- * does not know what other limit owners let pass meanwhile. The caller holds the lock.
+ * does not know what other limit owners admitted meanwhile. The caller holds the lock.
  */
 static void discard_stale_buckets(hs_tenant_limiter *limiter, uint64_t reached_hash,
                                   uint64_t now_ms) {
@@ -179,13 +179,13 @@
                                     uint64_t now_ms) {
     bool is_new = now_ms < limiter->started_ms + LISTED_ALIVE_MS &&
                   g_atomic_int_get(&limiter->is_member_list_read) != 0;
-    if (limiter->is_filled || !is_new || lookup->older > 0 ||
-        2 * lookup->answering < lookup->reach.known)
+    if (limiter->is_filled || !is_new || lookup->started_earlier > 0 ||
+        2 * lookup->alive < lookup->reach.known)
         return;
     limiter->is_filled = true;
     hs_limit_book_fill(limiter->book, now_ms);
     hs_log_info("limits_begin_anew", "answering=%u known=%u age_ms=%" G_GUINT64_FORMAT,
-                lookup->answering, lookup->reach.known, (guint64)(now_ms - limiter->started_ms));
+                lookup->alive, lookup->reach.known, (guint64)(now_ms - limiter->started_ms));
 }
 
 /** Stores a daemon's report of a tenant's use. Returns the tenant's slots at all daemons. */
@@ -227,16 +227,16 @@
 static void send_query(uint64_t sequence, void *user_data) {
     const owner_query *query = user_data;
     const hs_limit_request *request = query->request;
-    Hs__TenantAsk ask = HS__TENANT_ASK__INIT;
-    ask.sequence = sequence;
-    ask.tenant = (char *)request->tenant;
-    ask.rate_per_s = request->limit.rate_per_s;
-    ask.capacity = request->limit.capacity;
-    ask.config_version = request->version;
-    ask.used_ms = hs_tenant_use_encode_count(query->used_ms);
+    Hs__TenantAsk body = HS__TENANT_ASK__INIT;
+    body.sequence = sequence;
+    body.tenant = (char *)request->tenant;
+    body.rate_per_s = request->limit.rate_per_s;
+    body.capacity = request->limit.capacity;
+    body.config_version = request->version;
+    body.used_ms = hs_tenant_use_encode_count(query->used_ms);
     Hs__PeerMessage message = HS__PEER_MESSAGE__INIT;
     message.kind_case = HS__PEER_MESSAGE__KIND_TENANT_ASK;
-    message.tenant_ask = &ask;
+    message.tenant_ask = &body;
     hs_membership_service_send(query->limiter->membership, query->owner->address,
                                query->owner->port, &message);
 }
@@ -279,10 +279,10 @@
     return is_answered;
 }
 
-static void count_decision(hs_tenant_limiter *limiter, bool passes, hs_limit_decider decider) {
+static void count_decision(hs_tenant_limiter *limiter, bool is_admitted, hs_limit_decider decider) {
     g_mutex_lock(&limiter->lock);
-    limiter->counters.passed += passes;
-    limiter->counters.refused += !passes;
+    limiter->counters.admitted += is_admitted;
+    limiter->counters.refused += !is_admitted;
     limiter->counters.by_allowance += decider == HS_LIMIT_BY_ALLOWANCE;
     g_mutex_unlock(&limiter->lock);
 }
@@ -315,33 +315,34 @@
 
 static void handle_query(hs_tenant_limiter *limiter, const Hs__PeerMessage *message,
                          const struct sockaddr_in *from) {
-    const Hs__TenantAsk *ask = message->tenant_ask;
-    hs_tenant_use_report report = {.tenant = ask->tenant,
+    const Hs__TenantAsk *query = message->tenant_ask;
+    hs_tenant_use_report report = {.tenant = query->tenant,
                                    .daemon = message->sender_id,
                                    .incarnation = message->sender_incarnation,
-                                   .used_ms = ask->used_ms};
-    owner_lookup own = look_up_owner(limiter, ask->tenant);
-    hs_limit_request request = {.tenant = ask->tenant,
-                                .limit = {.rate_per_s = ask->rate_per_s, .capacity = ask->capacity},
-                                .version = ask->config_version,
-                                .reach = own.reach};
+                                   .used_ms = query->used_ms};
+    owner_lookup own = look_up_owner(limiter, query->tenant);
+    hs_limit_request request = {
+        .tenant = query->tenant,
+        .limit = {.rate_per_s = query->rate_per_s, .capacity = query->capacity},
+        .version = query->config_version,
+        .reach = own.reach};
     hs_limit_verdict verdict = check_limit(limiter, &request, own.reached_hash);
-    Hs__TenantVerdict body = HS__TENANT_VERDICT__INIT;
-    body.sequence = ask->sequence;
-    body.passes = verdict.passes;
-    body.return_ms = (uint32_t)verdict.return_ms;
-    body.part = verdict.part;
-    body.used_slots_permille = hs_tenant_use_encode_slots(put_use(limiter, &report));
+    Hs__TenantVerdict reply = HS__TENANT_VERDICT__INIT;
+    reply.sequence = query->sequence;
+    reply.passes = verdict.passes;
+    reply.return_ms = (uint32_t)verdict.retry_after_ms;
+    reply.part = verdict.allowance;
+    reply.used_slots_permille = hs_tenant_use_encode_slots(put_use(limiter, &report));
     Hs__PeerMessage answer = HS__PEER_MESSAGE__INIT;
     answer.kind_case = HS__PEER_MESSAGE__KIND_TENANT_VERDICT;
-    answer.tenant_verdict = &body;
+    answer.tenant_verdict = &reply;
     hs_membership_service_reply(limiter->membership, from, &answer);
 }
 
 static void handle_verdict(hs_tenant_limiter *limiter, const Hs__TenantVerdict *body) {
     hs_limit_verdict verdict = {.passes = body->passes,
-                                .return_ms = body->return_ms,
-                                .part = body->part,
+                                .retry_after_ms = body->return_ms,
+                                .allowance = body->part,
                                 .used_slots =
                                     hs_tenant_use_decode_slots(body->used_slots_permille)};
     hs_peer_queries_complete(limiter->queries, body->sequence, &verdict);
--- a/src/directory/tenant_limiter.h
+++ b/src/directory/tenant_limiter.h
@@ -45,7 +45,7 @@
 const char *hs_limit_decider_name(hs_limit_decider decider);
 
 /**
- * Decides whether a request of the tenant may pass and stores in @p decider what decided. Waits for
+ * Decides whether to admit a request of the tenant and stores in @p decider what decided. Waits for
  * the limit owner's response.
  */
 hs_limit_verdict hs_tenant_limiter_check(hs_tenant_limiter *limiter,
@@ -81,7 +81,7 @@
 
 /** Counters for metrics. */
 typedef struct {
-    uint64_t passed;
+    uint64_t admitted;
     uint64_t refused;
     uint64_t by_allowance; /**< Of both, decided by this daemon's allowance. */
     uint64_t tenants;      /**< Tenants with a bucket at this daemon. */
--- a/src/fleet/fleet_engines.h
+++ b/src/fleet/fleet_engines.h
@@ -142,7 +142,7 @@
  * Chooses an engine and counts the request on it. Returns NULL if no engine fits; otherwise the
  * lease is to be released with hs_engine_lease_release.
  */
-hs_engine_lease *hs_fleet_engines_take(hs_fleet_engines *engines, const hs_engine_query *query);
+hs_engine_lease *hs_fleet_engines_acquire(hs_fleet_engines *engines, const hs_engine_query *query);
 
 /** The engine's id; valid until the lease is released. */
 const char *hs_engine_lease_id(const hs_engine_lease *lease);
@@ -150,7 +150,7 @@
 /** Figures behind the choice of the lease's engine. */
 hs_engine_reasons hs_engine_lease_reasons(const hs_engine_lease *lease);
 
-/** Response of the engine's arbiter to a new lease. */
+/** Response of the engine's arbiter to a new lease, or the lack of one. */
 typedef enum {
     HS_LEASE_CONFIRMED, /**< A slot is free, or a batch item is preempted to free one. */
     /** The batch item is to be preempted; an online request would wait for slots or prompts. */
@@ -185,13 +185,13 @@
 hs_lease_confirmation hs_engine_lease_confirm(hs_engine_lease *lease, uint32_t limit_ms);
 
 /**
- * Returns a connection that was idle for less than @p idle_most_ms (0: none is reused), or a new
+ * Returns a connection that was idle for less than @p max_idle_ms (0: none is reused), or a new
  * one; NULL with @p step on failure. Never returns a connection that carried @p request_id (may be
  * NULL) before: a surplus answer to the earlier attempt has the same request id and would be taken
  * for the answer to this one.
  */
 hs_client_connection *hs_engine_lease_connect(hs_engine_lease *lease, const char *request_id,
-                                              const hs_wait *wait, uint32_t idle_most_ms,
+                                              const hs_wait *wait, uint32_t max_idle_ms,
                                               hs_step *step);
 
 /** Counts an answer that did not resume the run at the event that the request asked for. */
@@ -243,21 +243,21 @@
     double batch;
 } hs_service_capacity;
 
-/** State of a service, for deciding on a request that no engine took. */
+/** State of a service, for deciding on a request that no engine accepted. */
 typedef struct {
     bool is_known;    /**< The store's list was read to its end since the start. */
     uint32_t engines; /**< Engines listed and not draining. */
-    uint32_t sound;   /**< Those of them that are not suspected. */
+    uint32_t healthy; /**< Those of them that are not suspected. */
     uint32_t slots;   /**< Of the engines that are not suspected. */
     double running;   /**< Estimated requests of all daemons on them, batch items included. */
     double waiting;   /**< Online requests beyond their engine's slots. */
     double run_ms;    /**< Mean time of recent online runs. */
     uint64_t min_first_byte_ms; /**< Shortest recent time to a first byte; 0: unknown. */
-    uint64_t
-        return_ms; /**< Until this daemon's first suspicion runs out; 0: one engine has none. */
-    uint64_t absent_ms;       /**< How long the service has had no engine; 0: it has one. */
-    uint64_t last_absence_ms; /**< Length of the previous time without an engine; 0: none. */
-    uint64_t listed_age_ms;   /**< Since the store last listed any of the engines. */
+    uint64_t next_probe_in_ms;  /**< Time until this daemon may probe the first suspected engine; 0:
+                                   at least one engine is not suspected by this daemon. */
+    uint64_t absent_ms;         /**< How long the service has had no engine; 0: it has one. */
+    uint64_t last_absence_ms;   /**< Length of the previous time without an engine; 0: none. */
+    uint64_t listed_age_ms;     /**< Since the store last listed any of the engines. */
     hs_service_pressure pressure;
 } hs_service_outlook;
 
--- a/src/jobs/job_plan.h
+++ b/src/jobs/job_plan.h
@@ -12,9 +12,9 @@
 /** Excluded items have ranks from this value on. */
 #define HS_EXCLUDED_RANK_BASE 1000000000
 
-/** An item without a result, as seen by one scheduler pass. */
+/** An item without a result, as of one scheduler pass. */
 typedef struct {
-    hs_owned_job_partition *home;
+    hs_owned_job_partition *partition;
     hs_owned_item *item;
     const char *service;   /**< Interned; NULL: the configuration has no route for the item. */
     int64_t left_ms;       /**< Time until the deadline; negative if it has passed. */
--- a/src/jobs/job_submission.c
+++ b/src/jobs/job_submission.c
@@ -178,24 +178,24 @@
 /** Checks the route's limit, stores the job and replies. */
 static void admit_job(hs_job_service *service, const submission *job,
                       const hs_fleet_config *config) {
-    hs_quota_request claim = {.job_id = job->terms->request_id,
-                              .partition = hs_job_partition_number(job->partition),
-                              .tokens = count_tokens(job->items),
-                              .config = config,
-                              .route = job->route,
-                              .tenant = job->tenant,
-                              .deadline = job->refusal_deadline};
-    hs_quota_decision account;
-    hs_quota_verdict verdict = hs_job_quota_reserve(service->quota, &claim, &account);
+    hs_quota_request quota_request = {.job_id = job->terms->request_id,
+                                      .partition = hs_job_partition_number(job->partition),
+                                      .tokens = count_tokens(job->items),
+                                      .config = config,
+                                      .route = job->route,
+                                      .tenant = job->tenant,
+                                      .deadline = job->refusal_deadline};
+    hs_quota_decision decision;
+    hs_quota_verdict verdict = hs_job_quota_reserve(service->quota, &quota_request, &decision);
     uint32_t status = verdict == HS_QUOTA_FITS ? store_job(job) : get_refusal_status(job, verdict);
     const char *text = status == 202 ? "" : "the job was not taken by this answer\n";
     if (status == 429)
-        hs_job_refuse(job->inbound, status, text, account.available_in_ms);
+        hs_job_refuse(job->inbound, status, text, decision.available_in_ms);
     else
         hs_job_reply_text(job->inbound, status, text);
     bool may_be_stored = status == 202 || status == 504;
     if (!may_be_stored)
-        hs_job_quota_release(service->quota, account.submission);
+        hs_job_quota_release(service->quota, decision.submission);
 }
 
 /** Replies with another daemon's answer. A job that may have been stored is never refused. */
--- a/src/online/refusal_choice.c
+++ b/src/online/refusal_choice.c
@@ -6,7 +6,7 @@
 
 #include <math.h>
 
-/** Shortest pause between two attempts, each of which asks several engines. */
+/** Shortest pause between two attempts, each of which tries several engines. */
 #define MIN_PAUSE_MS 15
 /** The pause is the expected wait divided by this, */
 #define EXPECTED_WAIT_DIVISOR 4
@@ -33,21 +33,21 @@
         choice.verdict = HS_REFUSAL_NO_ENGINE;
         choice.expected_ms =
             hs_retry_after_absence_ms(service->absent_ms, service->last_absence_ms);
-    } else if (service->sound == 0) {
+    } else if (service->healthy == 0) {
         choice.verdict = HS_REFUSAL_SUSPECTED;
-        choice.expected_ms = service->return_ms;
+        choice.expected_ms = service->next_probe_in_ms;
     } else {
         choice.expected_ms = MAX((uint64_t)slot_wait_ms(service), view->drain_ms);
     }
     return choice;
 }
 
-/** Whether waiting is in vain: the service has no engine, or the wait exceeds the deadline. */
-static bool is_wait_in_vain(const hs_refusal_view *view, const hs_refusal_choice *choice) {
+/** Whether waiting is pointless: the service has no engine, or the wait exceeds the deadline. */
+static bool is_wait_pointless(const hs_refusal_view *view, const hs_refusal_choice *choice) {
     const hs_service_outlook *service = &view->service;
     if (service->is_known && service->engines == 0)
         return true;
-    if (service->sound > 0 && has_ample_slots(service))
+    if (service->healthy > 0 && has_ample_slots(service))
         return false;
     return choice->expected_ms + service->min_first_byte_ms > view->left_ms;
 }
@@ -59,7 +59,7 @@
     choice.pause_ms = (uint64_t)fmin(fmax(pause_ms, MIN_PAUSE_MS), HS_MAX_HELD_RETRY_PAUSE_MS);
     if (choice.pause_ms >= view->left_ms)
         choice.verdict = HS_REFUSAL_OVER;
-    else if (view->may_have_run || !is_wait_in_vain(view, &choice))
+    else if (view->may_have_run || !is_wait_pointless(view, &choice))
         choice.verdict = HS_REFUSAL_HOLD;
     return choice;
 }
--- a/src/surface/fleet_metrics.c
+++ b/src/surface/fleet_metrics.c
@@ -82,7 +82,7 @@
                            "heathsail_tenant_asks{verdict=\"refused\"} %" G_GUINT64_FORMAT "\n"
                            "heathsail_tenant_asks_without_home %" G_GUINT64_FORMAT "\n"
                            "heathsail_tenant_buckets %" G_GUINT64_FORMAT "\n",
-                           (guint64)counters.passed, (guint64)counters.refused,
+                           (guint64)counters.admitted, (guint64)counters.refused,
                            (guint64)counters.by_allowance, (guint64)counters.tenants);
 }
 
@@ -145,7 +145,7 @@
         "\nheathsail_engine_connects %" G_GUINT64_FORMAT
         "\nheathsail_runs_misplaced %" G_GUINT64_FORMAT "\n",
         sources->open_requests, hs_daemon_directory_live_count(sources->members),
-        hs_daemon_directory_taken_percent(sources->members), (guint64)calls.calls,
+        hs_daemon_directory_utilisation_percent(sources->members), (guint64)calls.calls,
         (guint64)calls.refused, (guint64)calls.unknown, (guint64)calls.bytes_sent,
         (guint64)calls.bytes_received,
         (guint64)hs_fleet_engines_opened_connection_count(sources->online->engines),
@@ -164,7 +164,7 @@
     g_autofree char *slot_use =
         hs_tenant_limiter_describe_slot_use(hs_daemon_directory_limiter(sources->members));
     g_string_append(text, slot_use);
-    g_autofree char *fair_shares = hs_fair_shares_describe(online->levels);
+    g_autofree char *fair_shares = hs_fair_shares_describe(online->fair_shares);
     g_string_append(text, fair_shares);
     write_entries(text, sources->engine_source);
     write_job_reads(text, sources->jobs);
@@ -174,7 +174,7 @@
     g_string_append_printf(text,
                            "heathsail_settings_reloads_total %d\n"
                            "heathsail_settings_refused_total %d\n",
-                           g_atomic_int_get(&sources->reloads->taken),
+                           g_atomic_int_get(&sources->reloads->applied),
                            g_atomic_int_get(&sources->reloads->refused));
     write_calls(text, sources);
     g_autofree char *engines = hs_fleet_engines_describe(online->engines);
@@ -182,7 +182,7 @@
     g_autofree char *crashes =
         hs_crash_watch_describe(hs_fleet_engines_crash_watch(online->engines));
     g_string_append(text, crashes);
-    g_autofree char *wakes = hs_stall_detector_describe(sources->wakes);
-    g_string_append(text, wakes);
+    g_autofree char *stalls = hs_stall_detector_describe(sources->stall_detector);
+    g_string_append(text, stalls);
     return g_string_free(text, FALSE);
 }
--- a/src/surface/fleet_metrics.h
+++ b/src/surface/fleet_metrics.h
@@ -10,7 +10,7 @@
 
 /** Counts of settings reloads; accessed atomically. */
 typedef struct {
-    gint taken;   /**< Reloads that were applied. */
+    gint applied; /**< Valid reloads, put in use. */
     gint refused; /**< Missing or invalid file; the previous settings stay in effect. */
 } hs_reload_counts;
 
@@ -23,7 +23,7 @@
     hs_daemon_directory *members;
     hs_engine_source *engine_source;
     hs_reload_counts *reloads;
-    hs_stall_detector *wakes;
+    hs_stall_detector *stall_detector;
     uint32_t open_requests;
 } hs_fleet_metrics_sources;
 
--- a/src/tenants/limit_book.h
+++ b/src/tenants/limit_book.h
@@ -10,9 +10,9 @@
  *   all others admits the whole limit.
  * - A bucket starts with the tokens accrued since the set of reached daemons last changed. A new
  *   limit owner doesn't know what the previous one admitted, so its buckets start empty.
- * - A daemon that is asked although it takes another daemon for the limit owner admits one daemon's
- *   allowance only, and saves no tokens between such periods: either daemon may be wrong about who
- *   reaches the limit owner.
+ * - A daemon that receives a query although it considers another daemon the limit owner admits one
+ *   daemon's allowance only, and saves no tokens between such periods: either daemon may be wrong
+ *   about which daemons are reachable.
  * In consequence, a tenant at its limit may see more refusals for about a second after its limit
  * owner changes.
  */
@@ -42,8 +42,8 @@
 
 typedef struct {
     bool passes;
-    uint64_t return_ms; /**< If refused: time from now after which the caller should retry. */
-    double part;        /**< The deciding daemon's allowance, as a fraction of the limit. */
+    uint64_t retry_after_ms; /**< If refused: time from now after which the caller should retry. */
+    double allowance;        /**< The deciding daemon's allowance, as a fraction of the limit. */
     /** Engine slots recently requested by the tenant, as known to the deciding daemon; not set by
      * this module. 0: unknown. */
     double used_slots;
--- a/tests/unit/test_shares.c
+++ b/tests/unit/test_shares.c
@@ -19,9 +19,9 @@
 
 static void report_use(hs_tenant_uses *uses, const char *daemon, uint64_t incarnation,
                        uint64_t used_ms, uint64_t now_ms) {
-    hs_tenant_use_report word = {
+    hs_tenant_use_report report = {
         .tenant = "a", .daemon = daemon, .incarnation = incarnation, .used_ms = used_ms};
-    hs_tenant_uses_put_report(uses, &word, now_ms);
+    hs_tenant_uses_put_report(uses, &report, now_ms);
 }
 
 static void requests_count_with_their_expected_run_time(void) {
@@ -44,11 +44,11 @@
 static void use_is_split_by_service(void) {
     hs_tenant_runs *runs = hs_tenant_runs_new();
     CU_ASSERT_EQUAL(hs_tenant_runs_note_request(runs, "a", "large", 400), 1);
-    for (int ask = 0; ask < 900; ask++)
-        hs_tenant_runs_note_request(runs, "a", ask % 9 == 0 ? "small" : "large", 400);
+    for (int request = 0; request < 900; request++)
+        hs_tenant_runs_note_request(runs, "a", request % 9 == 0 ? "small" : "large", 400);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_request(runs, "a", "small", 400), 1.0 / 9, 0.03);
     CU_ASSERT_DOUBLE_EQUAL(hs_tenant_runs_note_request(runs, "a", "large", 400), 8.0 / 9, 0.03);
-    for (int ask = 0; ask < 300; ask++) /* Old requests decay. */
+    for (int request = 0; request < 300; request++) /* Old requests decay. */
         hs_tenant_runs_note_request(runs, "a", "small", 400);
     CU_ASSERT_TRUE(hs_tenant_runs_note_request(runs, "a", "small", 400) > 0.9);
     CU_ASSERT_EQUAL(hs_tenant_runs_note_request(runs, "b", "large", 0), 1);
@@ -134,10 +134,11 @@
     char name[8];
     for (unsigned index = 1; index <= 5; index++) {
         g_snprintf(name, sizeof name, "t%u", index);
-        hs_tenant_use_report word = {.tenant = name, .daemon = "d", .incarnation = 1, .used_ms = 1};
-        hs_tenant_uses_put_report(uses, &word, 0);
-        word.used_ms += (uint64_t)index * HS_TENANT_USE_FAST_DECAY_MS;
-        hs_tenant_uses_put_report(uses, &word, 0);
+        hs_tenant_use_report report = {
+            .tenant = name, .daemon = "d", .incarnation = 1, .used_ms = 1};
+        hs_tenant_uses_put_report(uses, &report, 0);
+        report.used_ms += (uint64_t)index * HS_TENANT_USE_FAST_DECAY_MS;
+        hs_tenant_uses_put_report(uses, &report, 0);
     }
     hs_tenant_slot_use shares[2];
     double rest = 0;
@@ -406,13 +407,13 @@
 
 static void note_use(share_model *model, uint32_t daemon, uint32_t tenant) {
     const char *name = tenant_names[tenant];
-    hs_tenant_use_report word = {.tenant = name,
-                                 .daemon = daemon_names[daemon],
-                                 .incarnation = 1,
-                                 .used_ms = hs_tenant_use_encode_count(
-                                     hs_tenant_runs_requested_ms(model->runs[daemon], name))};
+    hs_tenant_use_report report = {.tenant = name,
+                                   .daemon = daemon_names[daemon],
+                                   .incarnation = 1,
+                                   .used_ms = hs_tenant_use_encode_count(
+                                       hs_tenant_runs_requested_ms(model->runs[daemon], name))};
     bool reaches_owner = daemon >= model->scenario->cut_off;
-    hs_tenant_uses_put_report(reaches_owner ? model->limit_owner : model->own[daemon], &word,
+    hs_tenant_uses_put_report(reaches_owner ? model->limit_owner : model->own[daemon], &report,
                               model->now_ms);
 }
 
@@ -586,10 +587,10 @@
     double high = TOTAL_SLOTS;
     for (int round = 0; round < 60; round++) {
         double share = (low + high) / 2;
-        double taken = 0;
+        double used_slots = 0;
         for (uint32_t tenant = 0; tenant < TENANTS; tenant++)
-            taken += fmin(offered[tenant], share);
-        *(taken > TOTAL_SLOTS ? &high : &low) = share;
+            used_slots += fmin(offered[tenant], share);
+        *(used_slots > TOTAL_SLOTS ? &high : &low) = share;
     }
     return low;
 }
