--- a/src/base/wake_watch.c
+++ b/src/base/stall_detector.c
@@ -1,5 +1,5 @@
-/** @file wake_watch.c  See wake_watch.h. */
-#include "base/wake_watch.h"
+/** @file stall_detector.c  See stall_detector.h. */
+#include "base/stall_detector.h"
 
 #include "base/clock.h"
 #include "base/log.h"
--- a/src/base/wake_watch.h
+++ b/src/base/stall_detector.h
@@ -1,12 +1,12 @@
 /**
- * @file wake_watch.h
+ * @file stall_detector.h
  * Detects stalls of the process: times for which it was stopped or starved, or the machine was
  * suspended, after which cached state may be stale. A thread with a short period calls
  * hs_stall_detector_check in each round. Thread-safe between hs_stall_detector_init and
  * hs_stall_detector_clear.
  */
-#ifndef HS_BASE_WAKE_WATCH_H
-#define HS_BASE_WAKE_WATCH_H
+#ifndef HS_BASE_STALL_DETECTOR_H
+#define HS_BASE_STALL_DETECTOR_H
 
 #include <glib.h>
 #include <stdint.h>
--- a/src/directory/daemon_directory.h
+++ b/src/directory/daemon_directory.h
@@ -9,7 +9,7 @@
 #ifndef HS_DIRECTORY_DAEMON_DIRECTORY_H
 #define HS_DIRECTORY_DAEMON_DIRECTORY_H
 
-#include "base/wake_watch.h"
+#include "base/stall_detector.h"
 #include "directory/tenant_limiter.h"
 #include "fleet/fleet_engines.h"
 #include "membership/membership_service.h"
--- a/src/directory/tenant_limiter.c
+++ b/src/directory/tenant_limiter.c
@@ -4,7 +4,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 #include "base/log.h"
-#include "base/wake_watch.h"
+#include "base/stall_detector.h"
 #include "directory/daemon_directory.h"
 #include "directory/peer_questions.h"
 #include "tenants/tenant_use.h"
--- a/src/online/held_requests.h
+++ b/src/online/held_requests.h
@@ -9,7 +9,7 @@
 #ifndef HS_ONLINE_HELD_REQUESTS_H
 #define HS_ONLINE_HELD_REQUESTS_H
 
-#include "online/fair_claim.h"
+#include "online/queue_priority.h"
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/online/fair_claim.c
+++ b/src/online/queue_priority.c
@@ -1,5 +1,5 @@
-/** @file fair_claim.c  See queue_priority.h. */
-#include "online/fair_claim.h"
+/** @file queue_priority.c  See queue_priority.h. */
+#include "online/queue_priority.h"
 
 #include <math.h>
 
--- a/src/online/fair_claim.h
+++ b/src/online/queue_priority.h
@@ -1,5 +1,5 @@
 /**
- * @file fair_claim.h
+ * @file queue_priority.h
  * Order in which requests get slots, or are refused, while a service is short of slots. Pure
  * functions.
  *
@@ -8,8 +8,8 @@
  * turn: can still be in time, urgency rank, slots used by the tenant (in coarse bands), deadline,
  * arrival. Rank comes before use, so a less urgent kind never gets ahead of a more urgent one.
  */
-#ifndef HS_ONLINE_FAIR_CLAIM_H
-#define HS_ONLINE_FAIR_CLAIM_H
+#ifndef HS_ONLINE_QUEUE_PRIORITY_H
+#define HS_ONLINE_QUEUE_PRIORITY_H
 
 #include <stdbool.h>
 #include <stdint.h>
