--- a/tests/unit/test_shares.c
+++ b/tests/unit/test_shares.c
@@ -3,9 +3,9 @@
  * Tenants' shares of a service that is short of slots: accounting of use, queue priorities, fair
  * shares, and a simulation of 73 daemons and 79 tenants that compares sharing policies.
  */
-#include "online/fair_claim.h"
 #include "online/fair_level.h"
 #include "online/fair_levels.h"
+#include "online/queue_priority.h"
 #include "tenants/tenant_runs.h"
 #include "tenants/tenant_use.h"
 #include "tests/unit/unit_tests.h"
