--- a/gen/job.pb-c.h
+++ b/gen/job.pb-c.h
@@ -32,6 +32,9 @@
 
 /* --- enums --- */
 
+/*
+ * Outcome of an item.
+ */
 typedef enum _Hs__JobItemState {
   HS__JOB_ITEM_STATE__JOB_ITEM_COMPLETED = 0,
   HS__JOB_ITEM_STATE__JOB_ITEM_DEAD = 1
@@ -40,6 +43,9 @@
 
 /* --- messages --- */
 
+/*
+ * HTTP header of an item's request.
+ */
 struct  Hs__JobHeader
 {
   ProtobufCMessage base;
@@ -52,11 +58,15 @@
 
 
 /*
- * What an item sends to an engine. Kept apart from manifests: it is large and rarely read.
+ * Request that an item sends to an engine. Stored in the topic of bodies, packed and split over one
+ * or more consecutive records, because manifests are read more often than contents.
  */
 struct  Hs__JobItemContent
 {
   ProtobufCMessage base;
+  /*
+   * Path and query.
+   */
   char *path;
   size_t n_headers;
   Hs__JobHeader **headers;
@@ -70,14 +80,20 @@
 struct  Hs__JobItem
 {
   ProtobufCMessage base;
+  /*
+   * Unique within the job.
+   */
   char *id;
+  /*
+   * Size: tokens of the prompt plus the limit of output tokens.
+   */
   uint32_t tokens;
   /*
-   * First record of its content in the bodies' partition.
+   * Offset of the first record of the JobItemContent.
    */
   uint64_t content_offset;
   /*
-   * Over all its records.
+   * Length of the packed JobItemContent, over all of its records.
    */
   uint32_t content_bytes;
 };
@@ -87,30 +103,39 @@
 
 
 /*
- * A job was taken. The first manifest of an id counts; later ones change nothing.
+ * Accepts a job. The first manifest of a job id is valid; later ones are ignored.
  */
 struct  Hs__JobManifest
 {
   ProtobufCMessage base;
   char *job_id;
+  /*
+   * Host of the submission; selects the route, together with target.
+   */
   char *host;
+  /*
+   * Path and query of the submission.
+   */
   char *target;
   /*
-   * Wall clock of the daemon that took it.
+   * Wall clock of the daemon that accepted the job.
    */
   uint64_t submitted_ms;
   /*
-   * Time from there until results are due.
+   * Time from submitted_ms until the results are due.
    */
   uint64_t due_ms;
   /*
-   * Time from there until items may be given up.
+   * Time from submitted_ms until items expire; 0: default of 60 s.
    */
   uint64_t retention_ms;
+  /*
+   * The position in this list is the item's index.
+   */
   size_t n_items;
   Hs__JobItem **items;
   /*
-   * Whose job it is, also after its key was taken away; empty: nobody's.
+   * Tenant of the job; empty: none, the job is visible to all callers.
    */
   char *tenant;
 };
@@ -120,16 +145,26 @@
 
 
 /*
- * An item has ended. The first whole result of an item counts and takes the next position.
- * A text above a record's size is spread over records that follow each other in one append.
+ * Result of an item. The first complete result of an item is valid and takes the next position in
+ * the job's list of results. A text that exceeds the record limit is split over consecutive records
+ * of one append; a result with a missing part is ignored.
  */
 struct  Hs__JobResult
 {
   ProtobufCMessage base;
   char *job_id;
+  /*
+   * Index of the item in the manifest.
+   */
   uint32_t item;
   Hs__JobItemState state;
+  /*
+   * Index of this part, from 0.
+   */
   uint32_t part;
+  /*
+   * Number of parts; 0 or 1: this record has the complete text.
+   */
   uint32_t parts;
   ProtobufCBinaryData text;
 };
@@ -139,7 +174,7 @@
 
 
 /*
- * The job was ended by its caller. Items without a result are not run any more.
+ * Ends a job at the caller's request. Items without a result are no longer run.
  */
 struct  Hs__JobEnd
 {
@@ -152,30 +187,38 @@
 
 
 /*
- * What a run has made of an unfinished item so far, stored now and then and when its owner gives it
- * up. Whoever goes on with it asks for what follows the last event. A later event of an item replaces
- * an earlier one.
+ * Checkpoint of an unfinished item: output of its runs. A record whose last_event is not above the
+ * stored one is ignored. An owner that resumes the item requests the events after the last one.
+ * Event numbers are those of the engine's stream and increase by 1.
  */
 struct  Hs__JobProgress
 {
   ProtobufCMessage base;
   char *job_id;
+  /*
+   * Index of the item in the manifest.
+   */
   uint32_t item;
+  /*
+   * Last event in the text; above 0.
+   */
   uint64_t last_event;
-  ProtobufCBinaryData text;
   /*
-   * The text follows this event, and counts only where the fold stands
+   * Data of the events after from_event, joined by line feeds.
    */
-  uint64_t from_event;
+  ProtobufCBinaryData text;
   /*
-   * there; 0: it is all there is.
+   * The text is appended to stored progress that ends at this event, and otherwise ignored. 0: the
+   * text is the whole output and replaces the progress.
    */
+  uint64_t from_event;
   /*
-   * Which owner's runs made the text, by chance.
+   * Random id of the runs of the item by one owner. A text is appended only to progress of the same
+   * writer, or if base_event equals from_event.
    */
   uint64_t writer;
   /*
-   * The writer's first run was asked to go on after this event; 0: it began.
+   * Event after which the writer's first run resumed; 0: it began the item.
    */
   uint64_t base_event;
 };
@@ -193,6 +236,9 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(HS__JOB_RECORD__KIND__CASE)
 } Hs__JobRecord__KindCase;
 
+/*
+ * One record of the topic of jobs.
+ */
 struct  Hs__JobRecord
 {
   ProtobufCMessage base;
@@ -210,22 +256,29 @@
 
 
 /*
- * A job that is about to be stored under a route with a limit. The order of these records decides
- * which jobs fit: a submission counts all that stand before its own.
+ * Reserves tokens for a job that is about to be stored, on a route with a limit of queued tokens.
+ * The order of these records decides which jobs fit: a submission counts the reservations of other
+ * jobs that precede its own.
  */
 struct  Hs__QuotaReservation
 {
   ProtobufCMessage base;
   char *job_id;
   /*
-   * One try of one daemon to store the job; random.
+   * Random id of one attempt of one daemon to store the job.
    */
   uint64_t submission;
   /*
-   * Its name and, where it has one, a line feed and its tenant's.
+   * Name of the route; for a job with a tenant, followed by a line feed and the tenant's name.
    */
   char *route;
+  /*
+   * Sum over the job's items.
+   */
   uint64_t tokens;
+  /*
+   * Partition of the job.
+   */
   uint32_t partition;
 };
 #define HS__QUOTA_RESERVATION__INIT \
@@ -234,7 +287,7 @@
 
 
 /*
- * The submission was refused; its reservations count no longer, whenever they arrive.
+ * Cancels the reservations of a refused submission, also those that are stored after this record.
  */
 struct  Hs__QuotaRelease
 {
@@ -247,16 +300,19 @@
 
 
 /*
- * An open job of a route with a limit: its items without a result have so many tokens.
+ * An open job of a route with a limit of queued tokens.
  */
 struct  Hs__QuotaJob
 {
   ProtobufCMessage base;
   char *job_id;
   /*
-   * As in a reservation.
+   * As in QuotaReservation.
    */
   char *route;
+  /*
+   * Sum over the items without a result.
+   */
   uint64_t tokens;
 };
 #define HS__QUOTA_JOB__INIT \
@@ -265,14 +321,16 @@
 
 
 /*
- * All open jobs of a partition, as its owner's fold has them; replaces what was told before.
+ * All open jobs of a partition on routes with a limit, by its owner's fold. Replaces the
+ * partition's previous level, and settles the reservations of the listed jobs.
  */
 struct  Hs__QuotaLevel
 {
   ProtobufCMessage base;
   uint32_t partition;
   /*
-   * Next record of the partition's log; a lower one than before is stale.
+   * Offset of the next record to fold. A level with a lower offset than the previous one comes from
+   * an outdated owner and is ignored.
    */
   uint64_t fold_offset;
   size_t n_jobs;
@@ -291,6 +349,9 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(HS__QUOTA_RECORD__KIND__CASE)
 } Hs__QuotaRecord__KindCase;
 
+/*
+ * One record of the topic of quotas.
+ */
 struct  Hs__QuotaRecord
 {
   ProtobufCMessage base;
--- a/gen/peer.pb-c.h
+++ b/gen/peer.pb-c.h
@@ -52,6 +52,9 @@
 
 /* --- enums --- */
 
+/*
+ * State of a member; see membership.h.
+ */
 typedef enum _Hs__MemberState {
   HS__MEMBER_STATE__MEMBER_ALIVE = 0,
   HS__MEMBER_STATE__MEMBER_SUSPECT = 1,
@@ -62,11 +65,20 @@
 
 /* --- messages --- */
 
+/*
+ * Partition that a member owns.
+ */
 struct  Hs__OwnedPartition
 {
   ProtobufCMessage base;
   uint32_t partition;
+  /*
+   * Epoch of the member's claim.
+   */
   uint32_t epoch;
+  /*
+   * Schedulers can be granted items now.
+   */
   protobuf_c_boolean has_ready_items;
 };
 #define HS__OWNED_PARTITION__INIT \
@@ -75,36 +87,64 @@
 
 
 /*
- * What one member is known to be. (incarnation, version) orders two accounts by the member itself.
+ * Record of one member. Of two records, the one with the higher incarnation, then the higher
+ * version, is newer; within an incarnation, MEMBER_DEAD overrides the other states.
  */
 struct  Hs__MemberRecord
 {
   ProtobufCMessage base;
   char *id;
+  /*
+   * Wall-clock time of the start in ms; raised to refute MEMBER_DEAD.
+   */
   uint64_t incarnation;
+  /*
+   * Increases when the member changes its record.
+   */
   uint32_t version;
   Hs__MemberState state;
+  /*
+   * IPv4 address, 0x7f000001 for 127.0.0.1; 0: unknown.
+   */
   uint32_t address;
+  /*
+   * UDP port of these messages.
+   */
   uint32_t peer_port;
+  /*
+   * TCP port.
+   */
   uint32_t admin_port;
   char *zone;
+  /*
+   * Next record of the configuration stream that the member will fold.
+   */
   uint64_t config_offset;
   size_t n_owned;
   Hs__OwnedPartition **owned;
   /*
-   * Engines of which this member knows at first hand that they leave.
+   * Ids of the engines that announced to this member that they are leaving.
    */
   size_t n_leaving_engines;
   char **leaving_engines;
   /*
-   * What the member's machine bears; 0: not told, as by older builds.
+   * Capacity of the member's machine; 0: unknown. Older builds send 0 in all five fields.
+   */
+  /*
+   * Usable processor time, in thousandths of a core.
    */
   uint32_t cores_permille;
   uint32_t memory_mb;
+  /*
+   * Limit of open file descriptors.
+   */
   uint32_t descriptors;
+  /*
+   * Network bandwidth in kbit/s.
+   */
   uint32_t link_kbps;
   /*
-   * Of what it is shortest of, of late.
+   * Recent utilization of the most utilized resource: 0 to 100, in steps of 25; 0 also if unknown.
    */
   uint32_t taken_percent;
 };
@@ -113,22 +153,26 @@
     , (char *)protobuf_c_empty_string, 0, 0, HS__MEMBER_STATE__MEMBER_ALIVE, 0, 0, 0, (char *)protobuf_c_empty_string, 0, 0,NULL, 0,NULL, 0, 0, 0, 0, 0 }
 
 
+/*
+ * Checks whether a member responds. The receiver answers with ProbeAck.
+ */
 struct  Hs__Probe
 {
   ProtobufCMessage base;
   uint32_t sequence;
   /*
-   * Set on an indirect probe: the member to be probed on behalf of the sender.
+   * Indirect probe: id of the member that the receiver is to probe for the sender. Empty otherwise.
    */
   char *target_id;
   size_t n_gossip;
   Hs__MemberRecord **gossip;
   /*
-   * The sender is new, or compares: answer with the accounts that are not among known.
+   * Requests the records whose hashes are not in known, as MemberList; set while the sender joins
+   * and periodically after that.
    */
   protobuf_c_boolean want_all;
   /*
-   * Hash of each account that the sender holds, as it holds it.
+   * Hash of each of the sender's member records; empty unless want_all is set.
    */
   size_t n_known;
   uint32_t *known;
@@ -139,7 +183,8 @@
 
 
 /*
- * Accounts beyond those that ride on an acknowledgement.
+ * Member records: those that exceed the limit of a probe or acknowledgement, or an answer to
+ * want_all.
  */
 struct  Hs__MemberList
 {
@@ -147,7 +192,7 @@
   size_t n_records;
   Hs__MemberRecord **records;
   /*
-   * Sent because the receiver asked for what it lacked; not to be passed on as news.
+   * The records answer want_all; the receiver does not relay them, since other members have them.
    */
   protobuf_c_boolean is_answer;
 };
@@ -156,10 +201,19 @@
     , 0,NULL, 0 }
 
 
+/*
+ * Acknowledges a probe.
+ */
 struct  Hs__ProbeAck
 {
   ProtobufCMessage base;
+  /*
+   * Of the probe.
+   */
   uint32_t sequence;
+  /*
+   * Id of the member that responded.
+   */
   char *subject_id;
   size_t n_gossip;
   Hs__MemberRecord **gossip;
@@ -170,15 +224,28 @@
 
 
 /*
- * An online request starts or ends on an engine; sent by the edge to the engine's scheduler.
+ * The edge's online requests on an engine have changed; sent to the engine's scheduler, which
+ * answers with EngineLoad.
  */
 struct  Hs__OnlineNotice
 {
   ProtobufCMessage base;
   char *engine_id;
+  /*
+   * Unused; always 0.
+   */
   uint32_t started;
+  /*
+   * Unused; always 0.
+   */
   uint32_t ended;
+  /*
+   * Online requests of the edge on the engine.
+   */
   uint32_t in_flight;
+  /*
+   * Increases with each notice of an incarnation; older notices are ignored.
+   */
   uint64_t sequence;
 };
 #define HS__ONLINE_NOTICE__INIT \
@@ -186,15 +253,33 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0, 0 }
 
 
+/*
+ * Load of an engine, as its scheduler knows it; answers OnlineNotice.
+ */
 struct  Hs__EngineLoad
 {
   ProtobufCMessage base;
   char *engine_id;
+  /*
+   * Of all edges.
+   */
   uint32_t online_in_flight;
+  /*
+   * Batch items that the scheduler runs on the engine.
+   */
   uint32_t batch_in_flight;
+  /*
+   * Unused; always 0.
+   */
   uint32_t queued;
+  /*
+   * Unused; always empty.
+   */
   size_t n_models;
   char **models;
+  /*
+   * The engine announced that it is leaving.
+   */
   protobuf_c_boolean leaving;
 };
 #define HS__ENGINE_LOAD__INIT \
@@ -203,15 +288,28 @@
 
 
 /*
- * A scheduler with spare capacity asks a partition's owner for items.
+ * Request of a scheduler with free slots to a partition's owner for items; answered with
+ * GrantReply.
  */
 struct  Hs__PullRequest
 {
   ProtobufCMessage base;
   uint32_t partition;
+  /*
+   * Maximum number of items.
+   */
   uint32_t want;
+  /*
+   * Increases with each request of an incarnation.
+   */
   uint64_t sequence;
+  /*
+   * Unused; always 0. See PeerMessage.sender_incarnation.
+   */
   uint64_t scheduler_incarnation;
+  /*
+   * Models that the scheduler's engines serve.
+   */
   size_t n_models;
   char **models;
 };
@@ -221,22 +319,35 @@
 
 
 /*
- * Right to run items [first_item, first_item + item_count) of a job under an epoch.
+ * Lease on the items [first_item, first_item + item_count) of a job, which are within one chunk of
+ * the job's file. Must be renewed (GrantRenew).
  */
 struct  Hs__Grant
 {
   ProtobufCMessage base;
   uint32_t partition;
   uint32_t epoch;
+  /*
+   * Unique within the epoch.
+   */
   uint64_t grant_id;
   char *job_id;
   char *tenant;
   uint32_t first_item;
   uint32_t item_count;
+  /*
+   * Offset of the FileChunk record in the partition's stream.
+   */
   uint64_t chunk_offset;
   uint32_t chunk_first_item;
+  /*
+   * The items are run-once items; each needs an ItemIntent.
+   */
   protobuf_c_boolean run_once;
   char *endpoint;
+  /*
+   * Of the job; wall-clock time in ms since the Unix epoch.
+   */
   uint64_t deadline_ms;
   char *model;
 };
@@ -245,9 +356,15 @@
     , 0, 0, 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0, 0, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Answers PullRequest.
+ */
 struct  Hs__GrantReply
 {
   ProtobufCMessage base;
+  /*
+   * Of the request.
+   */
   uint64_t sequence;
   size_t n_grants;
   Hs__Grant **grants;
@@ -257,6 +374,9 @@
     , 0, 0,NULL }
 
 
+/*
+ * Identifies a grant.
+ */
 struct  Hs__GrantRef
 {
   ProtobufCMessage base;
@@ -270,7 +390,8 @@
 
 
 /*
- * Keeps grants alive; the owner answers with those it no longer stands for.
+ * Renews the sender's grants at the partition's owner, which answers with GrantRevoke if any of
+ * them are no longer valid.
  */
 struct  Hs__GrantRenew
 {
@@ -283,6 +404,10 @@
     , 0,NULL }
 
 
+/*
+ * Grants that are no longer valid. The receiver stops their items, except for running run-once
+ * items.
+ */
 struct  Hs__GrantRevoke
 {
   ProtobufCMessage base;
@@ -295,20 +420,24 @@
 
 
 /*
- * An edge with requests of a limited tenant asks the tenant's home for an allowance.
+ * Request of an edge that has requests of a limited tenant to the tenant's limit owner for an
+ * allowance; answered with LimitGrant.
  */
 struct  Hs__LimitAsk
 {
   ProtobufCMessage base;
   char *tenant;
   /*
-   * Requests it would admit in the next interval.
+   * Requests that the edge wants to admit.
    */
   uint32_t wanted;
   /*
-   * Requests it admitted without an allowance since it last asked.
+   * Requests admitted without an allowance since the last LimitAsk.
    */
   uint32_t advanced;
+  /*
+   * The tenant's requests in flight on the edge.
+   */
   uint32_t in_flight;
 };
 #define HS__LIMIT_ASK__INIT \
@@ -316,12 +445,15 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0 }
 
 
+/*
+ * Answers LimitAsk.
+ */
 struct  Hs__LimitGrant
 {
   ProtobufCMessage base;
   char *tenant;
   /*
-   * Requests it may admit until it asks again.
+   * Requests that the edge may admit until its next LimitAsk.
    */
   uint32_t allowance;
 };
@@ -331,7 +463,8 @@
 
 
 /*
- * Requests for a group's model that came in at the sender since its last report.
+ * Requests for a model of an engine group that the sender received since its last report; sent to
+ * the group's controller.
  */
 struct  Hs__DemandReport
 {
@@ -346,18 +479,34 @@
 
 
 /*
- * What one daemon has on an engine.
+ * Load of one daemon on one engine.
  */
 struct  Hs__EngineShare
 {
   ProtobufCMessage base;
+  /*
+   * Hash of the engine's id and, if known, start time.
+   */
   uint64_t engine_hash;
+  /*
+   * Online requests in flight.
+   */
   uint32_t online;
+  /*
+   * Running batch items.
+   */
   uint32_t batch;
+  /*
+   * Prompt tokens that the engine has not read yet.
+   */
   uint32_t queued_tokens;
+  /*
+   * The daemon suspects the engine of being unavailable.
+   */
   protobuf_c_boolean suspected;
   /*
-   * Requests of late that ended there and that failed of them, in thousandths; both fade.
+   * Decaying counts of recent requests that ended, and of those of them that failed, in thousandths
+   * of a request.
    */
   uint32_t ended_permille;
   uint32_t failed_permille;
@@ -368,7 +517,8 @@
 
 
 /*
- * All engines on which the sender has requests; replaces what it told before.
+ * Load of the sender on all engines; replaces the sender's previous message. Engines without
+ * requests, suspicion or recent failures are left out.
  */
 struct  Hs__EngineShares
 {
@@ -376,11 +526,12 @@
   size_t n_shares;
   Hs__EngineShare **shares;
   /*
-   * Work of its batch items that are to end in time, in ms of a slot.
+   * Slot time needed by the batch items planned to meet their targets.
    */
   uint64_t batch_work_ms;
   /*
-   * Of what the sender knows of requests that crash engines; equal where the receiver knows the same.
+   * Digest of the sender's crash evidence on contents lost with two or more engines; 0: none. A
+   * receiver with other evidence may answer with CrashReport.
    */
   uint64_t crash_digest;
 };
@@ -390,46 +541,58 @@
 
 
 /*
- * What the sender has on an engine now; told to the engine's arbiter at each change.
+ * Current use of an engine by the sender; reported to the engine's arbiter at each change and
+ * periodically. Counts of the sender's incarnation are absolute, so that the next report corrects a
+ * lost one.
  */
 struct  Hs__EngineUse
 {
   ProtobufCMessage base;
   uint64_t engine_hash;
+  /*
+   * Slots of the engine.
+   */
   uint32_t slots;
+  /*
+   * Online requests in flight.
+   */
   uint32_t online;
+  /*
+   * Running batch items.
+   */
   uint32_t batch;
   /*
-   * Of the batch item there of the highest rank.
+   * Highest preemption rank of the batch items, 0 or above; 0 if there are none.
    */
   int32_t rank_ms;
   /*
-   * Requests of the sender's life that ended well there.
+   * Requests served so far; wraps.
    */
   uint32_t served;
   /*
-   * The same that failed.
+   * Requests failed so far; wraps.
    */
   uint32_t failed;
   /*
-   * Of the sender's prompts there that are not read yet.
+   * Prompt tokens that the engine has not read yet.
    */
   uint32_t queued_tokens;
   /*
-   * What the sender's runs there made in its life, as counts, so that the next word mends a lost one.
-   */
-  /*
-   * Events after the first of each run,
+   * Events of runs so far, without the first event of each run.
    */
   uint64_t run_events;
   /*
-   * and the time they took.
+   * Time that run_events took.
    */
   uint64_t run_ms;
   /*
-   * The engine's own latest word on how long work takes there, 100: as usual. 0: it told none.
+   * Latest slowdown that the engine reported to the sender: execution time relative to normal,
+   * which is 100; 0: none reported.
    */
   uint32_t slowdown_percent;
+  /*
+   * 0 if slowdown_percent is 0.
+   */
   uint32_t slowdown_age_ms;
 };
 #define HS__ENGINE_USE__INIT \
@@ -437,13 +600,19 @@
     , 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0 }
 
 
+/*
+ * Uses of engines that the receiver arbitrates.
+ */
 struct  Hs__EngineUses
 {
   ProtobufCMessage base;
   /*
-   * Grows with each message of one life of the sender.
+   * Increases with each message of the sender's incarnation.
    */
   uint64_t sequence;
+  /*
+   * The receiver is to answer with EngineTotals.
+   */
   protobuf_c_boolean wants_totals;
   size_t n_uses;
   Hs__EngineUse **uses;
@@ -454,30 +623,34 @@
 
 
 /*
- * What all daemons have on an engine, as its arbiter was told.
+ * Engine load report of an engine's arbiter: the load of all daemons on the engine, by their
+ * reports of use. Fields are as in EngineUse unless noted.
  */
 struct  Hs__EngineTotal
 {
   ProtobufCMessage base;
   uint64_t engine_hash;
   uint32_t online;
+  /*
+   * Without items that are being preempted.
+   */
   uint32_t batch;
   /*
-   * By what all daemons told; the receiver's request should go elsewhere.
+   * Recent requests of all daemons failed; requests should avoid the engine.
    */
   protobuf_c_boolean is_failing;
   uint32_t queued_tokens;
   /*
-   * Time that an event takes there, by what all daemons told; 0: not known.
+   * Mean time of an event in the runs of all daemons; 0: unknown.
    */
   uint32_t event_us;
   /*
-   * The engine's own latest word on how long work takes there, 100: as usual. 0: it told none.
+   * Latest slowdown that the engine reported to any daemon, 100: normal; 0: none reported.
    */
   uint32_t slowdown_percent;
   uint32_t slowdown_age_ms;
   /*
-   * Of a word that is passed on: since the arbiter said it.
+   * Time since the arbiter made the report; 0 if the arbiter sends it.
    */
   uint32_t age_ms;
 };
@@ -486,13 +659,20 @@
     , 0, 0, 0, 0, 0, 0, 0, 0, 0 }
 
 
+/*
+ * Answers EngineUses.
+ */
 struct  Hs__EngineTotals
 {
   ProtobufCMessage base;
+  /*
+   * One per use in the message answered, made by the sender.
+   */
   size_t n_totals;
   Hs__EngineTotal **totals;
   /*
-   * Words on other engines that the sender has; the receiver may know fresher ones.
+   * Relayed reports on other engines, in large fleets. The receiver ignores those that are not
+   * newer than its own.
    */
   size_t n_passed_on;
   Hs__EngineTotal **passed_on;
@@ -503,12 +683,15 @@
 
 
 /*
- * The engine's slots are needed: so many of the receiver's batch items there leave now.
+ * Preemption request of an engine's arbiter: the requests of all daemons exceed the engine's slots.
  */
 struct  Hs__StepAside
 {
   ProtobufCMessage base;
   uint64_t engine_hash;
+  /*
+   * Number of the receiver's batch items to preempt.
+   */
   uint32_t count;
 };
 #define HS__STEP_ASIDE__INIT \
@@ -522,13 +705,16 @@
 struct  Hs__CrashedEngine
 {
   ProtobufCMessage base;
+  /*
+   * As in EngineShare.
+   */
   uint64_t engine_hash;
   /*
-   * Since the run was cut.
+   * Time since the run was cut.
    */
   uint64_t age_ms;
   /*
-   * From its first event to the cut; 0: there was none, or it is not known.
+   * Time from the run's first event to its cut; 0: no event, or unknown.
    */
   uint32_t ran_ms;
 };
@@ -538,17 +724,23 @@
 
 
 /*
- * What the sender knows of one content of requests that was lost with engines.
+ * The sender's record of one request content whose runs were lost with engines that crashed.
  */
 struct  Hs__CrashEvidence
 {
   ProtobufCMessage base;
+  /*
+   * Hash of the request content.
+   */
   uint64_t content;
   size_t n_engines;
   Hs__CrashedEngine **engines;
+  /*
+   * A run of the content completed.
+   */
   protobuf_c_boolean is_acquitted;
   /*
-   * Since an engine last survived it.
+   * Time since the last completed run; only if is_acquitted.
    */
   uint64_t acquitted_age_ms;
 };
@@ -558,7 +750,7 @@
 
 
 /*
- * News, or all that the receiver may lack.
+ * New evidence, or the answer to a crash_digest that differs.
  */
 struct  Hs__CrashReport
 {
@@ -572,31 +764,32 @@
 
 
 /*
- * A request of a limited tenant asks the tenant's home whether it may pass.
+ * Query to a tenant's limit owner whether a request of the tenant may pass; answered with
+ * TenantVerdict.
  */
 struct  Hs__TenantAsk
 {
   ProtobufCMessage base;
   /*
-   * Of the sender's life; the verdict names it.
+   * Identifies the query in the verdict.
    */
   uint64_t sequence;
   char *tenant;
   /*
-   * The tenant's limit, for all daemons together,
+   * The tenant's limit over all daemons, in requests per second.
    */
   double rate_per_s;
   /*
-   * and what may pass above the rate at one time,
+   * Requests that may pass at once above the rate.
    */
   double capacity;
   /*
-   * by this version; of two the newer one counts.
+   * Configuration version of the limit; the newest received applies.
    */
   uint64_t config_version;
   /*
-   * Time in ms of engines' slots that the sender's online requests of the tenant asked for in the
-   * sender's life, and 1; 0: not known.
+   * Engine slot time in ms, plus 1, that the tenant's online requests to the sender have needed in
+   * the sender's incarnation; 0: unknown, as sent by older builds.
    */
   uint64_t used_ms;
 };
@@ -605,21 +798,28 @@
     , 0, (char *)protobuf_c_empty_string, 0, 0, 0, 0 }
 
 
+/*
+ * Answers TenantAsk.
+ */
 struct  Hs__TenantVerdict
 {
   ProtobufCMessage base;
+  /*
+   * Of the query.
+   */
   uint64_t sequence;
   protobuf_c_boolean passes;
   /*
-   * Where it does not: when its caller should return.
+   * If refused: time from now after which the caller should retry.
    */
   uint32_t return_ms;
   /*
-   * Of the limit, which the home lets pass.
+   * Allowance of the limit owner, as a fraction of the limit (0 to 1).
    */
   double part;
   /*
-   * Engines' slots that the tenant asks for of late by these counts, in thousandths; 0: not known.
+   * Engine slots that the tenant recently requested, from used_ms of all daemons, in thousandths;
+   * 0: unknown, as sent by older builds.
    */
   uint32_t used_slots_permille;
 };
@@ -629,19 +829,26 @@
 
 
 /*
- * Whether a content that is held back may run once.
+ * Query to the decider whether a quarantined content may have a trial run; answered with
+ * TrialVerdict.
  */
 struct  Hs__TrialAsk
 {
   ProtobufCMessage base;
+  /*
+   * Identifies the query in the verdict.
+   */
   uint64_t sequence;
+  /*
+   * Hash of the request content.
+   */
   uint64_t content;
   /*
-   * It is work that was taken on, and has to end.
+   * The content is accepted work, which the fleet must complete.
    */
   protobuf_c_boolean is_accepted;
   /*
-   * What the asker knows of it.
+   * The sender's evidence on the content; older builds send none.
    */
   Hs__CrashEvidence *evidence;
 };
@@ -650,13 +857,19 @@
     , 0, 0, 0, NULL }
 
 
+/*
+ * Answers TrialAsk.
+ */
 struct  Hs__TrialVerdict
 {
   ProtobufCMessage base;
+  /*
+   * Of the query.
+   */
   uint64_t sequence;
   protobuf_c_boolean may_run;
   /*
-   * Why not, or so (hs_trial_verdict); 0: not told.
+   * A value of hs_trial_verdict; 0: no reason, as sent by older builds.
    */
   uint32_t reason;
 };
@@ -691,10 +904,16 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(HS__PEER_MESSAGE__KIND__CASE)
 } Hs__PeerMessage__KindCase;
 
+/*
+ * One datagram.
+ */
 struct  Hs__PeerMessage
 {
   ProtobufCMessage base;
   char *sender_id;
+  /*
+   * See MemberRecord.
+   */
   uint64_t sender_incarnation;
   Hs__PeerMessage__KindCase kind_case;
   union {
@@ -727,16 +946,25 @@
 
 
 /*
- * One object of the folded configuration.
+ * One object of the configuration fold.
  */
 struct  Hs__ConfigObjectState
 {
   ProtobufCMessage base;
   char *kind;
   char *name;
+  /*
+   * Offset of the last accepted change, plus 1.
+   */
   uint64_t revision;
+  /*
+   * Of the last accepted change.
+   */
   char *change_id;
   protobuf_c_boolean deleted;
+  /*
+   * Empty if deleted.
+   */
   char *content_json;
 };
 #define HS__CONFIG_OBJECT_STATE__INIT \
@@ -745,11 +973,14 @@
 
 
 /*
- * The whole folded configuration, fetched from a peer that is ahead.
+ * The whole configuration fold, fetched from a daemon that has read more of the stream.
  */
 struct  Hs__ConfigState
 {
   ProtobufCMessage base;
+  /*
+   * Offset of the next record to fold.
+   */
   uint64_t next_offset;
   size_t n_objects;
   Hs__ConfigObjectState **objects;
--- a/gen/record.pb-c.h
+++ b/gen/record.pb-c.h
@@ -41,13 +41,16 @@
 /* --- messages --- */
 
 /*
- * Claim of a partition. Valid when epoch is the folded epoch + 1.
+ * Claim of a partition. Valid if epoch is the current epoch of the fold + 1.
  */
 struct  Hs__OwnerClaim
 {
   ProtobufCMessage base;
   uint32_t epoch;
   char *daemon_id;
+  /*
+   * Incarnation of the daemon.
+   */
   uint64_t incarnation;
 };
 #define HS__OWNER_CLAIM__INIT \
@@ -56,7 +59,8 @@
 
 
 /*
- * Voluntary release by the owner of this epoch; the partition is free afterwards.
+ * Release of a partition by the owner of this epoch. Ignored if the epoch is not the
+ * current one or the daemon is not its owner.
  */
 struct  Hs__OwnerRelease
 {
@@ -70,16 +74,28 @@
 
 
 /*
- * A run of JSONL lines of an uploaded file.
+ * Consecutive JSONL lines of an uploaded file; each line is an item.
  */
 struct  Hs__FileChunk
 {
   ProtobufCMessage base;
   char *file_id;
+  /*
+   * Position of the chunk in the file, from 0.
+   */
   uint32_t chunk_index;
+  /*
+   * Index of the first line in the file, from 0.
+   */
   uint32_t first_item;
   uint32_t item_count;
+  /*
+   * Each terminated by a line feed.
+   */
   ProtobufCBinaryData lines;
+  /*
+   * Indexes in the file of the chunk's run-once items.
+   */
   size_t n_run_once_items;
   uint32_t *run_once_items;
 };
@@ -89,7 +105,7 @@
 
 
 /*
- * Closes a file: it is usable once all of its chunks precede this record.
+ * Completes a file. Invalid unless all of the file's chunks precede this record.
  */
 struct  Hs__FileSealed
 {
@@ -99,9 +115,18 @@
   char *filename;
   uint32_t chunk_count;
   uint32_t item_count;
+  /*
+   * Length of the uploaded file.
+   */
   uint64_t byte_count;
   uint64_t created_ms;
+  /*
+   * The same for every item.
+   */
   char *model;
+  /*
+   * The same for every item.
+   */
   char *endpoint;
 };
 #define HS__FILE_SEALED__INIT \
@@ -109,6 +134,9 @@
     , (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Accepts a job. Invalid unless the file is sealed and has the same tenant and endpoint.
+ */
 struct  Hs__JobSubmitted
 {
   ProtobufCMessage base;
@@ -117,6 +145,9 @@
   char *file_id;
   char *endpoint;
   uint64_t created_ms;
+  /*
+   * Wall-clock time at which the completion window ends.
+   */
   uint64_t deadline_ms;
   char *metadata_json;
 };
@@ -125,6 +156,9 @@
     , (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Cancels a job. Afterwards only results of run-once items with an intent are valid.
+ */
 struct  Hs__JobCancelled
 {
   ProtobufCMessage base;
@@ -137,12 +171,16 @@
 
 
 /*
- * Right to run a run-once item. The first intent of an item under the current epoch wins.
+ * Exclusive right of an attempt to run a run-once item. The first intent of an item is valid if its
+ * epoch is the current one; the same attempt may move to another engine after a refusal.
  */
 struct  Hs__ItemIntent
 {
   ProtobufCMessage base;
   char *job_id;
+  /*
+   * Index of the item in the job's file.
+   */
   uint32_t item;
   char *attempt_id;
   uint32_t epoch;
@@ -153,13 +191,28 @@
     , (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Result of one item.
+ */
 struct  Hs__ItemResult
 {
   ProtobufCMessage base;
+  /*
+   * Index of the item in the job's file.
+   */
   uint32_t item;
   char *attempt_id;
+  /*
+   * HTTP status; 400 or above: the item failed.
+   */
   uint32_t status_code;
+  /*
+   * Line of the output file.
+   */
   ProtobufCBinaryData body;
+  /*
+   * A run-once item may or may not have run; counts as failed. Valid only in the current epoch.
+   */
   protobuf_c_boolean indeterminate;
 };
 #define HS__ITEM_RESULT__INIT \
@@ -168,12 +221,15 @@
 
 
 /*
- * Results of items of one job. The first valid result of each item counts.
+ * Results of items of one job. The first valid result of each item counts; later ones are ignored.
  */
 struct  Hs__ItemsCompleted
 {
   ProtobufCMessage base;
   char *job_id;
+  /*
+   * Epoch under which the items ran.
+   */
   uint32_t epoch;
   size_t n_results;
   Hs__ItemResult **results;
@@ -185,12 +241,15 @@
 
 
 /*
- * Right to run an online run-once request that carries an idempotency key. The first intent of a
- * key wins; the same attempt may move to another engine after a refusal.
+ * Exclusive right of an attempt to run the online request with an idempotency key. The first intent
+ * of a key is valid; the same attempt may move to another engine after a refusal.
  */
 struct  Hs__OnlineIntent
 {
   ProtobufCMessage base;
+  /*
+   * Digest of tenant and idempotency key.
+   */
   char *key_hash;
   char *attempt_id;
   char *engine_url;
@@ -202,7 +261,8 @@
 
 
 /*
- * The holder of an online intent never sent the request, and never will: the key is free again.
+ * Releases an idempotency key: the attempt that holds the key has not sent the request and will
+ * not. Ignored if another attempt holds the key.
  */
 struct  Hs__OnlineIntentVoid
 {
@@ -255,6 +315,9 @@
     , HS__PARTITION_RECORD__KIND__NOT_SET, {0} }
 
 
+/*
+ * State of one file. The chunk_... lists have one entry per chunk received, in the same order.
+ */
 struct  Hs__FileSnapshot
 {
   ProtobufCMessage base;
@@ -264,9 +327,15 @@
   uint32_t item_count;
   uint64_t byte_count;
   uint64_t created_ms;
+  /*
+   * Number of chunks of a sealed file; 0: not sealed.
+   */
   uint32_t sealed_chunk_count;
   size_t n_chunk_index;
   uint32_t *chunk_index;
+  /*
+   * Offset of the FileChunk record in the partition's stream.
+   */
   size_t n_chunk_offset;
   uint64_t *chunk_offset;
   size_t n_chunk_first_item;
@@ -283,25 +352,44 @@
     , (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0, 0,NULL, 0,NULL, 0,NULL, 0,NULL, 0,NULL, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string }
 
 
+/*
+ * State of one job, or of a range of its items if the job takes several parts.
+ */
 struct  Hs__JobSnapshot
 {
   ProtobufCMessage base;
   Hs__JobSubmitted *submitted;
   protobuf_c_boolean cancelled;
+  /*
+   * Time of the request to cancel; 0: not cancelled.
+   */
   uint64_t cancelled_ms;
+  /*
+   * Of all items of the job.
+   */
   uint32_t failed_count;
   /*
-   * Offset + 1 of the record that holds the counted result of each item, as signed steps; 0 is none.
+   * For each item from first_item on: offset + 1 of the record with the valid result, or 0 for
+   * none, as the difference from the previous item's value. The first item's previous value is 0.
    */
   size_t n_result_offset_delta;
   int64_t *result_offset_delta;
+  /*
+   * Of all items of the job; only in the part with first_item 0.
+   */
   size_t n_intents;
   Hs__ItemIntent **intents;
   /*
-   * Position of this part: items from first_item on; a job larger than a part takes several.
+   * Index of the first item in this part.
    */
   uint32_t first_item;
+  /*
+   * Stream time of the job's end; 0: not ended.
+   */
   uint64_t finished_ms;
+  /*
+   * Of the whole job.
+   */
   uint32_t item_count;
 };
 #define HS__JOB_SNAPSHOT__INIT \
@@ -310,12 +398,18 @@
 
 
 /*
- * One part of a snapshot. Parts of one snapshot share snapshot_id; the seal comes last.
+ * One part of a snapshot. The parts of a snapshot have consecutive offsets; the seal follows them.
  */
 struct  Hs__SnapshotPart
 {
   ProtobufCMessage base;
+  /*
+   * Random; the same in all parts and the seal.
+   */
   char *snapshot_id;
+  /*
+   * From 0.
+   */
   uint32_t part_index;
   size_t n_files;
   Hs__FileSnapshot **files;
@@ -329,17 +423,32 @@
     , (char *)protobuf_c_empty_string, 0, 0,NULL, 0,NULL, 0,NULL }
 
 
+/*
+ * Completes a snapshot and holds the state of the partition itself.
+ */
 struct  Hs__SnapshotSeal
 {
   ProtobufCMessage base;
   char *snapshot_id;
   uint32_t part_count;
+  /*
+   * Offset of the first record of the partition's stream that the snapshot does not include.
+   */
   uint64_t covered_offset;
+  /*
+   * Offset of the first part in the snapshot stream.
+   */
   uint64_t first_part_offset;
   uint32_t epoch;
+  /*
+   * Empty: the partition has not been claimed yet.
+   */
   char *owner_id;
   uint64_t owner_incarnation;
   protobuf_c_boolean owner_released;
+  /*
+   * Latest time in any record up to covered_offset.
+   */
   uint64_t stream_time_ms;
 };
 #define HS__SNAPSHOT_SEAL__INIT \
@@ -372,7 +481,8 @@
 
 
 /*
- * One change of configuration: accepted when base_revision is the object's folded revision.
+ * One change of the configuration. Accepted if base_revision is the object's current revision in
+ * the fold, and rejected otherwise.
  */
 struct  Hs__ConfigChange
 {
@@ -380,8 +490,14 @@
   char *change_id;
   char *kind;
   char *name;
+  /*
+   * 0: the object does not exist yet.
+   */
   uint64_t base_revision;
   protobuf_c_boolean deleted;
+  /*
+   * Empty for a deletion.
+   */
   char *object_json;
   char *author;
 };
